--- a/crates/dispatch/src/configuration.rs
+++ b/crates/dispatch/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on a node that forwards whole requests.
+//! The configuration of a node that forwards whole requests.
 
 use std::fmt;
 
@@ -12,20 +12,20 @@
 use crate::cold;
 use crate::region::Regions;
 
-/// A step in the order of protection: 0 is served first and refused last.
+/// A priority level: 0 is served first and refused last.
 pub type Priority = u8;
 
-/// A request's place in the order of protection. A customer's own priority goes
-/// before that of the route; among equals the route's decides.
+/// A request's place in the order of service. The customer's own priority takes precedence
+/// over the route's, which decides between requests of equal priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rank {
-    /// The customer's priority, or the route's where it has none.
+    /// The customer's priority, or the route's if the customer has none.
     pub priority: Priority,
     /// The route's priority.
     pub urgency: Priority,
 }
 
-/// Everything an operator published under one version.
+/// Everything that an operator published under one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
     /// The version; a node never goes back to a lower one.
@@ -34,84 +34,83 @@
     pub routes: Vec<Route>,
     /// The services that routes lead to.
     pub services: Vec<Service>,
-    /// Bounds on what a caller may send.
+    /// Limits on what a caller may send.
     pub limits: Limits,
-    /// The customers, or none where requests need no key.
+    /// The customers, or `None` if requests need no key.
     pub customers: Option<Vec<Customer>>,
 }
 
-/// What may be done with a request that was sent once already.
+/// Whether a request may be sent again after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// It may run more than once.
     Repeatable,
-    /// It may run once at the most.
+    /// It may run at most once.
     Once,
-    /// Its answer is a series of events; it may run once at the most unless
-    /// the route is resumable.
+    /// Its answer is a stream of events. It may run at most once unless the route is
+    /// resumable.
     Stream,
 }
 
-/// Which requests go to which service, and how they are treated.
+/// Which requests go to which services, and how they are treated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name, for logs.
     pub name: String,
     /// The host that requests name.
     pub host: String,
-    /// How their path begins; starts and ends with a slash.
+    /// The prefix of their paths; starts and ends with a slash.
     pub prefix: String,
-    /// The services with their weights; one alone gets everything.
+    /// The services with their weights.
     pub targets: Vec<(id::Target, u32)>,
-    /// What may be repeated.
+    /// Whether requests may be sent again.
     pub kind: Kind,
     /// How long a request may be held.
     pub timeout: Span,
-    /// Within which time the answer, or its first event, earns full credit.
+    /// The time within which the answer, or its first event, counts as in time.
     pub objective: Span,
-    /// How long callers wait for the answer, or its first event, before they
-    /// leave.
+    /// How long callers wait for the answer, or its first event, before they leave.
     pub patience: Span,
-    /// The longest pause between two events of a stream that still counts as in
-    /// time; none where the route sets no bound.
+    /// The longest pause between two events of a stream that still counts as in time;
+    /// `None` for no bound.
     pub pause: Option<Span>,
-    /// The most endpoints that one request may be sent to.
+    /// The maximum number of endpoints that one request may be sent to.
     pub attempts: u32,
-    /// Its rank, unless its customer has one.
+    /// Its priority, unless the customer has one.
     pub priority: Priority,
-    /// True where no key is asked for.
+    /// Whether requests need no key.
     pub anonymous: bool,
-    /// True where a broken stream may go on at another endpoint.
+    /// Whether a broken stream may be resumed at another endpoint.
     pub resumable: bool,
-    /// The regions in which its requests may run. Not part of the layout of routes:
-    /// [`crate::region::Restrictions`] carries them.
+    /// The regions in which its requests may run. Not part of the serialised layout of
+    /// routes; [`crate::region::Restrictions`] carries them.
     #[serde(skip)]
     pub regions: Regions,
 }
 
-/// Endpoints of one kind, as far as the configuration describes them.
+/// A service: interchangeable endpoints, as far as the configuration describes them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name.
     pub name: id::Target,
-    /// Connections that one endpoint takes from all nodes together.
+    /// The number of connections that one endpoint takes from all nodes together.
     pub connections: u32,
-    /// True where the endpoints are engines that batch.
+    /// Whether the endpoints are engines that batch requests.
     pub engine: bool,
-    /// What a cold endpoint bears; none where the operator sets no bound.
+    /// The load that a cold endpoint bears; `None` if the operator sets no bound.
     pub cold: Option<cold::Bound>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head of a request.
+    /// The maximum size of a request's head.
     pub head: Size,
-    /// Largest body of a request.
+    /// The maximum size of a request's body.
     pub body: Size,
     /// How long a caller may take to send a head.
     pub head_within: Span,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     pub idle: Span,
 }
 
@@ -126,18 +125,18 @@
     }
 }
 
-/// Who sends requests.
+/// A customer that sends requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name, as endpoints are told.
+    /// Its name, as sent to endpoints.
     pub name: id::Customer,
-    /// Its keys, by digest.
+    /// The digests of its keys.
     pub keys: Vec<Key>,
-    /// Its rank, which goes before that of the route.
+    /// Its priority, which takes precedence over the route's.
     pub priority: Option<Priority>,
-    /// What it may use over all nodes; none where it may use anything.
+    /// What it may use over all nodes; `None` for no limit.
     pub quota: Option<Quota>,
-    /// The regions in which its requests may run; as [`Route::regions`].
+    /// The regions in which its requests may run; see [`Route::regions`].
     #[serde(skip)]
     pub regions: Regions,
 }
@@ -145,21 +144,21 @@
 /// What a customer may use, over all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Units a second.
+    /// The rate, in units a second.
     pub per_second: f64,
-    /// Units beyond that which may be used at once.
+    /// The number of units that may be used at once beyond the rate.
     pub burst: f64,
-    /// Units of a request that does not say its size; none where each request
-    /// counts as one.
+    /// The units charged for a request that doesn't state its size; `None` if every request
+    /// counts as one unit.
     pub plain_tokens: Option<u64>,
 }
 
-/// The SHA-256 of a caller's key; the key itself is never kept.
+/// The SHA-256 digest of a caller's key. The key itself is never kept.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// The digest of a key as a caller sends it.
+    /// Returns the digest of a key as sent by a caller.
     pub fn of(secret: &str) -> Key {
         Key(sha2::Sha256::digest(secret.as_bytes()).into())
     }
@@ -172,12 +171,12 @@
 }
 
 impl Route {
-    /// True where running a request twice does no harm.
+    /// Whether a request may safely run twice.
     pub fn may_repeat(&self) -> bool {
         self.kind == Kind::Repeatable || (self.kind == Kind::Stream && self.resumable)
     }
 
-    /// The service for a request, the same for equal `seed`s.
+    /// Chooses the service for a request by weight. Equal seeds yield the same service.
     pub fn target(&self, seed: u64) -> Option<&id::Target> {
         let total: u64 = self
             .targets
--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -1,4 +1,4 @@
-//! What becomes of an owner's answers about slots.
+//! Handles the answers of slot owners.
 
 use std::net::SocketAddrV4;
 
@@ -17,19 +17,19 @@
 use crate::lease::Reply;
 use crate::worker::Worker;
 
-/// How long an endpoint is left alone whose owner had no use for a request.
+/// How long an endpoint isn't used after its owner denied a slot.
 const UNUSABLE_FOR: Span = Span::from_millis(200);
 
-/// A slot that is of no use to the node that it was given to.
+/// A granted slot that this node can't use.
 struct Unusable {
-    /// What the owner is told.
+    /// The outcome reported to the owner.
     end: End,
-    /// True where the request is not to be offered to this endpoint again.
+    /// Whether the request must not be offered to this endpoint again.
     is_tried: bool,
 }
 
 impl Dispatcher {
-    /// Takes an owner's answer.
+    /// Handles an owner's answer.
     pub fn take_reply(&mut self, now: Time, from: SocketAddrV4, reply: Reply) {
         let mut questions = self.questions.iter();
         let found = questions
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Gives a slot back that nobody here waits for any more.
+    /// Returns a granted slot that no request of this node waits for any more.
     fn return_unwanted(&mut self, from: SocketAddrV4, reply: &Reply) {
         let in_use = self.runs.values().any(|run| {
             let lease = run.lease;
@@ -107,7 +107,7 @@
         self.run(now, id, job, worker, Some(lease), reason);
     }
 
-    /// Why this node gives back a slot that an owner gave it; none where it uses the slot.
+    /// Returns why this node can't use a granted slot, or `None` if it can.
     fn unusable_opt(
         &self,
         now: Time,
@@ -122,7 +122,8 @@
                 is_tried: true,
             });
         }
-        // The owner may see another fleet, and does not know where the request may run.
+        // The owner may see a different fleet, and it doesn't know in which regions the
+        // request may run.
         let barred = worker.evacuated || !self.may_run_at(job, worker);
         if barred || !self.may_use_slot(owner, worker) {
             return Some(Unusable {
@@ -130,14 +131,15 @@
                 is_tried: true,
             });
         }
-        // An owner that is told so gives another; one of a build before does not know.
+        // An owner that knows notices grants a different endpoint next time. An owner of an
+        // earlier build doesn't know them and would grant the same one again.
         worker.rest.is_resting(now).then(|| Unusable {
             end: End::Abandoned,
             is_tried: !self.members.knows_notices(owner),
         })
     }
 
-    /// Asks elsewhere, or decides here, after an owner had no slot to give.
+    /// Handles a denial: submits the request again, or decides on this node.
     fn take_denial(&mut self, now: Time, id: job::Id) {
         let Some(question) = self.questions.remove(&id) else {
             return;
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Tells an owner that asks whether a request still has its slot.
+    /// Answers an owner that asks whether a request still holds its slot.
     pub fn answer_check(&mut self, from: SocketAddrV4, check: lease::Check) {
         let runs = self.runs.values().filter_map(|run| run.lease);
         let mut leases = runs.map(|lease| (lease.owner, lease.number));
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -1,5 +1,5 @@
-//! Slots that another node owns: which node is asked for a request's slot, and
-//! for how long.
+//! The borrowing side of slot leases: chooses the node that owns the slots a request may
+//! use, and asks it for one.
 
 use std::net::SocketAddrV4;
 
@@ -21,64 +21,65 @@
 use crate::rate_limit::Limit;
 use crate::worker::Worker;
 
-/// How long an owner's answer is waited for: many times the way there and back
-/// within a region, and little beside any objective.
+/// How long to wait for an owner's answer. Many round trips within a region, yet short
+/// compared with any latency objective.
 const ANSWER_WITHIN: Span = Span::from_millis(60);
 
-/// Questions without an answer after which an owner is passed over: a single
-/// one may have been lost.
+/// The number of unanswered requests after which an owner is passed over. One may be a lost
+/// datagram.
 const UNANSWERED_MOST: u32 = 2;
 
-/// How often the question of a request that waits is asked again, so that an
-/// owner's end shows.
+/// How often a request that waits at an owner is asked for again, so that an owner that
+/// failed is noticed.
 const RENEW_EVERY: Span = Span::from_millis(250);
 
-/// Endpoints taken by chance of which one is asked for, by what this node asked for.
+/// The number of endpoints sampled for each request; the one with the fewest open requests
+/// of this node is chosen.
 const CHOICES: usize = 2;
 
-/// The same in a fleet of one cell, by what all owners say that waits there: they have
-/// a handful of starts a second each, so that an uneven choice shows.
+/// The number of endpoints sampled in a fleet of one cell, compared by the expected wait at
+/// their owners. Rate-limited endpoints take only a handful of starts a second, so an
+/// uneven choice shows.
 const CHOICES_OF_ONE_CELL: usize = 4;
 
-/// Endpoints that rest which an owner is told of, so that the question fits a datagram.
+/// The maximum number of resting endpoints listed in a request, so that it fits a datagram.
 const AVOIDED_MOST: usize = 64;
 
-/// A request of this node for which an owner was asked for a slot.
+/// An open request of this node for a slot that another node owns.
 #[derive(Debug)]
 pub(super) struct Question {
-    /// Names it to the owner.
+    /// Identifies the request at the owner.
     pub number: u64,
-    /// Who was asked.
+    /// The node that was asked.
     pub owner: SocketAddrV4,
-    /// The endpoint that it is about, where its owner has just that one.
+    /// The requested endpoint, if the owner owns the slots of that endpoint alone.
     pub endpoint: Option<u32>,
-    /// When it was last asked.
+    /// When it was last sent.
     asked: Time,
-    /// How often it was asked since there was an answer.
+    /// How often it was sent since the last answer.
     pub unanswered: u32,
-    /// The request; none where it waits in this node's own queue as well.
+    /// The waiting request; `None` if it also waits in this node's own queue.
     pub job: Option<Job>,
 }
 
-/// Who is asked for a slot.
+/// The node to ask for a slot, and what to ask it for.
 pub(super) struct Asked {
-    /// The node.
+    /// The owner's address.
     pub owner: SocketAddrV4,
-    /// The endpoint that it is asked for, where it owns that one's slots alone.
+    /// The requested endpoint, if the node owns the slots of that endpoint alone.
     pub endpoint: Option<u32>,
 }
 
-/// Who decides which slot a request gets.
+/// The node that decides which slot a request gets.
 enum Arbiter {
-    /// This node, for one endpoint alone where that is said.
+    /// This node. `only` restricts it to one endpoint.
     Own { only: Option<u32> },
     /// Another node.
     Other(Asked),
 }
 
 impl Dispatcher {
-    /// Puts a request in the queue that it belongs to: here, or at the owner of
-    /// the slots that it may have.
+    /// Queues a request on this node, or asks the owner of the slots that it may use.
     pub(super) fn submit(&mut self, now: Time, id: job::Id, mut job: Job) {
         if let Some(refusal) = self.bar(now, &mut job) {
             self.refuse(now, id, job.origin, refusal);
@@ -123,9 +124,9 @@
         }
     }
 
-    /// The owner of the slots of one endpoint, or of this cell's slots of a
-    /// service. In a fleet of one cell each node decides alone, but for endpoints that
-    /// name a rate limit.
+    /// Returns the owner of one endpoint's slots, or of this cell's slots of a service. In
+    /// a fleet of one cell every node decides on its own, except for rate-limited
+    /// endpoints.
     pub(super) fn slot_owner(&self, now: Time, pool: &Pool, endpoint: Option<u32>) -> Owner {
         let whole = self.members.cell().whole;
         let (scope, key) = match endpoint {
@@ -137,8 +138,8 @@
         self.members.owner(now, scope, u64::from(key))
     }
 
-    /// An endpoint of a service whose endpoints have an owner each: of some taken by
-    /// chance, the one for which least waits (Mitzenmacher, the power of two choices).
+    /// Chooses an endpoint of a service whose endpoints each have an owner: the least
+    /// loaded of a few sampled at random (Mitzenmacher, the power of two choices).
     fn shared_worker<'a>(&self, now: Time, pool: &'a Pool, job: &Job) -> Option<&'a Worker> {
         let options = &self.options.worker;
         let usable = pool.workers.iter().filter(|worker| {
@@ -171,7 +172,7 @@
         chosen.map(|(_, worker)| worker)
     }
 
-    /// Requests of this node that wait for a slot of an endpoint at its owner.
+    /// Counts this node's open requests for a slot of an endpoint.
     fn asked_for(&self, worker: &Worker) -> usize {
         let questions = self.questions.values();
         questions
@@ -179,8 +180,9 @@
             .count()
     }
 
-    /// What waits at the owner of an endpoint that names a rate limit, as far as it told
-    /// and as this node asked since, by what all endpoints take whose limits it keeps.
+    /// Returns the expected wait, in seconds, at the owner of a rate-limited endpoint: the
+    /// requests it last reported as waiting plus this node's own since, divided by the
+    /// total rate of the endpoints whose limits it keeps.
     fn waiting_at_owner(&self, now: Time, pool: &Pool, worker: &Worker) -> f64 {
         let owner_of = |worker: &Worker| self.slot_owner(now, pool, Some(worker.number));
         let owner = owner_of(worker);
@@ -195,8 +197,8 @@
         (told + self.asked_for(worker) + 1) as f64 / rate
     }
 
-    /// Asks an owner for a slot. Without the request itself, which then waits
-    /// here as well, only for one that is to spare.
+    /// Asks an owner for a slot. `job` is `None` for a spare slot of another cell: the
+    /// request then also waits in this node's queue.
     pub(super) fn ask(&mut self, now: Time, id: job::Id, asked: Asked, job: Option<Job>) {
         self.next_question += 1;
         let question = Question {
@@ -246,7 +248,7 @@
         self.outbox.push((question.owner, message));
     }
 
-    /// Endpoints of a service that want nothing from the node which has a request.
+    /// Returns the endpoints of a service that asked this node for rest.
     fn avoided(&self, now: Time, pool: &Pool, job: &Job) -> Vec<u32> {
         if job.origin.is_some() {
             return job.avoided.clone();
@@ -259,8 +261,8 @@
             .collect()
     }
 
-    /// Repeats questions that were not answered, and turns to other owners where
-    /// one does not answer or owns the slots no longer.
+    /// Repeats unanswered requests, and turns to another owner if one is silent or no
+    /// longer owns the slots.
     pub(super) fn renew_questions(&mut self, now: Time) {
         let open: Vec<job::Id> = self.questions.keys().copied().collect();
         for id in open {
@@ -284,7 +286,7 @@
             return;
         }
         let Some(job) = &question.job else {
-            // A slot to spare is no longer of use after so long.
+            // A spare slot is of no use any more after this long.
             self.denied.insert(question.owner, now);
             self.withdraw(id);
             return;
@@ -308,8 +310,8 @@
         self.send_question(now, id);
     }
 
-    /// True where a request waits at the owner of one endpoint that is closed, or rests. In
-    /// a fleet of one cell the owner gives it any that is its own.
+    /// Whether a request waits at the owner of one endpoint that is closed or resting. In a
+    /// fleet of one cell the owner may grant any endpoint that it owns.
     fn asks_for_closed(&self, now: Time, id: job::Id) -> bool {
         let question = self.questions.get(&id).filter(|one| one.job.is_some());
         let asked = question.and_then(|question| question.endpoint);
@@ -321,13 +323,13 @@
         !self.members.cell().whole && worker.is_some_and(is_closed)
     }
 
-    /// What is known of the endpoint of a service that has a number.
+    /// Returns the state of a service's endpoint by its number.
     pub(super) fn worker_opt(&self, target: &id::Target, number: u32) -> Option<&Worker> {
         let pool = self.pools.get(target)?;
         pool.workers.get(pool.worker_opt(number)?)
     }
 
-    /// True where the node that was asked owns the slots that were asked for.
+    /// Whether the node that was asked still owns the requested slots.
     fn is_still_owner(&self, now: Time, id: job::Id) -> bool {
         let Some(question) = self.questions.get(&id) else {
             return false;
@@ -347,7 +349,7 @@
         self.slot_owner(now, pool, question.endpoint) == Owner::Other(question.owner)
     }
 
-    /// Takes a question back, with its request.
+    /// Cancels an open request and returns it.
     pub(super) fn withdraw(&mut self, id: job::Id) -> Option<Question> {
         let question = self.questions.remove(&id)?;
         self.return_slot(question.owner, question.number, End::Abandoned);
@@ -365,8 +367,8 @@
         self.outbox.push((owner, Message::Report(report)));
     }
 
-    /// Puts requests in another queue that wait here for one endpoint which takes
-    /// no work any more. Other nodes' are denied when they next ask.
+    /// Submits requests again that wait on this node for a single endpoint which takes no
+    /// work any more. Requests of other nodes are denied when they next ask.
     pub(super) fn resubmit_stuck(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target).filter(|pool| pool.shared) else {
             return;
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -1,5 +1,5 @@
-//! Slots that this node owns: requests of other nodes wait in its queue as its
-//! own do, and get slots in the same order.
+//! The lending side of slot leases: requests of other nodes wait in this node's queue like
+//! its own and are granted slots in the same order.
 
 use std::net::SocketAddrV4;
 
@@ -21,33 +21,34 @@
 use crate::message::Message;
 use crate::region::Bound;
 
-/// Silence about a request of another node after which it is asked for.
+/// The silence about a remote request after which its node is asked about it.
 const CHECK_AFTER: Span = Span::from_millis(1_000);
 
-/// Silence about it after which it is taken to be over: some checks may have
-/// been lost.
+/// The silence after which a remote request that holds a slot counts as lost. Allows for
+/// some lost checks.
 const LOST_AFTER: Span = Span::from_millis(3_000);
 
-/// The same where it waits: then its node asks many times a second.
+/// The silence after which a waiting remote request counts as withdrawn. Its node repeats
+/// it several times a second.
 const WITHDRAWN_AFTER: Span = Span::from_millis(1_000);
 
-/// A request of another node that waits here, or has a slot of this node's.
+/// A request of another node that waits here or holds a slot of this node.
 #[derive(Debug)]
 pub(super) struct Remote {
-    /// Its name here.
+    /// Its identifier on this node.
     pub id: job::Id,
-    /// The life of the other node.
+    /// The incarnation of the other node.
     incarnation: u64,
-    /// When its node last spoke of it.
+    /// When its node last sent a message about it.
     heard: Time,
-    /// When its node was last asked for it.
+    /// When its node was last asked about it.
     checked: Time,
-    /// What was granted: the endpoint's number, and why there.
+    /// The number of the granted endpoint, and the reason for the choice.
     granted: Option<(u32, Reason)>,
 }
 
 impl Dispatcher {
-    /// Takes another node's question for a slot.
+    /// Handles another node's request for a slot.
     pub fn take_request(&mut self, now: Time, from: SocketAddrV4, request: lease::Request) {
         let origin = Origin {
             node: from,
@@ -94,7 +95,8 @@
         }
     }
 
-    /// True unless one endpoint is asked for whose slots may not be given to others.
+    /// Whether slots of the requested endpoint may be granted to other nodes. Always true
+    /// if no single endpoint is requested.
     fn may_lend(&self, now: Time, target: &id::Target, endpoint: Option<u32>) -> bool {
         let options = &self.options.worker;
         endpoint.is_none_or(|number| {
@@ -151,8 +153,8 @@
                 ..History::default()
             },
             origin: Some(origin),
-            // In a fleet of one cell it says whose slots are asked for, of all that are
-            // limited: any that this node owns will do.
+            // In a fleet of one cell the endpoint only selects the owner, which may grant
+            // any rate-limited endpoint that it owns.
             only: request.endpoint.filter(|_| !self.members.cell().whole),
             avoided: request.avoided.clone(),
             trial: false,
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Tells the node that has a request what became of it.
+    /// Sends the node that asked an answer about its request.
     pub(super) fn reply(&mut self, origin: Origin, answer: Answer) {
         let reply = Reply {
             number: origin.number,
@@ -169,7 +171,7 @@
         self.outbox.push((origin.node, Message::Leased(reply)));
     }
 
-    /// Notes that a request of another node has a slot, and tells it.
+    /// Records the slot granted to a remote request, and tells its node.
     pub(super) fn grant_slot(&mut self, origin: Origin, endpoint: u32, reason: Reason) {
         if let Some(remote) = self.remote.get_mut(&origin) {
             remote.granted = Some((endpoint, reason));
@@ -177,7 +179,7 @@
         self.reply(origin, Answer::Granted { endpoint, reason });
     }
 
-    /// Takes what another node says of a request that it has.
+    /// Handles another node's report about a request that it has.
     pub fn take_report(&mut self, now: Time, from: SocketAddrV4, report: lease::Report) {
         let origin = Origin {
             node: from,
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Frees the slot of another node's request, or takes it out of the queue.
+    /// Frees the slot of a remote request, or removes it from the queue.
     pub(super) fn end_remote(&mut self, now: Time, origin: Origin, end: job::End, seen: Seen) {
         let Some(remote) = self.remote.remove(&origin) else {
             return;
@@ -227,8 +229,8 @@
         self.place(now, &target);
     }
 
-    /// Asks after requests of other nodes of which nothing was heard for long,
-    /// and takes those for over whose node does not answer.
+    /// Asks about remote requests that were not heard of for a while, and ends those whose
+    /// nodes stay silent.
     pub(super) fn check_remote(&mut self, now: Time) {
         let mut lost = Vec::new();
         let mut asked = Vec::new();
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -1,5 +1,5 @@
-//! What the platform published comes into force, from wherever it was read.
-//! Nothing ever goes back to an older version within one life of a node.
+//! Applies the documents that the platform publishes, from whichever source they were read.
+//! Within one run of a node no document ever goes back to an older version.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -28,28 +28,27 @@
 use crate::warm::Warm;
 use crate::worker::Worker;
 
-/// Time to the first event that is expected at first, in microseconds.
+/// The initial estimate of the time to the first event, in microseconds.
 const FIRST: f64 = 150_000.0;
 
-/// Time between two events that is expected until some were seen, in
-/// microseconds.
+/// The initial estimate of the time between two events, in microseconds.
 const STEP: f64 = 25_000.0;
 
-/// The longest pauses that are expected at first, as a multiple of a step: so
-/// long that it bounds nothing until pauses were seen.
+/// The initial estimate of the longest pauses, as a multiple of the time between two
+/// events. High enough to bound nothing until pauses have been observed.
 const LONGEST_PAUSE: f64 = 8.0;
 
-/// Time for reading a prompt token that is expected at first, in microseconds.
+/// The initial estimate of the time to read one prompt token, in microseconds.
 const PREFILL: f64 = 40.0;
 
-/// Endpoints for each cell of the fleet from which they are shared out.
+/// The minimum number of endpoints per cell; a service with fewer is shared by all cells.
 const SHARED_LEAST: usize = 3;
 
-/// Time of a call that is expected at first, in microseconds.
+/// The initial estimate of the duration of a call, in microseconds.
 const CALL: f64 = 40_000.0;
 
 impl Dispatcher {
-    /// Takes a configuration; false where one as new is in force.
+    /// Applies a configuration. Returns false if one at least as new is in force.
     pub fn set_configuration(&mut self, now: Time, configuration: Arc<Configuration>) -> bool {
         if configuration.version <= self.configuration_version() {
             return false;
@@ -77,9 +76,10 @@
         true
     }
 
-    /// Takes a list of endpoints; false where one as new is in force. What a
-    /// list lacks that is not settled is kept, and of what an older copy of the
-    /// platform says, that which was known otherwise is not believed for a while.
+    /// Applies a list of endpoints. Returns false if one at least as new is in force.
+    /// Endpoints that an unsettled list lacks are kept. If the platform came back with an
+    /// older copy of its data, the entries that contradict what was known before are
+    /// corrected for a while.
     pub fn set_endpoints(&mut self, now: Time, list: Arc<List>) -> bool {
         if list.edition() <= self.list.edition() {
             return false;
@@ -93,8 +93,8 @@
         true
     }
 
-    /// Takes the list as the platform has it once nothing of what was known before its
-    /// era goes before it any more.
+    /// Applies the list as published by the platform once all corrections after the start
+    /// of an era have expired.
     pub(super) fn stop_correcting(&mut self, now: Time) {
         if !self.memory.expire(now) {
             return;
@@ -116,9 +116,9 @@
         self.use_list(now);
     }
 
-    /// Brings the list into force: that of its endpoints whose service the configuration
-    /// names. Others write under the same keys, and nobody would ever be sent to what
-    /// they name.
+    /// Applies the list to the endpoints whose service the configuration names. Others may
+    /// write under the same keys, and no request is ever sent to the endpoints of services
+    /// that aren't configured.
     fn use_list(&mut self, now: Time) {
         let list = self.list.clone();
         let ended = self.unlist(&list);
@@ -137,7 +137,7 @@
         self.place_all(now);
     }
 
-    /// The services of the configuration in force; none where there is none.
+    /// Returns the services of the configuration in force, or `None` without one.
     fn named_services(&self) -> Option<HashSet<id::Target>> {
         let configuration = self.configuration()?;
         let services = configuration.services.iter();
@@ -148,8 +148,8 @@
         Some(services.chain(targets).collect())
     }
 
-    /// Takes what a list says of one endpoint. One that was started again under its name
-    /// is another, of which nothing is known.
+    /// Applies the entry of one endpoint. An endpoint that was restarted under the same
+    /// name is a new one, of which nothing is known.
     fn use_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
         let endpoint = Arc::new(endpoint.clone());
         let pool = pool(&mut self.pools, &self.options.warm, &endpoint.service);
@@ -171,8 +171,8 @@
         pool.workers.push(worker);
     }
 
-    /// Marks all endpoints as not listed. Gives those that have ended: all that the list
-    /// lacks, or has with a later start, and that had not said that they leave.
+    /// Marks all endpoints as not listed. Returns those that ended without having announced
+    /// that they leave: the list lacks them, or has a later start of them.
     fn unlist(&mut self, list: &List) -> Vec<u32> {
         let listed = list.endpoints.iter();
         let listed: HashSet<u32> = listed.map(Endpoint::to_number).collect();
@@ -187,14 +187,13 @@
         ended
     }
 
-    /// Keeps a part of a configuration that another node gave, until all are
-    /// there.
+    /// Keeps a part of a configuration that another node sent, until all parts are there.
     pub fn keep_part(&mut self, part: Part) {
         self.received.add(part);
     }
 
-    /// Takes a configuration of which another node gave the parts that were
-    /// missing; false where one as new is in force or parts are still missing.
+    /// Assembles and applies a configuration from the parts that other nodes sent. Returns
+    /// false if one at least as new is in force or if parts are missing.
     pub fn take_head(&mut self, now: Time, head: &Head) -> bool {
         if head.version <= self.configuration_version() {
             return false;
@@ -207,8 +206,8 @@
         self.set_configuration(now, Arc::new(configuration))
     }
 
-    /// Says which endpoints belong to this node's cell. A service that has too
-    /// few for all cells is shared by them.
+    /// Determines the endpoints that belong to this node's cell. A service that has too few
+    /// endpoints for all cells is shared by them.
     pub(super) fn assign_workers(&mut self) {
         let cell = self.members.cell();
         let cells = self.members.cells();
@@ -235,7 +234,7 @@
         }
     }
 
-    /// Drops endpoints that are gone and run nothing for us.
+    /// Removes endpoints that are no longer listed and run no request of this node.
     fn forget_workers(&mut self) {
         let used: HashSet<(id::Target, usize)> = self
             .runs
@@ -283,7 +282,7 @@
     }
 }
 
-/// A service's pool, made when it is first met.
+/// Returns a service's pool, creating it if it doesn't exist.
 pub(super) fn pool<'a>(
     pools: &'a mut HashMap<id::Target, Pool>,
     warm: &warm::Options,
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -1,5 +1,5 @@
-//! What nodes tell each other: what each runs, what waits, what customers used
-//! and how new what it has read is.
+//! The exchange of status between nodes: running and waiting requests, quota usage, and the
+//! versions of the documents each node has read.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -27,22 +27,23 @@
 use crate::section::Difference;
 use crate::worker::Reports;
 
-/// Customers spoken of in one status.
+/// The maximum number of customers in one status.
 const USAGE_MOST: usize = 32;
 
-/// Endpoints spoken of in one status, so that it fits a datagram.
+/// The maximum number of endpoints in one status, so that it fits a datagram.
 const LOADS_MOST: usize = 64;
 
-/// What endpoints said of one kind that is told in one status, and in one to a node that
-/// has just joined and may know nothing of it. Statuses take turns, so that all is told
-/// however much there is.
+/// The maximum number of endpoint reports of one kind in a status, and in one to a node
+/// that has just joined and may know none of them. Successive statuses rotate through all
+/// reports.
 const TOLD_MOST: usize = 16;
 const TOLD_TO_NEWCOMER_MOST: usize = 64;
 
-/// Endpoints that one node cannot connect to from which on it may be the node.
+/// The number of endpoints from which on a node that can't connect to them may itself be
+/// cut off.
 const MANY_UNREACHABLE: usize = 4;
 
-/// What the other nodes say of one endpoint.
+/// What the other nodes report about one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 struct Elsewhere {
     running: u32,
@@ -50,7 +51,7 @@
     trouble: Reports,
 }
 
-/// What this node runs at one endpoint in slots that others own and count.
+/// The load that this node puts on one endpoint in slots that other nodes own and count.
 #[derive(Debug, Clone, Copy, Default)]
 struct Leased {
     running: u32,
@@ -58,8 +59,8 @@
 }
 
 impl Dispatcher {
-    /// Takes in what another node said. What it runs counts from the next tick
-    /// on, so that a word costs little in a large fleet.
+    /// Handles another node's status. The load it reports counts from the next tick on,
+    /// which keeps a status cheap to handle in a large fleet.
     pub fn hear(&mut self, now: Time, from: SocketAddrV4, mut status: Status) -> News {
         self.accounts.begin(now);
         let findings = std::mem::take(&mut status.findings);
@@ -91,7 +92,7 @@
         news
     }
 
-    /// Adds up what the other nodes run at each endpoint, and what they found.
+    /// Sums up the load and the trouble that other nodes report for each endpoint.
     pub(super) fn count_others(&mut self, now: Time) {
         let mut sums: HashMap<u32, Elsewhere> = HashMap::new();
         for (_, member) in self.members.fresh(now) {
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Statuses that are to be sent now, with the nodes to which each goes: those that
-    /// may know few others are told of more than the rest.
+    /// Returns the statuses that are due, each with the nodes to send it to. Nodes that may
+    /// know few others get a longer one.
     pub fn statuses(&mut self, now: Time) -> Vec<(Status, Vec<SocketAddrV4>)> {
         let occasion = Occasion {
             urgent: self.urgent,
@@ -146,7 +147,7 @@
         statuses
     }
 
-    /// What this node says of itself now.
+    /// Returns this node's current status.
     pub fn status(&mut self, now: Time) -> Status {
         self.sequence += 1;
         Status {
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Of what there is to tell of endpoints as much as one status holds, others each time.
+    /// Limits reports to what one status holds; successive statuses rotate through all of
+    /// them.
     fn in_turn<T>(&self, mut told: Vec<T>) -> Vec<T> {
         if told.len() > TOLD_MOST {
             let turn = (self.sequence as usize).wrapping_mul(TOLD_MOST);
@@ -180,7 +182,7 @@
         told
     }
 
-    /// What runs, but for what the owner of the slots tells.
+    /// Returns the load on each endpoint, except what the owners of leased slots report.
     fn loads(&self, now: Time) -> Vec<Load> {
         let leased = self.leased(now);
         let workers = self.pools.values().flat_map(|pool| &pool.workers);
@@ -199,7 +201,7 @@
         told.take(LOADS_MOST).collect()
     }
 
-    /// What runs at each endpoint in slots whose owner is heard and counts it.
+    /// Returns the load in slots whose owner is heard and counts it.
     fn leased(&self, now: Time) -> HashMap<u32, Leased> {
         let mut leased: HashMap<u32, Leased> = HashMap::new();
         for run in self.runs.values() {
@@ -235,10 +237,9 @@
             .collect()
     }
 
-    /// What this node has read of the platform and one that asks has not. A
-    /// configuration may be a hundred times as long as a list of endpoints and
-    /// changes seldom, so neither comes along with the other, and of the
-    /// configuration and of the list only the parts that differ.
+    /// Returns what this node has read from the platform and the asking node has not. A
+    /// configuration may be a hundred times as large as a list of endpoints and changes
+    /// seldom. So the two are sent independently, and of each only the parts that differ.
     pub fn snapshot(&self, pull: &Pull) -> Snapshot {
         let edition = match pull.protocol.knows_eras() {
             true => self.list.edition(),
@@ -263,9 +264,9 @@
         }
     }
 
-    /// What a node that asks lacks of the list as the platform has it. What this node
-    /// knows better goes before that for a while only, and nobody would tell the others
-    /// of its end: the platform's list has the same edition then.
+    /// Returns what the asking node lacks of the list as the platform publishes it.
+    /// Corrections that this node keeps after an era began hold only for a while, and their
+    /// end wouldn't reach the other nodes, as the platform's list has the same edition.
     fn difference(&self, pull: &Pull) -> Difference {
         let Some(list) = &self.uncorrected else {
             return Difference::new(&self.list, &self.sections, &pull.sections);
@@ -274,9 +275,9 @@
         Difference::new(list, &sections, &pull.sections)
     }
 
-    /// What to ask another node. Parts of the configuration are named only where it
-    /// has a newer one. What it gives of endpoints is to be put together with the
-    /// list that is in force at this moment ([`Difference::into_list`]).
+    /// Returns the request for documents to send to another node. It names parts of the
+    /// configuration only if that node has a newer one. The sections in the answer have to
+    /// be combined with the list that is in force now ([`Difference::into_list`]).
     pub fn pull(&self, from: SocketAddrV4) -> Pull {
         let known = self.known();
         let newer = self.members.configuration(from) > known.configuration;
@@ -290,7 +291,7 @@
         }
     }
 
-    /// The newest documents that this node has.
+    /// Returns the versions of the documents that this node has.
     pub fn known(&self) -> Known {
         Known {
             configuration: self.configuration_version(),
@@ -298,19 +299,19 @@
         }
     }
 
-    /// A node that has a newer one of a document than this one, if any; another
-    /// for each `attempt`, where there are several.
+    /// Returns a node that has a newer version of a document, if any. Each `attempt` yields
+    /// another node if there are several.
     pub fn ahead_opt(&self, now: Time, document: Document, attempt: u64) -> Option<SocketAddrV4> {
         let known = self.known().only(document);
         self.members.ahead_opt(now, known, attempt)
     }
 
-    /// Takes other seeds, from settings that changed.
+    /// Replaces the seeds after a change of settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.members.set_seeds(seeds);
     }
 
-    /// Who reads the platform, as this node sees it.
+    /// Returns which nodes read the platform, as seen by this node.
     pub fn reading(&self, now: Time) -> Reading {
         match self.list.revision {
             0 => self.members.first_reading(now, self.accounts.met_at()),
@@ -318,13 +319,13 @@
         }
     }
 
-    /// Tells the others whether this node can read the platform.
+    /// Tells the other nodes whether this node is cut off from the platform.
     pub fn set_cut_off(&mut self, cut_off: bool) {
         self.urgent |= self.cut_off != cut_off;
         self.cut_off = cut_off;
     }
 
-    /// Tells the others from now on that this node is stopping.
+    /// Announces to the other nodes that this node is stopping.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.members.leaving = true;
@@ -332,15 +333,15 @@
     }
 }
 
-/// True where a node cannot connect to so many endpoints that it is rather
-/// itself cut off from them.
+/// Whether a node fails to connect to so many endpoints that the node itself is more likely
+/// cut off than the endpoints.
 fn is_cut_off(loads: &[Load]) -> bool {
     let unreachable = |load: &&Load| load.trouble == Some(Trouble::Unreachable);
     let unreachable = loads.iter().filter(unreachable).count();
     unreachable >= MANY_UNREACHABLE && unreachable * 2 > loads.len()
 }
 
-/// Of what is told to a newcomer, what a node is told that has been heard for a while.
+/// Shortens the reports for a newcomer to those for a node that is already known.
 fn told_to_known<T: Clone>(told: &[T]) -> Vec<T> {
     told[..told.len().min(TOLD_MOST)].to_vec()
 }
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -1,4 +1,4 @@
-//! Slots that one cell has to spare for requests of another.
+//! Spare slots that one cell lends to requests of another.
 
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -15,19 +15,19 @@
 use crate::job::Job;
 use crate::lease::Answer;
 
-/// Open questions of one service for slots of other cells.
+/// The maximum number of open requests for spare slots per service.
 const SPARE_MOST: usize = 8;
 
-/// How long a cell that had no slot to spare is not asked again.
+/// How long a node that had no spare slot is not asked again.
 const DENIED_FOR: Span = Span::from_millis(200);
 
-/// The part of a cell's usable slots that is not given to other cells, so that
-/// the cell's own next requests need not wait.
+/// The fraction of a cell's usable slots that is not lent to other cells, so that the
+/// cell's own next requests need not wait.
 const KEPT_PART: f64 = 0.1;
 
 impl Dispatcher {
-    /// Asks other cells for slots to spare, for requests at the head of the
-    /// queue that found none in this cell for a while.
+    /// Asks other cells for spare slots, for requests at the head of the queue that have
+    /// waited for a while.
     pub(super) fn seek_spare(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target) else {
             return;
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Gives another cell a slot that this one does not need now.
+    /// Grants another cell a slot that this cell doesn't need at the moment, or denies the
+    /// request.
     pub(super) fn lend_spare(&mut self, now: Time, id: job::Id, job: Job, remote: Remote) {
         let Some(origin) = job.origin else {
             return;
--- a/crates/dispatch/src/endpoint.rs
+++ b/crates/dispatch/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the platform says of endpoints.
+//! Endpoints as the platform lists them.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -12,13 +12,14 @@
 use crate::edition::Edition;
 use crate::edition::Era;
 
-/// One start of one endpoint.
+/// One start of an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its name. One that is started again may have the same.
+    /// Its name, which it keeps across restarts.
     pub name: id::Endpoint,
-    /// When it was started, in milliseconds since 1970 by its own host's clock; 0 where
-    /// that is not known. Only compared with what it said before, never with a clock.
+    /// When it was started, in milliseconds since 1970 by its own host's clock; 0 if that
+    /// is not known. Only ever compared with other values of the same endpoint, never with
+    /// a clock.
     pub born: u64,
     /// The service that it belongs to.
     pub service: id::Target,
@@ -26,19 +27,19 @@
     pub address: SocketAddrV4,
     /// Its data centre.
     pub data_centre: id::DataCentre,
-    /// Requests it works on at once.
+    /// The number of requests it works on concurrently.
     pub slots: u32,
-    /// True once it was said to be leaving.
+    /// Whether it announced that it is leaving.
     pub leaving: bool,
-    /// How much longer it said that it is cold, when it last recorded itself;
-    /// zero where it is not.
+    /// How much longer it will be cold, as of its last record; zero if it is not cold.
     pub cold_for: Span,
 }
 
 impl Endpoint {
-    /// The number by which nodes name this start of it to each other: of one that was
-    /// started again under its name nothing holds that was known before. Two endpoints
-    /// with one number would share their counts, which costs balance and nothing else.
+    /// Returns the number that identifies this start in messages between nodes. A restarted
+    /// endpoint gets a new number, as nothing that was known of it holds any more.
+    /// Endpoints whose numbers collide share their counts, which costs balance and nothing
+    /// else.
     pub fn to_number(&self) -> u32 {
         let name = hash::of(self.name.as_str().as_bytes());
         match self.born {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Names this start of it.
+    /// Returns what identifies this start of the endpoint.
     pub fn to_life(&self) -> Life {
         Life {
             name: self.name.clone(),
@@ -56,14 +57,15 @@
     }
 }
 
-/// One start of an endpoint: what was open to it before belongs to another.
+/// Identifies one start of an endpoint. Connections to an earlier start are of no use for a
+/// later one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Life {
     name: id::Endpoint,
     born: u64,
 }
 
-/// The number by which nodes name anything that has a name.
+/// Returns the number that identifies a name in messages between nodes.
 pub fn number_of(name: &str) -> u32 {
     hash::of(name.as_bytes()) as u32
 }
@@ -74,21 +76,20 @@
     /// The platform's era in which the list was read.
     #[serde(skip)]
     pub era: Era,
-    /// The platform's revision of this list; higher is newer within an era.
+    /// The platform's revision of the list; higher is newer within an era.
     pub revision: u64,
-    /// False where endpoints may be missing that are still there, as after an
-    /// outage of the platform, until they have had time to record themselves
-    /// anew.
+    /// Whether the list is complete. After an outage of the platform, endpoints that still
+    /// run may be missing until they have had time to record themselves again.
     pub settled: bool,
-    /// Data centres that an operator evacuated: nothing is sent to their
-    /// endpoints until they are taken back.
+    /// Data centres that an operator evacuated. No request is sent to their endpoints until
+    /// the evacuation is lifted.
     pub evacuated: Vec<id::DataCentre>,
     /// The endpoints.
     pub endpoints: Vec<Endpoint>,
 }
 
 impl List {
-    /// Its place among other lists.
+    /// Returns the edition, by which lists are ordered.
     pub fn edition(&self) -> Edition {
         Edition {
             era: self.era,
@@ -97,14 +98,14 @@
         }
     }
 
-    /// True where the endpoints of a data centre are to be sent nothing.
+    /// Whether a data centre is evacuated.
     pub fn is_evacuated(&self, data_centre: &id::DataCentre) -> bool {
         self.evacuated.contains(data_centre)
     }
 
-    /// This list with the endpoints of an older one that it lacks, unless those
-    /// were leaving. Which data centres are evacuated is an operator's word and
-    /// never lapses, so the newer list alone says it.
+    /// Returns this list plus the endpoints of an older one that it lacks, except those
+    /// that were leaving. Evacuations come from this list alone: they are set by an
+    /// operator and never expire, so they can't be missing.
     pub fn merge(&self, older: &List) -> List {
         let names: HashSet<&id::Endpoint> = self.endpoints.iter().map(|one| &one.name).collect();
         let kept = older.endpoints.iter();
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -1,19 +1,17 @@
-//! Leases of endpoints' slots. In a fleet of several cells the slots of each
-//! cell have an owner among its nodes, which alone gives them out: the others
-//! ask it for each request, and tell it how the request went. What crosses the
-//! network may be lost, doubled or overtaken, so the node that asks repeats its
-//! question until it has an answer, and the owner asks after leases that last.
+//! Leases of endpoints' slots. In a fleet of several cells each cell's slots have an owner
+//! among its nodes, which alone grants them. The other nodes ask it for a slot for each
+//! request and report the request's progress. Messages may be lost, duplicated or
+//! reordered, so the asking node repeats its request until it is answered, and the owner
+//! checks on leases that last.
 //!
-//! Without owners, nodes of a cell hear of each other 100 ms late and take the same
-//! slots: in a fleet of 72 nodes in virtual time, at four fifths of the load that
-//! its endpoints can bear, 23 in 100 requests went to one without a free slot, and
-//! 55 in 100 of a small service that all cells share; with owners under 1 in 100
-//! (`tests/dispatch/fleet`). On two days of bursts played with 295 nodes, worth
-//! rose from 0.365 and 0.315 to 0.578 and 0.448.
+//! Without owners, nodes of a cell hear of each other 100 ms late and take the same slots.
+//! In a simulated fleet of 72 nodes at four fifths of the endpoints' capacity, 23 in 100
+//! requests went to an endpoint without a free slot, and 55 in 100 for a small service that
+//! all cells share; with owners it is under 1 in 100 (`tests/dispatch/fleet`).
 //!
-//! No promise to a caller rests on a lease. An owner that fails is replaced by
-//! another that knows less for a moment, and a node that reaches none decides
-//! on its own view.
+//! Leases affect only the balance of load; no guarantee to a caller depends on them. An
+//! owner that fails is replaced by another, which knows less for a moment, and a node that
+//! reaches no owner decides on its own view.
 
 use std::net::SocketAddrV4;
 
@@ -29,49 +27,49 @@
 use crate::job::Prompt;
 use crate::rate_limit::Limit;
 
-/// Asks the owner of slots for one.
+/// Asks an owner for a slot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// The life of the node that asks.
+    /// The incarnation of the asking node.
     pub incarnation: u64,
-    /// Names the question within that life.
+    /// Identifies this request within that incarnation.
     pub number: u64,
-    /// What its request asks for.
+    /// The fingerprint of the caller's request.
     pub fingerprint: Fingerprint,
     /// The service's number.
     pub service: u32,
-    /// The only endpoint whose slots are asked for, where owners have one each.
+    /// The only endpoint whose slots are asked for, if each endpoint has its own owner.
     pub endpoint: Option<u32>,
-    /// True where a slot is asked for that the owner's cell has to spare now:
-    /// the request is not put in its queue.
+    /// Whether a spare slot of the owner's cell is asked for. Such a request is granted or
+    /// denied at once and never queued.
     pub spare: bool,
-    /// The rank of the request.
+    /// The rank of the caller's request.
     pub rank: Rank,
-    /// The time from its caller's first try until it came.
+    /// The time from the caller's first attempt to the arrival of this request.
     pub tried_for: Span,
-    /// The time since it came.
+    /// The time since the arrival of the caller's request.
     pub age: Span,
-    /// The time from its coming until its caller, or its route, gives it up.
+    /// The time from its arrival to its deadline.
     pub within: Span,
-    /// The time from its caller's first try within which its answer is in time.
+    /// The time from the caller's first attempt within which the answer counts as in time.
     pub objective: Span,
-    /// How long its caller waits for the answer, or its first event.
+    /// How long the caller waits for the answer, or its first event.
     pub patience: Span,
     /// The longest pause between two events that still counts as in time.
     pub pause: Option<Span>,
-    /// What an engine would read and write for it.
+    /// What an engine would read and write for the request.
     pub prompt: Prompt,
-    /// Numbers of endpoints that it was offered to.
+    /// The numbers of endpoints that were already tried.
     pub tried: Vec<u32>,
-    /// Numbers of endpoints that want nothing from the node that asks.
+    /// The numbers of endpoints that asked the sending node for rest.
     #[serde(skip)]
     pub avoided: Vec<u32>,
 }
 
-/// What an owner answers to a [`Request`].
+/// An owner's reply to a [`Request`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The number of the question.
+    /// The number of the request.
     pub number: u64,
     /// The answer.
     pub answer: Answer,
@@ -82,23 +80,23 @@
 pub enum Answer {
     /// The request waits in the owner's queue; another answer follows.
     Waiting,
-    /// It has a slot.
+    /// A slot is granted.
     Granted {
         /// The endpoint's number.
         endpoint: u32,
-        /// Why there.
+        /// Why this endpoint was chosen.
         reason: Reason,
     },
-    /// It is not served; its caller is to be told.
+    /// The caller's request is refused.
     Refused(Refusal),
-    /// The owner has no such slot to give; another may.
+    /// The owner has no such slot to grant; another may have one.
     Denied,
 }
 
-/// Tells an owner how a request goes that has a slot, or waits for one.
+/// Reports to an owner on a request that holds a slot or waits for one.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The number of the question.
+    /// The number of the request.
     pub number: u64,
     /// What happened.
     pub event: Event,
@@ -107,67 +105,67 @@
 /// What happened to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// It is still under way, in answer to a [`Check`].
+    /// It is still in progress, in answer to a [`Check`].
     Held,
-    /// The first event of its stream came.
+    /// The first event of its stream arrived.
     First,
-    /// Further events of its stream came.
+    /// Further events of its stream arrived.
     Progress,
-    /// Its endpoint said that it is cold.
+    /// Its endpoint reported that it is cold.
     Cold {
-        /// For how long.
+        /// How long it will be cold.
         cold_for: Span,
     },
-    /// It is over, at the endpoint or in the owner's queue: the slot is free.
+    /// It ended, at the endpoint or in the owner's queue; its slot is free.
     Ended {
         /// How it ended.
         end: End,
-        /// What was seen of its stream.
+        /// What was observed of its call.
         seen: Seen,
     },
-    /// Its endpoint's answer named a rate limit, or none any more. Sent to nodes alone
-    /// that keep rate limits.
+    /// Its endpoint's answer named a rate limit, or no longer does. Only sent to nodes that
+    /// keep rate limits.
     RateLimit {
-        /// The limit.
+        /// The limit; `None` if the endpoint has none any more.
         limit: Option<Limit>,
     },
 }
 
-/// What was seen of a call.
+/// What was observed of a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
-    /// Its events.
+    /// The number of its events.
     pub events: u32,
-    /// The shortest time between two of them, in microseconds.
+    /// The shortest time between two events, in microseconds.
     pub step: Option<u32>,
-    /// How long the call took, where its answer was whole.
+    /// How long the call took, if its answer was complete.
     pub took: Option<Span>,
 }
 
-/// Asks whether a node still holds a slot that it was given.
+/// Asks whether a node still holds a slot that it was granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Check {
-    /// The number of the question that the slot was given to.
+    /// The number of the request that was granted the slot.
     pub number: u64,
 }
 
-/// Which node asked an owner, and how it names its question.
+/// Identifies another node's request at the owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Origin {
-    /// The node.
+    /// The asking node.
     pub node: SocketAddrV4,
-    /// The number of its question.
+    /// The number of its request.
     pub number: u64,
 }
 
-/// A slot that an owner gave.
+/// A slot that an owner granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
     /// The owner.
     pub owner: SocketAddrV4,
-    /// The owner's life, as last heard when the slot was given; 0 where it was
-    /// not heard.
+    /// The owner's incarnation as last heard when the slot was granted; 0 if it was not
+    /// heard.
     pub incarnation: u64,
-    /// The number of the question.
+    /// The number of the request.
     pub number: u64,
 }
--- a/crates/dispatch/src/region.rs
+++ b/crates/dispatch/src/region.rs
@@ -1,8 +1,8 @@
-//! In which regions requests may run.
+//! Restricts requests to regions.
 //!
-//! An operator may bind routes and customers to regions. Both bind: a request runs only
-//! where its route and its customer allow it. A data centre whose region is not known is
-//! in none of them.
+//! An operator may restrict routes and customers to regions. Both restrictions apply: a
+//! request runs only where its route and its customer allow it. A data centre whose region
+//! is not known belongs to no region.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -14,13 +14,13 @@
 use crate::configuration::Configuration;
 use crate::endpoint;
 
-/// The regions that a route or a customer is bound to; none where it is free.
+/// The regions that a route or a customer is restricted to; empty if unrestricted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Regions(Vec<id::Region>);
 
 impl Regions {
-    /// Bound to these, where there are any.
+    /// Restricts to the given regions, if there are any.
     pub fn new(regions: impl IntoIterator<Item = id::Region>) -> Regions {
         let mut regions: Vec<id::Region> = regions.into_iter().collect();
         regions.sort();
@@ -28,7 +28,7 @@
         Regions(regions)
     }
 
-    /// True where it is bound to none.
+    /// Whether there is no restriction.
     pub fn is_free(&self) -> bool {
         self.0.is_empty()
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// What binds one request.
+/// The restrictions that apply to one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Bound {
     /// The regions of its route.
@@ -48,7 +48,7 @@
 }
 
 impl Bound {
-    /// True where it may run anywhere.
+    /// Whether the request may run anywhere.
     pub fn is_free(&self) -> bool {
         self.route.is_free() && self.customer.is_free()
     }
@@ -58,12 +58,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Map {
     regions: HashMap<id::DataCentre, id::Region>,
-    /// The same by the numbers by which nodes name data centres.
+    /// The same regions, keyed by the numbers that identify data centres in messages
+    /// between nodes.
     by_number: HashMap<u32, id::Region>,
 }
 
 impl Map {
-    /// Takes the region of each data centre.
+    /// Creates a map from the region of each data centre.
     pub fn new(regions: HashMap<id::DataCentre, id::Region>) -> Map {
         let numbered = regions.iter().map(|(centre, region)| {
             let number = endpoint::number_of(centre.as_str());
@@ -75,12 +76,12 @@
         }
     }
 
-    /// True where a request may run in a data centre.
+    /// Whether a request may run in a data centre.
     pub fn allows(&self, bound: &Bound, centre: &id::DataCentre) -> bool {
         bound.is_free() || bound.allows(self.regions.get(centre))
     }
 
-    /// The same of a data centre that a node names by its number.
+    /// Whether a request may run in the data centre with the given number.
     pub fn allows_number(&self, bound: &Bound, centre: u32) -> bool {
         bound.is_free() || bound.allows(self.by_number.get(&centre))
     }
@@ -92,13 +93,14 @@
     }
 }
 
-/// What a configuration binds to regions, as it goes from node to node: beside its parts,
-/// whose layout and names stay as all builds know them. Each name that is bound costs
-/// its length in each transfer of a configuration.
+/// The restrictions of a configuration as sent between nodes. They travel beside the parts
+/// of the configuration, because the layout and the names of the parts have to stay as
+/// earlier builds know them. Each restricted name adds its length to every transfer of a
+/// configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Restrictions(Vec<Restriction>);
 
-/// What is bound to the same regions.
+/// Routes and customers that are restricted to the same regions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 struct Restriction {
     regions: Regions,
@@ -108,7 +110,7 @@
 }
 
 impl Restrictions {
-    /// Those of a configuration.
+    /// Collects the restrictions of a configuration.
     pub fn of(configuration: &Configuration) -> Restrictions {
         let mut found: BTreeMap<Regions, Restriction> = BTreeMap::new();
         let bound = configuration.routes.iter();
@@ -128,7 +130,7 @@
         Restrictions(found.collect())
     }
 
-    /// Binds what they name in a configuration, and nothing else.
+    /// Applies the restrictions to a configuration, and lifts all others in it.
     pub fn apply(&self, configuration: &mut Configuration) {
         let mut routes: HashMap<(&str, &str), &Regions> = HashMap::new();
         let mut customers: HashMap<&id::Customer, &Regions> = HashMap::new();
--- a/crates/dispatch/src/table.rs
+++ b/crates/dispatch/src/table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, arranged so that each look-up is a hash or two.
+//! The configuration in force, indexed so that a look-up takes one or two hash look-ups.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,17 +25,17 @@
     parts: OnceLock<parts::Index>,
 }
 
-/// Under what a request was let in.
+/// The route and the customer of an admitted request.
 #[derive(Debug, Clone, Copy)]
 pub struct Match<'a> {
-    /// Its route.
+    /// The route.
     pub route: &'a Route,
-    /// Its customer, unless the route or the configuration asks for none.
+    /// The customer; `None` if the request needs no key and carried no known one.
     pub customer: Option<&'a Customer>,
 }
 
 impl Table {
-    /// Arranges a configuration.
+    /// Indexes a configuration.
     pub fn new(configuration: Arc<Configuration>) -> Table {
         let mut routes: HashMap<String, HashMap<String, usize>> = HashMap::new();
         for (at, route) in configuration.routes.iter().enumerate() {
@@ -67,23 +67,24 @@
         }
     }
 
-    /// The configuration itself.
+    /// Returns the configuration.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// The parts in which it is passed on; found when first asked for.
+    /// Returns the index of the parts in which the configuration is sent to other nodes,
+    /// computing it on first use.
     pub fn parts(&self) -> &parts::Index {
         self.parts
             .get_or_init(|| parts::Index::new(&self.configuration))
     }
 
-    /// Names the whole configuration by its content.
+    /// Returns a digest of the content of the whole configuration.
     pub fn to_digest(&self) -> parts::Digest {
         self.parts().to_head(&self.configuration).to_digest()
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Returns the route of a host with the longest prefix of the path.
     pub fn route_opt(&self, host: &str, path: &str) -> Option<&Route> {
         let prefixes = self.routes.get(&to_name(host))?;
         let ends = path.bytes().enumerate().rev();
@@ -92,19 +93,19 @@
         self.configuration.routes.get(*found)
     }
 
-    /// The customer that holds a key.
+    /// Returns the customer that holds a key.
     pub fn customer_opt(&self, key: Key) -> Option<&Customer> {
         let at = *self.keys.get(&key)?;
         self.configuration.customers.as_ref()?.get(at)
     }
 
-    /// The customer that nodes name to each other by a number.
+    /// Returns the customer with the number that nodes use for it in messages.
     pub fn customer_by_number_opt(&self, number: u64) -> Option<&Customer> {
         let at = *self.customers.get(&number)?;
         self.configuration.customers.as_ref()?.get(at)
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service_opt(&self, name: &id::Target) -> Option<&Service> {
         self.configuration.services.get(*self.services.get(name)?)
     }
@@ -112,8 +113,8 @@
     /// Finds the route and the customer of a request.
     ///
     /// # Errors
-    /// [`Code::RouteUnknown`] without a route, [`Code::CustomerUnknown`] where
-    /// the route asks for a key and none or an unknown one was sent.
+    /// [`Code::RouteUnknown`] if no route matches, [`Code::CustomerUnknown`] if the route
+    /// needs a key and the request carried none or an unknown one.
     pub fn find(&self, host: &str, path: &str, key: Option<Key>) -> Result<Match<'_>, Code> {
         let route = self.route_opt(host, path).ok_or(Code::RouteUnknown)?;
         let customer = key.and_then(|key| self.customer_opt(key));
@@ -125,7 +126,7 @@
     }
 }
 
-/// The name in a `Host` header: without its port, in small letters.
+/// Normalises a `Host` header: without its port, in lower case.
 fn to_name(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
