--- a/crates/dispatch/tests/dispatch/connections.rs
+++ b/crates/dispatch/tests/dispatch/connections.rs
@@ -1,4 +1,4 @@
-//! How many connections to an endpoint a node may keep at rest.
+//! Tests for the number of idle connections to an endpoint that a node may keep.
 
 use std::sync::Arc;
 
--- a/crates/dispatch/tests/dispatch/evacuate.rs
+++ b/crates/dispatch/tests/dispatch/evacuate.rs
@@ -1,4 +1,4 @@
-//! Data centres that are evacuated, as one node sees them.
+//! Tests for evacuated data centres, with one node.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     vec![in_centre("e-a", "a"), in_centre("e-b", "b")]
 }
 
-/// A list with some data centres evacuated.
+/// Returns a list with some data centres evacuated.
 fn evacuated(revision: u64, settled: bool, centres: &[&str]) -> Arc<List> {
     Arc::new(List {
         revision,
@@ -43,7 +43,7 @@
     })
 }
 
-/// Where four requests go that come now.
+/// Returns the endpoints that four requests which arrive now are sent to.
 fn used(dispatcher: &mut Dispatcher, millis: u64) -> Vec<String> {
     for _ in 0..4 {
         dispatcher.enter(at(millis), job(SERVICE, 2, at(millis)));
@@ -79,8 +79,8 @@
     assert_eq!(dispatcher.held(), 0);
 }
 
-/// After an outage of the platform entries of endpoints may be missing; what an
-/// operator wrote never is.
+/// After an outage of the platform, records of endpoints may be missing, but evacuations
+/// never are.
 #[test]
 fn a_list_that_is_not_settled_says_it_too() {
     let mut dispatcher = dispatcher(&endpoints());
--- a/crates/dispatch/tests/dispatch/fleet/evacuate.rs
+++ b/crates/dispatch/tests/dispatch/fleet/evacuate.rs
@@ -1,4 +1,4 @@
-//! Data centres that are evacuated, in a large fleet.
+//! Tests for evacuated data centres in a large fleet.
 
 use woadstage_dispatch::endpoint::Endpoint;
 use woadstage_dispatch::endpoint::List;
@@ -8,7 +8,7 @@
 use super::cold::most_in_a_second;
 use super::*;
 
-/// A fleet of so many nodes in three or five data centres.
+/// Creates a fleet of this many nodes in this many data centres.
 fn fleet(nodes: u16, centres: u16) -> World {
     World::start(Shape {
         nodes,
@@ -17,7 +17,7 @@
     })
 }
 
-/// The list with these data centres evacuated.
+/// Returns the current list with these data centres evacuated.
 fn evacuated(world: &World, centres: &[&str]) -> List {
     List {
         revision: world.list.revision + 1,
@@ -35,14 +35,14 @@
     near.cloned().collect()
 }
 
-/// Arrivals at the endpoints of a data centre after a moment.
+/// Counts the arrivals at a data centre's endpoints after a point in time.
 fn arrivals_after(world: &World, centre: &str, since: Time) -> usize {
     let near = endpoints_of(world, centre);
     let arrivals = near.iter().filter_map(|one| world.arrivals.get(&one.name));
     arrivals.flatten().filter(|at| **at > since).count()
 }
 
-/// Tells how long it takes until a list is in force on every node that runs.
+/// Returns how long it takes until the published list is in force on every running node.
 fn in_force_after(world: &mut World) -> Span {
     let from = world.now;
     let wanted = world.list.revision;
@@ -57,8 +57,8 @@
     world.now.since(from)
 }
 
-/// A third of all nodes are turned away by the platform; half of those and some
-/// others are killed and start again meanwhile.
+/// The platform rejects a third of all nodes; in one case half of the nodes are killed and
+/// restarted meanwhile.
 #[rstest]
 #[case::nodes_79(26, 3, false)]
 #[case::nodes_79_killed(26, 3, true)]
@@ -95,7 +95,7 @@
 fn callers_of_an_evacuated_data_centre_are_served_elsewhere() {
     let mut world = fleet(26, 3);
     let all = all_nodes(&world);
-    // Half of what the endpoints of two data centres can do.
+    // Half the capacity of the endpoints of two data centres.
     load(&mut world, MODEL, 600, Span::from_secs(8), &all);
     world.run_for(SECOND);
     let list = evacuated(&world, &["dc0"]);
@@ -109,7 +109,7 @@
     assert_all_over(&mut world);
 }
 
-/// One after the other, and one taken back as the next is evacuated.
+/// Evacuates one data centre after the other; each evacuation lifts the one before.
 #[test]
 fn evacuations_that_follow_each_other() {
     let mut world = fleet(26, 3);
@@ -129,8 +129,8 @@
     assert_all_over(&mut world);
 }
 
-/// A data centre is taken back during a burst: its endpoints are cold then,
-/// whether or not they say so.
+/// An evacuation is lifted during a burst. The endpoints are cold by then, whether or not
+/// they report it.
 #[test]
 fn what_is_taken_back_is_cold() {
     let mut world = fleet(26, 3);
@@ -151,7 +151,7 @@
     assert!((5..=FALLS_ABOVE).contains(&most), "{most} in a second");
 }
 
-/// With every data centre evacuated callers are refused, and told when to return.
+/// With every data centre evacuated, callers are refused.
 #[test]
 fn with_nothing_left_callers_are_refused() {
     let mut world = fleet(26, 3);
--- a/crates/dispatch/tests/dispatch/fleet/region_bound.rs
+++ b/crates/dispatch/tests/dispatch/fleet/region_bound.rs
@@ -1,4 +1,4 @@
-//! Requests that may run in some regions only, in a large fleet.
+//! Tests for requests that may run in some regions only, in a large fleet.
 
 use std::collections::HashMap;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Sends requests that may run in the north only, so many a second, for a span.
+/// Sends requests that may run in the north only, at a rate and for a time.
 fn load_bound(world: &mut World, per_second: u64, span: Span, nodes: &[u16]) {
     for number in 0..per_second * span.0 / SECOND.0 {
         let drawn = hash::chain(world.now.0, &number.to_le_bytes());
@@ -48,7 +48,7 @@
     }
 }
 
-/// Arrivals at endpoints of the south.
+/// Counts the arrivals at endpoints of the south.
 fn in_the_south(world: &World) -> usize {
     let south = world.list.endpoints.iter();
     let south = south.filter(|one| one.data_centre == id::DataCentre::new("dc2"));
@@ -71,8 +71,8 @@
     assert_all_over(&mut world);
 }
 
-/// While the south hears nothing of the north and is cut into cells anew, its nodes may
-/// reach endpoints of the north themselves, and none of their own.
+/// While the south hears nothing of the north, it is divided into cells anew. Its nodes may
+/// then use endpoints of the north themselves, and none of their own.
 #[rstest]
 #[case::regions_apart(|node| node % 3 / 2)]
 #[case::each_centre_alone(|node| node % 3)]
@@ -90,7 +90,7 @@
     assert_all_over(&mut world);
 }
 
-/// With the whole region evacuated they are refused, and told when to return.
+/// With the whole region evacuated, the requests are refused.
 #[test]
 fn with_their_regions_evacuated_they_are_refused() {
     let mut world = fleet(26);
--- a/crates/dispatch/tests/dispatch/lease/borrow.rs
+++ b/crates/dispatch/tests/dispatch/lease/borrow.rs
@@ -1,4 +1,4 @@
-//! A node that asks for slots.
+//! Tests for the node that asks for a slot.
 
 use woadstage_dispatch::dispatcher::Decision;
 use woadstage_dispatch::dispatcher::Refusal;
@@ -48,7 +48,7 @@
     let (mut dispatcher, owner, request) = asking();
     dispatcher.take_reply(at(3), owner, granted(&request, "e3"));
     assert!(dispatcher.status(at(4)).loads.is_empty());
-    // Once the owner is silent, nobody else tells of it.
+    // Once the owner is silent, no other node reports the load.
     assert_eq!(dispatcher.status(at(10_000)).loads.len(), 1);
 }
 
--- a/crates/dispatch/tests/dispatch/lease/lend.rs
+++ b/crates/dispatch/tests/dispatch/lease/lend.rs
@@ -1,4 +1,4 @@
-//! The owner of slots.
+//! Tests for the node that owns slots.
 
 use std::net::SocketAddrV4;
 
@@ -24,8 +24,8 @@
 use crate::support::job;
 use crate::support::node;
 
-/// Fills all slots that the owner of a cell gives for a rank. Gives the number
-/// of the first request that waits.
+/// Fills all slots that the owner of a cell grants for a rank. Returns the number of the
+/// first request that waits.
 fn fill(owner: &mut Dispatcher, urgency: u8) -> u64 {
     for number in 1.. {
         owner.take_request(at(2), node(50), question(number, urgency));
@@ -37,7 +37,7 @@
     unreachable!("slots are few");
 }
 
-/// The nodes whose requests get a slot when one of node 50 is over.
+/// Returns the nodes that are granted a slot when a request of node 50 ends.
 fn granted_after(owner: &mut Dispatcher, number: u64) -> Vec<SocketAddrV4> {
     let event = Event::Ended {
         end: End::Whole,
@@ -161,7 +161,7 @@
     );
 }
 
-/// An owner that hears of a stream long after it gave the slot.
+/// An owner that first hears of a stream long after it granted the slot.
 #[rstest]
 #[case::of_its_first_event(Event::First, true)]
 #[case::only_that_it_goes_on(Event::Progress, false)]
@@ -176,8 +176,8 @@
     assert_eq!(least_objective(&mut owner) > usual, learnt);
 }
 
-/// The least objective, in milliseconds, with which a request is let in behind one
-/// that waits.
+/// Returns the shortest objective, in milliseconds, with which a request is accepted behind
+/// one that waits.
 fn least_objective(owner: &mut Dispatcher) -> u64 {
     fill(owner, 2);
     let mut objectives = (10..5_000).step_by(10);
--- a/crates/dispatch/tests/dispatch/lease/mod.rs
+++ b/crates/dispatch/tests/dispatch/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Slots that one node asks of another: a node and an owner, each alone.
+//! Tests for slot leases, with one node at a time: the asking node or the owner.
 
 use std::net::SocketAddrV4;
 
@@ -30,7 +30,7 @@
 mod borrow;
 mod lend;
 
-/// Nodes of a fleet of two cells in one data centre.
+/// Enough nodes for two cells in one data centre.
 const NODES: u8 = 40;
 
 fn endpoints() -> Vec<Endpoint> {
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// A node that has heard all others of its fleet.
+/// Creates a node that has heard all others of its fleet.
 fn member(own: u8) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(options(own));
     dispatcher.set_configuration(at(0), configuration(1));
@@ -87,8 +87,7 @@
     answers.collect()
 }
 
-/// A node that does not own the slots of its cell, with one request that it has
-/// asked for.
+/// Returns a node that doesn't own its cell's slots, with its open request for one.
 fn asking() -> (Dispatcher, SocketAddrV4, lease::Request) {
     for own in 1..=NODES {
         let mut dispatcher = member(own);
@@ -100,7 +99,7 @@
     unreachable!("most nodes own nothing");
 }
 
-/// The node that owns the slots of its cell.
+/// Creates the node that owns its cell's slots.
 fn owning() -> Dispatcher {
     let (_, owner, _) = asking();
     member(owner.ip().octets()[3])
@@ -131,7 +130,7 @@
     }
 }
 
-/// A question like that of `asking`, with another number and rank.
+/// Returns a request like that of `asking`, with another number and rank.
 fn question(number: u64, urgency: u8) -> lease::Request {
     let (_, _, request) = asking();
     let rank = job(MODEL, urgency, at(0)).rank;
--- a/crates/dispatch/tests/dispatch/publish.rs
+++ b/crates/dispatch/tests/dispatch/publish.rs
@@ -1,4 +1,4 @@
-//! What the platform published comes into force and never goes back.
+//! Tests that published documents are applied and never go back to an older version.
 
 use std::sync::Arc;
 
@@ -63,7 +63,7 @@
     pass_on(&newer, &mut own);
     assert_eq!(own.configuration_version(), 8);
     assert_eq!(own.edition().revision, 10);
-    // Nor does a head count that came late.
+    // A head that arrives late changes nothing either.
     let late = older.snapshot(&Pull::default()).head.expect("a head");
     assert!(!own.take_head(at(1), &late));
 }
@@ -98,7 +98,7 @@
     assert_eq!(given(7, 9), (false, false));
 }
 
-/// A list that may lack endpoints which are still there.
+/// Returns a list that may lack endpoints which still run.
 fn unsettled(revision: u64, endpoints: &[Endpoint]) -> Arc<List> {
     Arc::new(List {
         settled: false,
@@ -145,7 +145,7 @@
         dispatcher.set_endpoints(at(1), list(2, &endpoints));
         dispatcher.enter(at(2), job(SERVICE, 2, at(2)));
         assert_eq!(starts(&mut dispatcher), []);
-        // What runs there ends as it would have.
+        // What runs there ends normally.
         dispatcher.end(at(3), running, End::Whole);
     }
 }
@@ -185,7 +185,7 @@
     assert!(["a", "b"].contains(&place.as_str()));
 }
 
-/// The start of an endpoint, in milliseconds since 1970.
+/// Returns an endpoint with the given start, in milliseconds since 1970.
 fn born(name: &str, born: u64) -> Endpoint {
     Endpoint {
         born,
@@ -193,7 +193,7 @@
     }
 }
 
-/// What ran there ended with it, and so did what it had read.
+/// A restart ends what ran at the endpoint and clears its prompt cache.
 #[test]
 fn an_endpoint_that_starts_again_under_its_name_has_nothing_of_before() {
     let mut dispatcher = dispatcher(&[born("e", 1_000)]);
@@ -204,7 +204,7 @@
     assert_eq!(starts(&mut dispatcher), []);
     dispatcher.set_endpoints(at(2), list(2, &[born("e", 2_000)]));
     assert_eq!(starts(&mut dispatcher).len(), 1);
-    // That its connection broke is no word against the later start.
+    // The broken connection to the earlier start doesn't count against the later one.
     dispatcher.end(at(3), ran, End::Lost);
     let summary = dispatcher.summaries(at(4));
     let model = summary.iter().find(|one| one.target.as_str() == MODEL);
@@ -212,7 +212,7 @@
     assert_eq!((model.running, model.usable, model.endpoints), (1, 1, 1));
 }
 
-/// What other nodes said of the start before does not hold for the next.
+/// What other nodes reported of the earlier start doesn't hold for the later one.
 #[test]
 fn each_start_of_an_endpoint_has_a_number_of_its_own() {
     let numbers = [0, 1_000, 2_000].map(|start| born("e", start).to_number());
@@ -222,8 +222,8 @@
     assert_eq!(born("e", 1_000).to_number(), numbers[1]);
 }
 
-/// Others write under the same keys: what names no service is not used, and is as soon as
-/// a configuration names it.
+/// Others may write under the same keys. Endpoints of a service that isn't configured are
+/// not used, until a configuration names the service.
 #[test]
 fn endpoints_of_a_service_that_is_not_named_are_not_used() {
     let stranger = endpoint("x", "stranger", 4);
--- a/crates/dispatch/tests/dispatch/region.rs
+++ b/crates/dispatch/tests/dispatch/region.rs
@@ -1,4 +1,4 @@
-//! Requests run only in the regions to which their route and their customer are bound.
+//! Tests that requests run only in the regions that their route and their customer allow.
 
 use std::collections::HashMap;
 
@@ -26,7 +26,7 @@
 use crate::support::refusals;
 use crate::support::starts;
 
-/// Regions by their names, with blanks between.
+/// Parses region names separated by blanks.
 fn regions(names: &str) -> Regions {
     Regions::new(names.split_whitespace().map(id::Region::new))
 }
@@ -38,8 +38,8 @@
     }
 }
 
-/// A node that knows an endpoint in each of three data centres, of which two have a
-/// region that is known.
+/// Creates a node that knows an endpoint in each of three data centres, of which two have a
+/// known region.
 fn node() -> Dispatcher {
     let known = [("a", "north"), ("b", "south")];
     let known = known.map(|(centre, region)| {
@@ -117,7 +117,7 @@
     assert!(starts(&mut dispatcher).is_empty());
 }
 
-/// What is bound travels beside the parts of a configuration.
+/// Restrictions are sent beside the parts of a configuration.
 #[test]
 fn restrictions_are_put_together_with_the_parts() {
     let mut configuration = Configuration::clone(&configuration(4));
--- a/crates/dispatch/tests/dispatch/share.rs
+++ b/crates/dispatch/tests/dispatch/share.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other.
+//! Tests for the exchange of status between nodes.
 
 use proptest::prelude::*;
 use woadstage_dispatch::dispatcher::Dispatcher;
@@ -84,7 +84,8 @@
     assert_eq!(starts(&mut second), [(id, "e".to_owned())]);
 }
 
-/// Bytes of what goes to a node now, with the addresses that it is told of.
+/// Returns the size in bytes of the status that is due to a node, and the number of
+/// addresses in it.
 fn sent_to(dispatcher: &mut Dispatcher, now: Time, to: u8) -> Option<(usize, usize)> {
     let mut statuses = dispatcher.statuses(now).into_iter();
     let (status, _) = statuses.find(|(_, due)| due.contains(&node(to)))?;
@@ -93,8 +94,8 @@
     Some((bytes.expect("it can be written").len(), told))
 }
 
-/// Sixteen addresses make up most of what a node at rest says: with them a status takes
-/// 118 bytes, and with two 34.
+/// Sixteen addresses make up most of an idle node's status: with them it takes 118 bytes,
+/// with two it takes 34.
 #[test]
 fn a_node_that_knows_the_fleet_is_told_of_few_others() {
     let mut own = dispatcher(&[]);
@@ -127,7 +128,7 @@
 }
 
 proptest! {
-    /// Whatever comes and goes, places and counts add up in the end.
+    /// Whatever requests and endpoints do, counts stay consistent.
     #[test]
     fn counts_add_up(steps in proptest::collection::vec((0u8..6, 0usize..8), 1..80)) {
         let ends = [End::Whole, End::Lost, End::Full, End::NotSent, End::Fault];
--- a/crates/dispatch/tests/dispatch/table.rs
+++ b/crates/dispatch/tests/dispatch/table.rs
@@ -1,4 +1,4 @@
-//! Which route and customer a request has.
+//! Tests for finding the route and the customer of a request.
 
 use std::sync::Arc;
 
