--- a/crates/dispatch/src/configuration.rs
+++ b/crates/dispatch/src/configuration.rs
@@ -109,9 +109,9 @@
     /// The maximum size of a request's body.
     pub body: Size,
     /// How long a caller may take to send a head.
-    pub head_within: Span,
+    pub head_timeout: Span,
     /// How long a connection may be idle between requests.
-    pub idle: Span,
+    pub idle_timeout: Span,
 }
 
 impl Default for Limits {
@@ -119,8 +119,8 @@
         Limits {
             head: Size::from_kib(16),
             body: Size::from_mib(4),
-            head_within: Span::from_secs(3),
-            idle: Span::from_secs(15),
+            head_timeout: Span::from_secs(3),
+            idle_timeout: Span::from_secs(15),
         }
     }
 }
@@ -150,7 +150,7 @@
     pub burst: f64,
     /// The units charged for a request that doesn't state its size; `None` if every request
     /// counts as one unit.
-    pub plain_tokens: Option<u64>,
+    pub default_tokens: Option<u64>,
 }
 
 /// The SHA-256 digest of a caller's key. The key itself is never kept.
@@ -159,7 +159,7 @@
 
 impl Key {
     /// Returns the digest of a key as sent by a caller.
-    pub fn of(secret: &str) -> Key {
+    pub fn from_secret(secret: &str) -> Key {
         Key(sha2::Sha256::digest(secret.as_bytes()).into())
     }
 }
--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -30,7 +30,7 @@
 
 impl Dispatcher {
     /// Handles an owner's answer.
-    pub fn take_reply(&mut self, now: Time, from: SocketAddrV4, reply: Reply) {
+    pub fn receive_lease_reply(&mut self, now: Time, from: SocketAddrV4, reply: Reply) {
         let mut questions = self.questions.iter();
         let found = questions
             .find(|(_, question)| question.number == reply.number && question.owner == from);
@@ -61,7 +61,7 @@
             lease.is_some_and(|lease| lease.owner == from && lease.number == reply.number)
         });
         if matches!(reply.answer, Answer::Granted { .. }) && !in_use {
-            self.return_slot(from, reply.number, End::Abandoned);
+            self.release_slot(from, reply.number, End::Abandoned);
         }
     }
 
@@ -79,12 +79,12 @@
         let worker = pool.worker_opt(endpoint);
         let job = question.job.or_else(|| pool.queue.remove(id));
         let Some(mut job) = job else {
-            self.return_slot(question.owner, question.number, End::Abandoned);
+            self.release_slot(question.owner, question.number, End::Abandoned);
             return;
         };
         let Some(worker) = worker else {
             // The owner's list is newer than this node's.
-            self.return_slot(question.owner, question.number, End::Abandoned);
+            self.release_slot(question.owner, question.number, End::Abandoned);
             self.push(now, id, job);
             self.place(now, &target);
             return;
@@ -94,7 +94,7 @@
             if unusable.is_tried {
                 job.history.tried.push(known.number);
             }
-            self.return_slot(question.owner, question.number, unusable.end);
+            self.release_slot(question.owner, question.number, unusable.end);
             self.submit(now, id, job);
             return;
         }
@@ -163,7 +163,7 @@
     }
 
     /// Answers an owner that asks whether a request still holds its slot.
-    pub fn answer_check(&mut self, from: SocketAddrV4, check: lease::Check) {
+    pub fn answer_lease_check(&mut self, from: SocketAddrV4, check: lease::Check) {
         let runs = self.runs.values().filter_map(|run| run.lease);
         let mut leases = runs.map(|lease| (lease.owner, lease.number));
         let questions = self.questions.values();
@@ -172,7 +172,7 @@
         if leases.any(|lease| lease == asked) || questions.any(|question| question == asked) {
             self.report(from, check.number, lease::Event::Held);
         } else {
-            self.return_slot(from, check.number, End::Abandoned);
+            self.release_slot(from, check.number, End::Abandoned);
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -14,7 +14,7 @@
 use crate::job::End;
 use crate::job::Job;
 use crate::lease;
-use crate::lease::Seen;
+use crate::lease::Observation;
 use crate::member::Owner;
 use crate::member::Scope;
 use crate::message::Message;
@@ -47,7 +47,7 @@
 
 /// An open request of this node for a slot that another node owns.
 #[derive(Debug)]
-pub(super) struct Question {
+pub(super) struct OpenRequest {
     /// Identifies the request at the owner.
     pub number: u64,
     /// The node that was asked.
@@ -201,7 +201,7 @@
     /// request then also waits in this node's queue.
     pub(super) fn ask(&mut self, now: Time, id: job::Id, asked: Asked, job: Option<Job>) {
         self.next_question += 1;
-        let question = Question {
+        let question = OpenRequest {
             number: self.next_question,
             owner: asked.owner,
             endpoint: asked.endpoint,
@@ -263,7 +263,7 @@
 
     /// Repeats unanswered requests, and turns to another owner if one is silent or no
     /// longer owns the slots.
-    pub(super) fn renew_questions(&mut self, now: Time) {
+    pub(super) fn renew_open_requests(&mut self, now: Time) {
         let open: Vec<job::Id> = self.questions.keys().copied().collect();
         for id in open {
             self.renew_question(now, id);
@@ -272,7 +272,7 @@
 
     fn renew_question(&mut self, now: Time, id: job::Id) {
         if self.asks_for_closed(now, id) {
-            if let Some(Question { job: Some(job), .. }) = self.withdraw(id) {
+            if let Some(OpenRequest { job: Some(job), .. }) = self.cancel_open_request(id) {
                 self.submit(now, id, job);
             }
             return;
@@ -288,12 +288,12 @@
         let Some(job) = &question.job else {
             // A spare slot is of no use any more after this long.
             self.denied.insert(question.owner, now);
-            self.withdraw(id);
+            self.cancel_open_request(id);
             return;
         };
         if job.latest() <= now + self.options.policy.least_left {
             let refusal = self.too_late(now, job);
-            self.withdraw(id);
+            self.cancel_open_request(id);
             self.refuse(now, id, None, refusal);
             return;
         }
@@ -302,7 +302,7 @@
             self.members.note_unanswered(now, question.owner);
         }
         if silent || (answered && !self.is_still_owner(now, id)) {
-            if let Some(Question { job: Some(job), .. }) = self.withdraw(id) {
+            if let Some(OpenRequest { job: Some(job), .. }) = self.cancel_open_request(id) {
                 self.submit(now, id, job);
             }
             return;
@@ -350,15 +350,15 @@
     }
 
     /// Cancels an open request and returns it.
-    pub(super) fn withdraw(&mut self, id: job::Id) -> Option<Question> {
+    pub(super) fn cancel_open_request(&mut self, id: job::Id) -> Option<OpenRequest> {
         let question = self.questions.remove(&id)?;
-        self.return_slot(question.owner, question.number, End::Abandoned);
+        self.release_slot(question.owner, question.number, End::Abandoned);
         Some(question)
     }
 
     /// Tells an owner that a slot, or a place in its queue, is not used.
-    pub(super) fn return_slot(&mut self, owner: SocketAddrV4, number: u64, end: End) {
-        let seen = Seen::default();
+    pub(super) fn release_slot(&mut self, owner: SocketAddrV4, number: u64, end: End) {
+        let seen = Observation::default();
         self.report(owner, number, lease::Event::Ended { end, seen });
     }
 
@@ -369,7 +369,7 @@
 
     /// Submits requests again that wait on this node for a single endpoint which takes no
     /// work any more. Requests of other nodes are denied when they next ask.
-    pub(super) fn resubmit_stuck(&mut self, now: Time, target: &id::Target) {
+    pub(super) fn resubmit_stuck_requests(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target).filter(|pool| pool.shared) else {
             return;
         };
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -58,7 +58,7 @@
     pub(super) fn may_run_near(&self, job: &Job, node: SocketAddrV4) -> bool {
         let centre = self.members.data_centre_opt(node);
         let allows = |centre| self.options.regions.allows_number(&job.bound, centre);
-        job.bound.is_free() || centre.is_some_and(allows)
+        job.bound.is_unrestricted() || centre.is_some_and(allows)
     }
 
     /// Puts the requests of this node's callers that wait for slots of a data centre in
@@ -74,7 +74,7 @@
         });
         let displaced: Vec<job::Id> = displaced.map(|(id, _)| id).collect();
         for id in displaced {
-            self.withdraw(id);
+            self.cancel_open_request(id);
             let pool = self.pools.get_mut(target);
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 continue;
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -11,7 +11,7 @@
 use super::Decision;
 use super::Dispatcher;
 use super::Pool;
-use super::publish::pool;
+use super::publish::pool_mut;
 use crate::configuration::Rank;
 use crate::job;
 use crate::job::Job;
@@ -53,7 +53,7 @@
         self.next_job += 1;
         let id = job::Id(self.next_job);
         self.budget.earn(now, &job.target);
-        pool(&mut self.pools, &self.options.warm, &job.target);
+        pool_mut(&mut self.pools, &self.options.warm, &job.target);
         self.submit(now, id, job);
         id
     }
@@ -89,7 +89,7 @@
             }
             Some(origin) => {
                 self.remote.remove(&origin);
-                self.reply(origin, Answer::Refused(refusal));
+                self.send_lease_reply(origin, Answer::Refused(refusal));
             }
         }
     }
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -15,11 +15,11 @@
 use crate::lease;
 use crate::lease::Answer;
 use crate::lease::Event;
+use crate::lease::Observation;
 use crate::lease::Origin;
 use crate::lease::Reply;
-use crate::lease::Seen;
 use crate::message::Message;
-use crate::region::Bound;
+use crate::region::Constraint;
 
 /// The silence about a remote request after which its node is asked about it.
 const CHECK_AFTER: Span = Span::from_millis(1_000);
@@ -34,7 +34,7 @@
 
 /// A request of another node that waits here or holds a slot of this node.
 #[derive(Debug)]
-pub(super) struct Remote {
+pub(super) struct RemoteRequest {
     /// Its identifier on this node.
     pub id: job::Id,
     /// The incarnation of the other node.
@@ -49,7 +49,12 @@
 
 impl Dispatcher {
     /// Handles another node's request for a slot.
-    pub fn take_request(&mut self, now: Time, from: SocketAddrV4, request: lease::Request) {
+    pub fn receive_lease_request(
+        &mut self,
+        now: Time,
+        from: SocketAddrV4,
+        request: lease::Request,
+    ) {
         let origin = Origin {
             node: from,
             number: request.number,
@@ -60,23 +65,25 @@
                 self.answer_again(now, origin);
                 return;
             }
-            Some(_) => self.end_remote(now, origin, job::End::Abandoned, Seen::default()),
+            Some(_) => {
+                self.end_remote_request(now, origin, job::End::Abandoned, Observation::default())
+            }
             None => {}
         }
         let numbers = self.pools.iter();
         let mut numbers = numbers.filter(|(_, pool)| pool.number == request.service);
         let Some(target) = numbers.next().map(|(target, _)| target.clone()) else {
-            self.reply(origin, Answer::Denied);
+            self.send_lease_reply(origin, Answer::Denied);
             return;
         };
         if !self.may_lend(now, &target, request.endpoint) {
-            self.reply(origin, Answer::Denied);
+            self.send_lease_reply(origin, Answer::Denied);
             return;
         }
         let job = self.to_job(now, origin, &target, &request);
         self.next_job += 1;
         let id = job::Id(self.next_job);
-        let remote = Remote {
+        let remote = RemoteRequest {
             id,
             incarnation: request.incarnation,
             heard: now,
@@ -84,14 +91,14 @@
             granted: None,
         };
         if request.spare {
-            self.lend_spare(now, id, job, remote);
+            self.lend_spare_slot(now, id, job, remote);
             return;
         }
         self.remote.insert(origin, remote);
         self.enqueue(now, id, job);
         let waits = self.remote.get(&origin);
         if waits.is_some_and(|remote| remote.granted.is_none()) {
-            self.reply(origin, Answer::Waiting);
+            self.send_lease_reply(origin, Answer::Waiting);
         }
     }
 
@@ -112,18 +119,18 @@
         remote.heard = now;
         let id = remote.id;
         if let Some((endpoint, reason)) = remote.granted {
-            self.reply(origin, Answer::Granted { endpoint, reason });
+            self.send_lease_reply(origin, Answer::Granted { endpoint, reason });
             return;
         }
         let target = self.places.get(&id).cloned();
         let pool = target.as_ref().and_then(|target| self.pools.get(target));
         let only = pool.and_then(|pool| pool.queue.get(id)?.only);
         if target.is_some_and(|target| !self.may_lend(now, &target, only)) {
-            self.end_remote(now, origin, job::End::Abandoned, Seen::default());
-            self.reply(origin, Answer::Denied);
+            self.end_remote_request(now, origin, job::End::Abandoned, Observation::default());
+            self.send_lease_reply(origin, Answer::Denied);
             return;
         }
-        self.reply(origin, Answer::Waiting);
+        self.send_lease_reply(origin, Answer::Waiting);
     }
 
     fn to_job(
@@ -158,12 +165,12 @@
             only: request.endpoint.filter(|_| !self.members.cell().whole),
             avoided: request.avoided.clone(),
             trial: false,
-            bound: Bound::default(),
+            bound: Constraint::default(),
         }
     }
 
     /// Sends the node that asked an answer about its request.
-    pub(super) fn reply(&mut self, origin: Origin, answer: Answer) {
+    pub(super) fn send_lease_reply(&mut self, origin: Origin, answer: Answer) {
         let reply = Reply {
             number: origin.number,
             answer,
@@ -176,11 +183,11 @@
         if let Some(remote) = self.remote.get_mut(&origin) {
             remote.granted = Some((endpoint, reason));
         }
-        self.reply(origin, Answer::Granted { endpoint, reason });
+        self.send_lease_reply(origin, Answer::Granted { endpoint, reason });
     }
 
     /// Handles another node's report about a request that it has.
-    pub fn take_report(&mut self, now: Time, from: SocketAddrV4, report: lease::Report) {
+    pub fn receive_lease_report(&mut self, now: Time, from: SocketAddrV4, report: lease::Report) {
         let origin = Origin {
             node: from,
             number: report.number,
@@ -197,7 +204,7 @@
             Event::Cold { cold_for } => {
                 self.note_cold(now, id, cold_for);
             }
-            Event::Ended { end, seen } => self.end_remote(now, origin, end, seen),
+            Event::Ended { end, seen } => self.end_remote_request(now, origin, end, seen),
             Event::RateLimit { limit } => {
                 self.note_rate_limit(now, id, limit);
             }
@@ -205,7 +212,13 @@
     }
 
     /// Frees the slot of a remote request, or removes it from the queue.
-    pub(super) fn end_remote(&mut self, now: Time, origin: Origin, end: job::End, seen: Seen) {
+    pub(super) fn end_remote_request(
+        &mut self,
+        now: Time,
+        origin: Origin,
+        end: job::End,
+        seen: Observation,
+    ) {
         let Some(remote) = self.remote.remove(&origin) else {
             return;
         };
@@ -213,7 +226,7 @@
             return;
         };
         self.urgent = true;
-        self.withdraw(remote.id);
+        self.cancel_open_request(remote.id);
         if let Some(pool) = self.pools.get_mut(&target) {
             pool.queue.remove(remote.id);
         }
@@ -231,7 +244,7 @@
 
     /// Asks about remote requests that were not heard of for a while, and ends those whose
     /// nodes stay silent.
-    pub(super) fn check_remote(&mut self, now: Time) {
+    pub(super) fn check_remote_requests(&mut self, now: Time) {
         let mut lost = Vec::new();
         let mut asked = Vec::new();
         for (origin, remote) in &mut self.remote {
@@ -248,7 +261,7 @@
             }
         }
         for origin in lost {
-            self.end_remote(now, origin, job::End::Abandoned, Seen::default());
+            self.end_remote_request(now, origin, job::End::Abandoned, Observation::default());
         }
         for origin in asked {
             let check = lease::Check {
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -95,13 +95,13 @@
 mod take_notice;
 mod tick;
 
-use borrow::Question;
+use borrow::OpenRequest;
 pub use decision::Cause;
 pub use decision::Decision;
 pub use decision::Next;
 pub use decision::Reason;
 pub use enter::Refusal;
-use lend::Remote;
+use lend::RemoteRequest;
 pub use policy::Policy;
 pub use query::PassedOver;
 pub use query::Summary;
@@ -231,9 +231,9 @@
     durations: Durations,
     first_tries: first_try::Histogram,
     /// Requests of this node for which others were asked for a slot.
-    questions: HashMap<job::Id, Question>,
+    questions: HashMap<job::Id, OpenRequest>,
     /// Requests of other nodes that wait or run in slots of this node's.
-    remote: HashMap<Origin, Remote>,
+    remote: HashMap<Origin, RemoteRequest>,
     /// What others told of endpoints' rate limits since the last tick.
     rate_limits_heard: HashMap<u32, rate_limit::Report>,
     /// Until when endpoints rest for other nodes, as heard since the last tick.
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -161,7 +161,7 @@
         let Some(target) = self.places.remove(&id) else {
             return;
         };
-        self.withdraw(id);
+        self.cancel_open_request(id);
         if let Some(pool) = self.pools.get_mut(&target) {
             pool.queue.remove(id);
             self.urgent = true;
@@ -171,7 +171,7 @@
     /// Counts an attempt out and learns from how it ended.
     pub(super) fn close(&mut self, now: Time, run: Run, end: End) -> Job {
         if let Some(lease) = run.lease {
-            let seen = lease::Seen {
+            let seen = lease::Observation {
                 events: run.shown,
                 step: run.step.map(|step| step as u32),
                 took: matches!(end, End::Whole | End::Rejected).then(|| now.since(run.started)),
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -73,7 +73,7 @@
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 return;
             };
-            self.withdraw(id);
+            self.cancel_open_request(id);
             self.start(now, id, job, choice);
         }
     }
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -55,7 +55,7 @@
         }
         let table = Table::new(configuration);
         for service in &table.configuration().services {
-            let pool = pool(&mut self.pools, &self.options.warm, &service.name);
+            let pool = pool_mut(&mut self.pools, &self.options.warm, &service.name);
             pool.engine = service.engine;
             pool.cold = service.cold;
         }
@@ -64,7 +64,7 @@
         }
         for route in &table.configuration().routes {
             for (target, _) in &route.targets {
-                let pool = pool(&mut self.pools, &self.options.warm, target);
+                let pool = pool_mut(&mut self.pools, &self.options.warm, target);
                 pool.least_protected = pool.least_protected.max(route.priority);
             }
         }
@@ -95,7 +95,7 @@
 
     /// Applies the list as published by the platform once all corrections after the start
     /// of an era have expired.
-    pub(super) fn stop_correcting(&mut self, now: Time) {
+    pub(super) fn expire_corrections(&mut self, now: Time) {
         if !self.memory.expire(now) {
             return;
         }
@@ -132,8 +132,8 @@
         }
         self.note_evacuated(now, &list);
         self.forget_workers();
-        self.assign_workers();
-        self.count_others(now);
+        self.assign_cell_workers();
+        self.sum_remote_loads(now);
         self.place_all(now);
     }
 
@@ -152,9 +152,9 @@
     /// name is a new one, of which nothing is known.
     fn use_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
         let endpoint = Arc::new(endpoint.clone());
-        let pool = pool(&mut self.pools, &self.options.warm, &endpoint.service);
+        let pool = pool_mut(&mut self.pools, &self.options.warm, &endpoint.service);
         let at = pool.index.get(&endpoint.name).copied();
-        let at = at.filter(|at| pool.workers[*at].endpoint.born == endpoint.born);
+        let at = at.filter(|at| pool.workers[*at].endpoint.started_at == endpoint.started_at);
         if let Some(at) = at {
             let worker = &mut pool.workers[at];
             if worker.endpoint.cold_for != endpoint.cold_for {
@@ -188,13 +188,13 @@
     }
 
     /// Keeps a part of a configuration that another node sent, until all parts are there.
-    pub fn keep_part(&mut self, part: Part) {
+    pub fn add_part(&mut self, part: Part) {
         self.received.add(part);
     }
 
     /// Assembles and applies a configuration from the parts that other nodes sent. Returns
     /// false if one at least as new is in force or if parts are missing.
-    pub fn take_head(&mut self, now: Time, head: &Head) -> bool {
+    pub fn receive_head(&mut self, now: Time, head: &Head) -> bool {
         if head.version <= self.configuration_version() {
             return false;
         }
@@ -208,7 +208,7 @@
 
     /// Determines the endpoints that belong to this node's cell. A service that has too few
     /// endpoints for all cells is shared by them.
-    pub(super) fn assign_workers(&mut self) {
+    pub(super) fn assign_cell_workers(&mut self) {
         let cell = self.members.cell();
         let cells = self.members.cells();
         let own = &self.options.data_centre;
@@ -283,7 +283,7 @@
 }
 
 /// Returns a service's pool, creating it if it doesn't exist.
-pub(super) fn pool<'a>(
+pub(super) fn pool_mut<'a>(
     pools: &'a mut HashMap<id::Target, Pool>,
     warm: &warm::Options,
     target: &id::Target,
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -93,7 +93,7 @@
     }
 
     /// Sums up the load and the trouble that other nodes report for each endpoint.
-    pub(super) fn count_others(&mut self, now: Time) {
+    pub(super) fn sum_remote_loads(&mut self, now: Time) {
         let mut sums: HashMap<u32, Elsewhere> = HashMap::new();
         for (_, member) in self.members.fresh(now) {
             let loads = &member.status.loads;
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -10,7 +10,7 @@
 use super::Dispatcher;
 use super::Pool;
 use super::borrow::Asked;
-use super::lend::Remote;
+use super::lend::RemoteRequest;
 use crate::job;
 use crate::job::Job;
 use crate::lease::Answer;
@@ -28,7 +28,7 @@
 impl Dispatcher {
     /// Asks other cells for spare slots, for requests at the head of the queue that have
     /// waited for a while.
-    pub(super) fn seek_spare(&mut self, now: Time, target: &id::Target) {
+    pub(super) fn request_spare_slots(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target) else {
             return;
         };
@@ -75,7 +75,13 @@
 
     /// Grants another cell a slot that this cell doesn't need at the moment, or denies the
     /// request.
-    pub(super) fn lend_spare(&mut self, now: Time, id: job::Id, job: Job, remote: Remote) {
+    pub(super) fn lend_spare_slot(
+        &mut self,
+        now: Time,
+        id: job::Id,
+        job: Job,
+        remote: RemoteRequest,
+    ) {
         let Some(origin) = job.origin else {
             return;
         };
@@ -84,7 +90,7 @@
             .filter(|pool| self.has_spare(now, pool, &job))
             .and_then(|pool| self.cheapest(now, pool, &job, 0, |_| true));
         let Some(choice) = choice.filter(|_| !self.leaving) else {
-            self.reply(origin, Answer::Denied);
+            self.send_lease_reply(origin, Answer::Denied);
             return;
         };
         self.remote.insert(origin, remote);
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -191,7 +191,7 @@
             .collect();
         for id in ids {
             let target = self.places.get(&id).cloned();
-            self.withdraw(id);
+            self.cancel_open_request(id);
             if let Some(pool) = target.and_then(|target| self.pools.get_mut(&target)) {
                 pool.queue.remove(id);
             }
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -42,9 +42,9 @@
         self.accounts.begin(now);
         self.members.forget(now);
         self.quarantine.forget(now);
-        self.stop_correcting(now);
+        self.expire_corrections(now);
         self.arrange(now);
-        self.count_others(now);
+        self.sum_remote_loads(now);
         self.take_rate_limits_heard(now);
         self.update_rests(now);
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
@@ -52,12 +52,12 @@
             self.refuse_expired(now, &target);
             self.note_open(now, &target);
             self.refuse_without_endpoint(now, &target);
-            self.resubmit_stuck(now, &target);
+            self.resubmit_stuck_requests(now, &target);
             self.resubmit_displaced(now, &target);
             self.place(now, &target);
-            self.seek_spare(now, &target);
+            self.request_spare_slots(now, &target);
         }
-        self.renew_questions(now);
+        self.renew_open_requests(now);
         paused
     }
 
@@ -71,9 +71,9 @@
         let before = (self.members.cell(), self.members.cells());
         self.members.arrange(now);
         if (self.members.cell(), self.members.cells()) != before {
-            self.assign_workers();
+            self.assign_cell_workers();
         }
-        self.check_remote(now);
+        self.check_remote_requests(now);
         self.wait_for_limits(now);
     }
 
@@ -86,7 +86,7 @@
                 return;
             };
             let job = pool.queue.remove(id);
-            self.withdraw(id);
+            self.cancel_open_request(id);
             let Some(job) = job else {
                 return;
             };
@@ -125,7 +125,7 @@
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 continue;
             };
-            self.withdraw(id);
+            self.cancel_open_request(id);
             let refusal = self.without_endpoint(now, &job, closed_for);
             self.refuse(now, id, job.origin, refusal);
         }
@@ -137,7 +137,7 @@
         let outage = now.since(job.arrived).max(closed_for);
         let retry_after = self.retry_after_estimate(now, outage, job.deadline.since(now));
         Refusal {
-            code: match job.bound.is_free() {
+            code: match job.bound.is_unrestricted() {
                 true => Code::NoEndpoint,
                 false => Code::RegionClosed,
             },
--- a/crates/dispatch/src/endpoint.rs
+++ b/crates/dispatch/src/endpoint.rs
@@ -20,7 +20,7 @@
     /// When it was started, in milliseconds since 1970 by its own host's clock; 0 if that
     /// is not known. Only ever compared with other values of the same endpoint, never with
     /// a clock.
-    pub born: u64,
+    pub started_at: u64,
     /// The service that it belongs to.
     pub service: id::Target,
     /// Where it listens.
@@ -42,17 +42,17 @@
     /// else.
     pub fn to_number(&self) -> u32 {
         let name = hash::of(self.name.as_str().as_bytes());
-        match self.born {
+        match self.started_at {
             0 => name as u32,
-            born => hash::chain(name, &born.to_le_bytes()) as u32,
+            started_at => hash::chain(name, &started_at.to_le_bytes()) as u32,
         }
     }
 
     /// Returns what identifies this start of the endpoint.
-    pub fn to_life(&self) -> Life {
-        Life {
+    pub fn to_instance(&self) -> Instance {
+        Instance {
             name: self.name.clone(),
-            born: self.born,
+            started_at: self.started_at,
         }
     }
 }
@@ -60,9 +60,9 @@
 /// Identifies one start of an endpoint. Connections to an earlier start are of no use for a
 /// later one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Life {
+pub struct Instance {
     name: id::Endpoint,
-    born: u64,
+    started_at: u64,
 }
 
 /// Returns the number that identifies a name in messages between nodes.
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -10,7 +10,7 @@
 
 use crate::configuration::Rank;
 use crate::lease::Origin;
-use crate::region::Bound;
+use crate::region::Constraint;
 
 /// Names a request within one life of one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -96,7 +96,7 @@
     /// True where it is barred, and is tried once more.
     pub trial: bool,
     /// In which regions it may run. Of another node's request only that node knows.
-    pub bound: Bound,
+    pub bound: Constraint,
 }
 
 impl Job {
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -121,7 +121,7 @@
         /// How it ended.
         end: End,
         /// What was observed of its call.
-        seen: Seen,
+        seen: Observation,
     },
     /// Its endpoint's answer named a rate limit, or no longer does. Only sent to nodes that
     /// keep rate limits.
@@ -133,7 +133,7 @@
 
 /// What was observed of a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// The number of its events.
     pub events: u32,
     /// The shortest time between two events, in microseconds.
--- a/crates/dispatch/src/parts.rs
+++ b/crates/dispatch/src/parts.rs
@@ -130,7 +130,7 @@
             limits: configuration.limits.clone(),
             keyed: configuration.customers.is_some(),
             parts: self.digests.clone(),
-            restrictions: Restrictions::of(configuration),
+            restrictions: Restrictions::from_configuration(configuration),
         }
     }
 
--- a/crates/dispatch/src/region.rs
+++ b/crates/dispatch/src/region.rs
@@ -29,28 +29,28 @@
     }
 
     /// Whether there is no restriction.
-    pub fn is_free(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.0.is_empty()
     }
 
     fn allow(&self, region: Option<&id::Region>) -> bool {
-        self.is_free() || region.is_some_and(|region| self.0.contains(region))
+        self.is_unrestricted() || region.is_some_and(|region| self.0.contains(region))
     }
 }
 
 /// The restrictions that apply to one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Bound {
+pub struct Constraint {
     /// The regions of its route.
     pub route: Regions,
     /// The regions of its customer.
     pub customer: Regions,
 }
 
-impl Bound {
+impl Constraint {
     /// Whether the request may run anywhere.
-    pub fn is_free(&self) -> bool {
-        self.route.is_free() && self.customer.is_free()
+    pub fn is_unrestricted(&self) -> bool {
+        self.route.is_unrestricted() && self.customer.is_unrestricted()
     }
 }
 
@@ -77,17 +77,17 @@
     }
 
     /// Whether a request may run in a data centre.
-    pub fn allows(&self, bound: &Bound, centre: &id::DataCentre) -> bool {
-        bound.is_free() || bound.allows(self.regions.get(centre))
+    pub fn allows(&self, bound: &Constraint, centre: &id::DataCentre) -> bool {
+        bound.is_unrestricted() || bound.allows(self.regions.get(centre))
     }
 
     /// Whether a request may run in the data centre with the given number.
-    pub fn allows_number(&self, bound: &Bound, centre: u32) -> bool {
-        bound.is_free() || bound.allows(self.by_number.get(&centre))
+    pub fn allows_number(&self, bound: &Constraint, centre: u32) -> bool {
+        bound.is_unrestricted() || bound.allows(self.by_number.get(&centre))
     }
 }
 
-impl Bound {
+impl Constraint {
     fn allows(&self, region: Option<&id::Region>) -> bool {
         self.route.allow(region) && self.customer.allow(region)
     }
@@ -111,17 +111,17 @@
 
 impl Restrictions {
     /// Collects the restrictions of a configuration.
-    pub fn of(configuration: &Configuration) -> Restrictions {
+    pub fn from_configuration(configuration: &Configuration) -> Restrictions {
         let mut found: BTreeMap<Regions, Restriction> = BTreeMap::new();
         let bound = configuration.routes.iter();
-        for route in bound.filter(|route| !route.regions.is_free()) {
+        for route in bound.filter(|route| !route.regions.is_unrestricted()) {
             let entry = found.entry(route.regions.clone()).or_default();
             entry
                 .routes
                 .push((route.host.clone(), route.prefix.clone()));
         }
         let bound = configuration.customers.iter().flatten();
-        for customer in bound.filter(|customer| !customer.regions.is_free()) {
+        for customer in bound.filter(|customer| !customer.regions.is_unrestricted()) {
             let entry = found.entry(customer.regions.clone()).or_default();
             entry.customers.push(customer.name.clone());
         }
--- a/crates/dispatch/src/restore.rs
+++ b/crates/dispatch/src/restore.rs
@@ -15,7 +15,7 @@
 use woadstage_types::unit::Time;
 
 use crate::endpoint::Endpoint;
-use crate::endpoint::Life;
+use crate::endpoint::Instance;
 use crate::endpoint::List;
 
 /// How long what was known goes before an older copy. An entry whose endpoint has ended
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct Memory {
     /// Endpoints that end in the era in force, with when that was noted.
-    ends: HashMap<Life, (End, Time)>,
+    ends: HashMap<Instance, (End, Time)>,
     /// What goes before the lists of the era in force.
     kept: Option<Kept>,
 }
@@ -48,9 +48,9 @@
 #[derive(Debug)]
 struct Kept {
     until: Time,
-    ends: HashMap<Life, (End, Time)>,
+    ends: HashMap<Instance, (End, Time)>,
     /// The latest start of each endpoint.
-    born: HashMap<id::Endpoint, u64>,
+    started_at: HashMap<id::Endpoint, u64>,
     /// Data centres that were evacuated.
     evacuated: Vec<id::DataCentre>,
 }
@@ -60,10 +60,10 @@
     pub fn note(&mut self, now: Time, before: &List, after: &List) {
         self.ends
             .retain(|_, (_, at)| now.since(*at) < REMEMBERED_FOR);
-        let listed: HashMap<Life, bool> = after
+        let listed: HashMap<Instance, bool> = after
             .endpoints
             .iter()
-            .map(|endpoint| (endpoint.to_life(), endpoint.leaving))
+            .map(|endpoint| (endpoint.to_instance(), endpoint.leaving))
             .collect();
         for (life, leaving) in &listed {
             match leaving {
@@ -74,7 +74,7 @@
         if !after.settled {
             return;
         }
-        for life in before.endpoints.iter().map(Endpoint::to_life) {
+        for life in before.endpoints.iter().map(Endpoint::to_instance) {
             if !listed.contains_key(&life) {
                 self.ends.insert(life, (End::Gone, now));
             }
@@ -93,12 +93,12 @@
         }
         evacuated.sort();
         evacuated.dedup();
-        let born = before.endpoints.iter();
-        let born = born.map(|endpoint| (endpoint.name.clone(), endpoint.born));
+        let started_at = before.endpoints.iter();
+        let started_at = started_at.map(|endpoint| (endpoint.name.clone(), endpoint.started_at));
         self.kept = Some(Kept {
             until: now + WRITTEN_AGAIN_WITHIN,
             ends,
-            born: born.collect(),
+            started_at: started_at.collect(),
             evacuated,
         });
     }
@@ -133,11 +133,11 @@
     /// An endpoint of an older copy, as it is known; none where it has ended or started
     /// again since.
     fn correct(&self, listed: &Endpoint) -> Option<Endpoint> {
-        let born = self.born.get(&listed.name).copied().unwrap_or(0);
-        if listed.born < born {
+        let started_at = self.started_at.get(&listed.name).copied().unwrap_or(0);
+        if listed.started_at < started_at {
             return None;
         }
-        match self.ends.get(&listed.to_life()) {
+        match self.ends.get(&listed.to_instance()) {
             Some((End::Gone, _)) => None,
             Some((End::Leaving, _)) => Some(Endpoint {
                 leaving: true,
--- a/crates/dispatch/tests/dispatch/fleet/leaving.rs
+++ b/crates/dispatch/tests/dispatch/fleet/leaving.rs
@@ -113,7 +113,7 @@
     let mut list = (*world.list).clone();
     list.revision += 1;
     for endpoint in &mut list.endpoints {
-        endpoint.born = u64::from(names.contains(&endpoint.name));
+        endpoint.started_at = u64::from(names.contains(&endpoint.name));
     }
     world.publish_to_readers(list);
     let from = world.now;
--- a/crates/dispatch/tests/dispatch/fleet/region_bound.rs
+++ b/crates/dispatch/tests/dispatch/fleet/region_bound.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use woadstage_dispatch::endpoint::List;
-use woadstage_dispatch::region::Bound;
+use woadstage_dispatch::region::Constraint;
 use woadstage_dispatch::region::Map;
 use woadstage_dispatch::region::Regions;
 use woadstage_types::id;
@@ -29,10 +29,10 @@
     })
 }
 
-fn north() -> Bound {
-    Bound {
+fn north() -> Constraint {
+    Constraint {
         route: Regions::new([id::Region::new("north")]),
-        ..Bound::default()
+        ..Constraint::default()
     }
 }
 
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -490,10 +490,10 @@
                 }
                 dispatcher.hear(now, from, *status);
             }
-            Message::Lease(request) => dispatcher.take_request(now, from, *request),
-            Message::Leased(reply) => dispatcher.take_reply(now, from, reply),
-            Message::Report(report) => dispatcher.take_report(now, from, report),
-            Message::Check(check) => dispatcher.answer_check(from, check),
+            Message::Lease(request) => dispatcher.receive_lease_request(now, from, *request),
+            Message::Leased(reply) => dispatcher.receive_lease_reply(now, from, reply),
+            Message::Report(report) => dispatcher.receive_lease_report(now, from, report),
+            Message::Check(check) => dispatcher.answer_lease_check(from, check),
             Message::Findings(findings) => dispatcher.take_findings(now, &findings),
             Message::Reserve(_) | Message::Reserved(_) | Message::Release(_) => {}
         }
--- a/crates/dispatch/tests/dispatch/lease/borrow.rs
+++ b/crates/dispatch/tests/dispatch/lease/borrow.rs
@@ -22,7 +22,7 @@
 fn a_request_runs_in_the_slot_that_was_given_and_its_end_is_told() {
     let (mut dispatcher, owner, request) = asking();
     assert!(starts(&mut dispatcher).is_empty());
-    dispatcher.take_reply(at(3), owner, granted(&request, "e3"));
+    dispatcher.receive_lease_reply(at(3), owner, granted(&request, "e3"));
     let started = starts(&mut dispatcher);
     assert_eq!(started[0].1, "e3");
     dispatcher.progress(at(50), started[0].0, 1);
@@ -46,7 +46,7 @@
 #[test]
 fn what_the_owner_tells_is_not_told_twice() {
     let (mut dispatcher, owner, request) = asking();
-    dispatcher.take_reply(at(3), owner, granted(&request, "e3"));
+    dispatcher.receive_lease_reply(at(3), owner, granted(&request, "e3"));
     assert!(dispatcher.status(at(4)).loads.is_empty());
     // Once the owner is silent, no other node reports the load.
     assert_eq!(dispatcher.status(at(10_000)).loads.len(), 1);
@@ -86,7 +86,7 @@
     leaving[3].leaving = true;
     dispatcher.set_endpoints(at(3), list(2, &leaving));
     dispatcher.take_messages();
-    dispatcher.take_reply(at(4), owner, granted(&request, "e3"));
+    dispatcher.receive_lease_reply(at(4), owner, granted(&request, "e3"));
     assert!(starts(&mut dispatcher).is_empty());
     let messages = dispatcher.take_messages();
     let reports = reports_of(messages.clone());
@@ -107,7 +107,7 @@
     let id = woadstage_dispatch::job::Id(1);
     dispatcher.abandon(at(3), id);
     assert_eq!(reports_of(dispatcher.take_messages()).len(), 1);
-    dispatcher.take_reply(at(4), owner, granted(&request, "e3"));
+    dispatcher.receive_lease_reply(at(4), owner, granted(&request, "e3"));
     assert!(starts(&mut dispatcher).is_empty());
     assert_eq!(reports_of(dispatcher.take_messages()).len(), 1);
 }
@@ -125,7 +125,7 @@
         number: request.number,
         answer: Answer::Refused(refusal),
     };
-    dispatcher.take_reply(at(3), owner, reply);
+    dispatcher.receive_lease_reply(at(3), owner, reply);
     let decisions = dispatcher.take_decisions();
     let passed_on = Refusal {
         owner: Some(owner),
--- a/crates/dispatch/tests/dispatch/lease/lend.rs
+++ b/crates/dispatch/tests/dispatch/lease/lend.rs
@@ -10,8 +10,8 @@
 use woadstage_dispatch::lease::Answer;
 use woadstage_dispatch::lease::Check;
 use woadstage_dispatch::lease::Event;
+use woadstage_dispatch::lease::Observation;
 use woadstage_dispatch::lease::Report;
-use woadstage_dispatch::lease::Seen;
 use woadstage_dispatch::message::Message;
 use woadstage_types::unit::Span;
 
@@ -28,7 +28,7 @@
 /// first request that waits.
 fn fill(owner: &mut Dispatcher, urgency: u8) -> u64 {
     for number in 1.. {
-        owner.take_request(at(2), node(50), question(number, urgency));
+        owner.receive_lease_request(at(2), node(50), question(number, urgency));
         let answers = answers_of(owner.take_messages());
         if answers == [Answer::Waiting] {
             return number;
@@ -41,9 +41,9 @@
 fn granted_after(owner: &mut Dispatcher, number: u64) -> Vec<SocketAddrV4> {
     let event = Event::Ended {
         end: End::Whole,
-        seen: Seen::default(),
+        seen: Observation::default(),
     };
-    owner.take_report(at(9), node(50), Report { number, event });
+    owner.receive_lease_report(at(9), node(50), Report { number, event });
     let messages = owner.take_messages().into_iter();
     let granted = messages.filter(|(_, message)| {
         matches!(message, Message::Leased(reply) if matches!(reply.answer, Answer::Granted { .. }))
@@ -55,8 +55,8 @@
 fn requests_of_other_nodes_wait_in_the_order_of_their_ranks() {
     let mut owner = owning();
     fill(&mut owner, 0);
-    owner.take_request(at(3), node(51), question(1, 2));
-    owner.take_request(at(4), node(52), question(1, 0));
+    owner.receive_lease_request(at(3), node(51), question(1, 2));
+    owner.receive_lease_request(at(4), node(52), question(1, 0));
     owner.take_messages();
     assert_eq!(granted_after(&mut owner, 1), [node(50)]);
     assert_eq!(granted_after(&mut owner, 2), [node(52)]);
@@ -65,8 +65,8 @@
 #[test]
 fn a_question_that_comes_twice_gets_the_same_slot() {
     let mut owner = owning();
-    owner.take_request(at(2), node(50), question(1, 2));
-    owner.take_request(at(3), node(50), question(1, 2));
+    owner.receive_lease_request(at(2), node(50), question(1, 2));
+    owner.receive_lease_request(at(3), node(50), question(1, 2));
     let answers = answers_of(owner.take_messages());
     assert_eq!(answers.len(), 2);
     assert_eq!(answers[0], answers[1]);
@@ -76,12 +76,12 @@
 #[test]
 fn another_life_of_a_node_does_not_inherit_its_slots() {
     let mut owner = owning();
-    owner.take_request(at(2), node(50), question(1, 2));
+    owner.receive_lease_request(at(2), node(50), question(1, 2));
     let other_life = lease::Request {
         incarnation: 77,
         ..question(1, 2)
     };
-    owner.take_request(at(3), node(50), other_life);
+    owner.receive_lease_request(at(3), node(50), other_life);
     assert_eq!(owner.held_for_others(), 1);
 }
 
@@ -90,7 +90,7 @@
 #[case::its_node_is_gone(false)]
 fn a_slot_of_which_nothing_is_heard_is_asked_after(#[case] answers: bool) {
     let mut owner = owning();
-    owner.take_request(at(2), node(50), question(1, 2));
+    owner.receive_lease_request(at(2), node(50), question(1, 2));
     owner.take_messages();
     for millis in (100..6_000).step_by(100) {
         owner.tick(at(millis));
@@ -101,7 +101,7 @@
                 number: 1,
                 event: Event::Held,
             };
-            owner.take_report(at(millis), node(50), held);
+            owner.receive_lease_report(at(millis), node(50), held);
         }
     }
     assert_eq!(owner.held_for_others(), usize::from(answers));
@@ -113,14 +113,14 @@
 fn only_what_is_to_spare_goes_to_another_cell(#[case] taken: u64, #[case] given: bool) {
     let mut owner = owning();
     for number in 0..taken {
-        owner.take_request(at(2), node(50), question(number, 2));
+        owner.receive_lease_request(at(2), node(50), question(number, 2));
     }
     owner.take_messages();
     let spare = lease::Request {
         spare: true,
         ..question(1, 2)
     };
-    owner.take_request(at(3), node(60), spare);
+    owner.receive_lease_request(at(3), node(60), spare);
     let answers = answers_of(owner.take_messages());
     assert_eq!(matches!(answers[..], [Answer::Granted { .. }]), given);
     assert_eq!(answers.contains(&Answer::Denied), !given);
@@ -152,7 +152,7 @@
         tried: vec![1],
         ..question(90, 2)
     };
-    owner.take_request(at(100), node(60), late);
+    owner.receive_lease_request(at(100), node(60), late);
     owner.tick(at(140));
     let answers = answers_of(owner.take_messages());
     assert!(
@@ -171,8 +171,8 @@
 ) {
     let usual = least_objective(&mut owning());
     let mut owner = owning();
-    owner.take_request(at(2), node(50), question(1, 2));
-    owner.take_report(at(60_000), node(50), Report { number: 1, event });
+    owner.receive_lease_request(at(2), node(50), question(1, 2));
+    owner.receive_lease_report(at(60_000), node(50), Report { number: 1, event });
     assert_eq!(least_objective(&mut owner) > usual, learnt);
 }
 
@@ -188,7 +188,7 @@
             age: Span::ZERO,
             ..question(number, 2)
         };
-        owner.take_request(at(3), node(70), asked);
+        owner.receive_lease_request(at(3), node(70), asked);
         let answers = answers_of(owner.take_messages());
         answers == [Answer::Waiting]
     });
--- a/crates/dispatch/tests/dispatch/lease/mod.rs
+++ b/crates/dispatch/tests/dispatch/lease/mod.rs
@@ -11,9 +11,9 @@
 use woadstage_dispatch::lease;
 use woadstage_dispatch::lease::Answer;
 use woadstage_dispatch::lease::Event;
+use woadstage_dispatch::lease::Observation;
 use woadstage_dispatch::lease::Reply;
 use woadstage_dispatch::lease::Report;
-use woadstage_dispatch::lease::Seen;
 use woadstage_dispatch::message::Message;
 use woadstage_dispatch::message::Status;
 use woadstage_types::unit::Span;
@@ -162,7 +162,7 @@
         number: 700,
         event: Event::Ended {
             end: End::Whole,
-            seen: Seen {
+            seen: Observation {
                 events: 40,
                 step: Some(37_000),
                 took: None,
--- a/crates/dispatch/tests/dispatch/parts.rs
+++ b/crates/dispatch/tests/dispatch/parts.rs
@@ -64,7 +64,10 @@
 fn to_customer(entry: Entry) -> Customer {
     Customer {
         name: id::Customer::new(&format!("customer-{}", entry.number)),
-        keys: vec![Key::of(&format!("{}-{}", entry.number, entry.form))],
+        keys: vec![Key::from_secret(&format!(
+            "{}-{}",
+            entry.number, entry.form
+        ))],
         priority: Some(entry.form),
         quota: None,
         regions: regions(entry),
@@ -145,10 +148,10 @@
     let (parts, head) = (snapshot.parts, snapshot.head.expect("a head"));
     let (arrived, lost) = parts.split_at(parts.len() * 3 / 4);
     for part in arrived {
-        behind.keep_part(part.clone());
+        behind.add_part(part.clone());
     }
     // Not all of it is there.
-    assert!(!behind.take_head(at(1), &head));
+    assert!(!behind.receive_head(at(1), &head));
     assert_eq!(behind.configuration_version(), 0);
     let rest = other.snapshot(&ask(&other, &mut behind));
     assert_eq!(rest.parts, lost);
@@ -161,7 +164,7 @@
     let (old, next) = (node(1, long(7, 0)), node(2, long(8, 1)));
     let mut behind = Dispatcher::new(options(3));
     for part in old.snapshot(&ask(&old, &mut behind)).parts {
-        behind.keep_part(part);
+        behind.add_part(part);
     }
     let rest = next.snapshot(&ask(&next, &mut behind));
     assert!(rest.parts.len() <= 3, "{}", rest.parts.len());
@@ -174,7 +177,7 @@
         let entries: Vec<Entry> = (0..ROUTES).map(|number| Entry { number, form }).collect();
         let newer = node(1, to_configuration(8, &entries));
         for part in newer.snapshot(&Pull::default()).parts {
-            behind.keep_part(part);
+            behind.add_part(part);
         }
     }
     let newest = node(2, long(9, 1));
@@ -204,7 +207,7 @@
         let broken = newer.snapshot(&ask(&newer, &mut behind)).parts;
         let arrived = broken.len() * usize::from(lost) / 256;
         for part in broken.into_iter().take(arrived) {
-            behind.keep_part(part);
+            behind.add_part(part);
         }
         pass_on(&newer, &mut behind);
         assert_eq!(in_force(&behind), in_force(&newer));
--- a/crates/dispatch/tests/dispatch/publish.rs
+++ b/crates/dispatch/tests/dispatch/publish.rs
@@ -65,7 +65,7 @@
     assert_eq!(own.edition().revision, 10);
     // A head that arrives late changes nothing either.
     let late = older.snapshot(&Pull::default()).head.expect("a head");
-    assert!(!own.take_head(at(1), &late));
+    assert!(!own.receive_head(at(1), &late));
 }
 
 #[test]
@@ -186,9 +186,9 @@
 }
 
 /// Returns an endpoint with the given start, in milliseconds since 1970.
-fn born(name: &str, born: u64) -> Endpoint {
+fn started_at(name: &str, started_at: u64) -> Endpoint {
     Endpoint {
-        born,
+        started_at,
         ..endpoint(name, MODEL, 1)
     }
 }
@@ -196,13 +196,13 @@
 /// A restart ends what ran at the endpoint and clears its prompt cache.
 #[test]
 fn an_endpoint_that_starts_again_under_its_name_has_nothing_of_before() {
-    let mut dispatcher = dispatcher(&[born("e", 1_000)]);
+    let mut dispatcher = dispatcher(&[started_at("e", 1_000)]);
     let ran = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     assert_eq!(starts(&mut dispatcher).len(), 1);
     // Its only slot is taken.
     dispatcher.enter(at(1), job(MODEL, 2, at(1)));
     assert_eq!(starts(&mut dispatcher), []);
-    dispatcher.set_endpoints(at(2), list(2, &[born("e", 2_000)]));
+    dispatcher.set_endpoints(at(2), list(2, &[started_at("e", 2_000)]));
     assert_eq!(starts(&mut dispatcher).len(), 1);
     // The broken connection to the earlier start doesn't count against the later one.
     dispatcher.end(at(3), ran, End::Lost);
@@ -215,11 +215,14 @@
 /// What other nodes reported of the earlier start doesn't hold for the later one.
 #[test]
 fn each_start_of_an_endpoint_has_a_number_of_its_own() {
-    let numbers = [0, 1_000, 2_000].map(|start| born("e", start).to_number());
+    let numbers = [0, 1_000, 2_000].map(|start| started_at("e", start).to_number());
     assert_ne!(numbers[0], numbers[1]);
     assert_ne!(numbers[1], numbers[2]);
-    assert_ne!(born("e", 1_000).to_life(), born("e", 2_000).to_life());
-    assert_eq!(born("e", 1_000).to_number(), numbers[1]);
+    assert_ne!(
+        started_at("e", 1_000).to_instance(),
+        started_at("e", 2_000).to_instance()
+    );
+    assert_eq!(started_at("e", 1_000).to_number(), numbers[1]);
 }
 
 /// Others may write under the same keys. Endpoints of a service that isn't configured are
--- a/crates/dispatch/tests/dispatch/quota/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota/mod.rs
@@ -20,7 +20,7 @@
 const QUOTA: Quota = Quota {
     per_second: 1_000.0,
     burst: 1_000.0,
-    plain_tokens: Some(1),
+    default_tokens: Some(1),
 };
 
 fn urgent(units: u64) -> Demand {
--- a/crates/dispatch/tests/dispatch/quota_fleet/world.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/world.rs
@@ -62,7 +62,7 @@
     Quota {
         per_second: rate,
         burst: rate * 2.0,
-        plain_tokens: Some(1),
+        default_tokens: Some(1),
     }
 }
 
--- a/crates/dispatch/tests/dispatch/region.rs
+++ b/crates/dispatch/tests/dispatch/region.rs
@@ -9,7 +9,7 @@
 use woadstage_dispatch::endpoint::Endpoint;
 use woadstage_dispatch::job::End;
 use woadstage_dispatch::job::Job;
-use woadstage_dispatch::region::Bound;
+use woadstage_dispatch::region::Constraint;
 use woadstage_dispatch::region::Map;
 use woadstage_dispatch::region::Regions;
 use woadstage_dispatch::region::Restrictions;
@@ -62,7 +62,7 @@
 
 fn bound(route: &str, customer: &str) -> Job {
     Job {
-        bound: Bound {
+        bound: Constraint {
             route: regions(route),
             customer: regions(customer),
         },
@@ -123,7 +123,7 @@
     let mut configuration = Configuration::clone(&configuration(4));
     configuration.routes[0].regions = regions("north");
     configuration.routes[2].regions = regions("north south");
-    let restrictions = Restrictions::of(&configuration);
+    let restrictions = Restrictions::from_configuration(&configuration);
     let mut other = Configuration::clone(&configuration);
     for route in &mut other.routes {
         route.regions = regions("west");
--- a/crates/dispatch/tests/dispatch/restore.rs
+++ b/crates/dispatch/tests/dispatch/restore.rs
@@ -71,9 +71,9 @@
     }
 }
 
-fn born(name: &str, born: u64) -> Endpoint {
+fn started_at(name: &str, started_at: u64) -> Endpoint {
     Endpoint {
-        born,
+        started_at,
         ..plain(name)
     }
 }
@@ -119,16 +119,16 @@
 
 #[test]
 fn an_older_start_of_the_same_name_is_not_believed() {
-    let mut dispatcher = know(&[born("a", 5), plain("b")]);
+    let mut dispatcher = know(&[started_at("a", 5), plain("b")]);
     publish(
         &mut dispatcher,
         1_000,
         (1, 101),
-        &[born("a", 9), plain("b")],
+        &[started_at("a", 9), plain("b")],
     );
-    restore(&mut dispatcher, &[born("a", 5), plain("b")]);
+    restore(&mut dispatcher, &[started_at("a", 5), plain("b")]);
     let known = dispatcher.endpoints().endpoints.iter();
-    let mut known: Vec<u64> = known.map(|one| one.born).collect();
+    let mut known: Vec<u64> = known.map(|one| one.started_at).collect();
     known.sort();
     assert_eq!(known, [0, 9]);
 }
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -28,7 +28,7 @@
 use woadstage_dispatch::quarantine;
 use woadstage_dispatch::quota;
 use woadstage_dispatch::region;
-use woadstage_dispatch::region::Bound;
+use woadstage_dispatch::region::Constraint;
 use woadstage_dispatch::region::Regions;
 use woadstage_dispatch::warm;
 use woadstage_dispatch::wire;
@@ -91,11 +91,11 @@
                 to.set_endpoints(at(1), Arc::new(difference.into_list(&base)));
             }
             Frame::Head(newer) => head = Some(newer),
-            Frame::Part(part) => to.keep_part(part),
+            Frame::Part(part) => to.add_part(part),
         }
     }
     if let Some(head) = head {
-        to.take_head(at(1), &head);
+        to.receive_head(at(1), &head);
     }
     bytes
 }
@@ -159,7 +159,7 @@
 pub fn endpoint(name: &str, service: &str, slots: u32) -> Endpoint {
     Endpoint {
         name: id::Endpoint::new(name),
-        born: 0,
+        started_at: 0,
         service: id::Target::new(service),
         address: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 1), 8_080),
         data_centre: id::DataCentre::new("a"),
@@ -211,7 +211,7 @@
         only: None,
         avoided: Vec::new(),
         trial: false,
-        bound: Bound::default(),
+        bound: Constraint::default(),
     }
 }
 
--- a/crates/dispatch/tests/dispatch/table.rs
+++ b/crates/dispatch/tests/dispatch/table.rs
@@ -24,7 +24,7 @@
 fn table() -> Table {
     let customer = Customer {
         name: id::Customer::new("customer"),
-        keys: vec![Key::of("secret")],
+        keys: vec![Key::from_secret("secret")],
         priority: None,
         quota: None,
         regions: Default::default(),
@@ -83,7 +83,7 @@
     #[case] expected: Result<Option<&str>, Code>,
 ) {
     let table = table();
-    let found = table.find("host.example", path, key.map(Key::of));
+    let found = table.find("host.example", path, key.map(Key::from_secret));
     let found = found.map(|found| found.customer.map(|customer| customer.name.as_str()));
     assert_eq!(found, expected);
 }
@@ -117,5 +117,5 @@
 
 #[test]
 fn keys_are_not_shown() {
-    assert!(!format!("{:?}", Key::of("secret")).contains("secret"));
+    assert!(!format!("{:?}", Key::from_secret("secret")).contains("secret"));
 }
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -26,7 +26,7 @@
 use woadstage_dispatch::lease;
 use woadstage_dispatch::lease::Answer;
 use woadstage_dispatch::lease::Event;
-use woadstage_dispatch::lease::Seen;
+use woadstage_dispatch::lease::Observation;
 use woadstage_dispatch::message::Frame;
 use woadstage_dispatch::message::Known;
 use woadstage_dispatch::message::Load;
@@ -209,7 +209,7 @@
     };
     let ended = Event::Ended {
         end: End::Whole,
-        seen: Seen {
+        seen: Observation {
             events: 9,
             step: Some(6_120),
             took: Some(Span::from_millis(64)),
@@ -273,7 +273,7 @@
 fn list() -> List {
     let endpoint = |name: &str, leaving| Endpoint {
         name: id::Endpoint::new(name),
-        born: 1_700_000_000_123,
+        started_at: 1_700_000_000_123,
         service: id::Target::new("service"),
         address: address(4),
         data_centre: id::DataCentre::new("a"),
@@ -321,17 +321,17 @@
         limits: Limits {
             head: Size::from_kib(16),
             body: Size::from_mib(4),
-            head_within: Span::from_secs(3),
-            idle: Span::from_secs(15),
+            head_timeout: Span::from_secs(3),
+            idle_timeout: Span::from_secs(15),
         },
         customers: Some(vec![Customer {
             name: id::Customer::new("customer"),
-            keys: vec![Key::of("secret")],
+            keys: vec![Key::from_secret("secret")],
             priority: Some(1),
             quota: Some(Quota {
                 per_second: 20.5,
                 burst: 40.0,
-                plain_tokens: Some(100),
+                default_tokens: Some(100),
             }),
             regions: Regions::new([id::Region::new("north")]),
         }]),
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -89,16 +89,18 @@
                 shell.command(|dispatcher, _| dispatcher.release(&release));
             }
             Some(Message::Lease(request)) => {
-                shell.command(|dispatcher, now| dispatcher.take_request(now, from, *request));
+                shell.command(|dispatcher, now| {
+                    dispatcher.receive_lease_request(now, from, *request)
+                });
             }
             Some(Message::Leased(reply)) => {
-                shell.command(|dispatcher, now| dispatcher.take_reply(now, from, reply));
+                shell.command(|dispatcher, now| dispatcher.receive_lease_reply(now, from, reply));
             }
             Some(Message::Report(report)) => {
-                shell.command(|dispatcher, now| dispatcher.take_report(now, from, report));
+                shell.command(|dispatcher, now| dispatcher.receive_lease_report(now, from, report));
             }
             Some(Message::Check(check)) => {
-                shell.command(|dispatcher, _| dispatcher.answer_check(from, check));
+                shell.command(|dispatcher, _| dispatcher.answer_lease_check(from, check));
             }
             Some(Message::Findings(findings)) => {
                 shell.command(|dispatcher, now| dispatcher.take_findings(now, &findings));
--- a/crates/gateway/src/peers/transfer/take.rs
+++ b/crates/gateway/src/peers/transfer/take.rs
@@ -73,7 +73,7 @@
                 publish::set_endpoints(shell, &name, Arc::new(list));
             }
             Frame::Head(newer) => head = Some(newer),
-            Frame::Part(part) => shell.command(|dispatcher, _| dispatcher.keep_part(part)),
+            Frame::Part(part) => shell.command(|dispatcher, _| dispatcher.add_part(part)),
         }
     }
     if let Some(head) = head {
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -10,7 +10,7 @@
 use woadstage_dispatch::job::Fingerprint;
 use woadstage_dispatch::job::History;
 use woadstage_dispatch::job::Job;
-use woadstage_dispatch::region::Bound;
+use woadstage_dispatch::region::Constraint;
 use woadstage_dispatch::region::Regions;
 use woadstage_dispatch::table::Table;
 use woadstage_types::code::Code;
@@ -93,14 +93,14 @@
     let (scheme, key) = authorization.split_once(' ')?;
     scheme
         .eq_ignore_ascii_case("bearer")
-        .then(|| Key::of(key.trim()))
+        .then(|| Key::from_secret(key.trim()))
 }
 
 impl Admitted {
     /// The units that the request counts against its customer's quota.
     pub fn units(&self, headers: &Headers, head: &Parts) -> u64 {
         let quota = self.customer.as_ref().and_then(|customer| customer.quota);
-        let Some(plain) = quota.and_then(|quota| quota.plain_tokens) else {
+        let Some(plain) = quota.and_then(|quota| quota.default_tokens) else {
             return 1;
         };
         let tokens = headers.to_tokens(&head.headers);
@@ -143,7 +143,7 @@
             only: None,
             avoided: Vec::new(),
             trial: false,
-            bound: Bound {
+            bound: Constraint {
                 route: self.route.regions.clone(),
                 customer: customer.map_or_else(Regions::default, |one| one.regions.clone()),
             },
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -86,16 +86,16 @@
     });
     let closes = shell.phase() >= Phase::Closing;
     // The library counts a rest between requests as time for the head.
-    let head_within = if closes {
-        limits.head_within
+    let head_timeout = if closes {
+        limits.head_timeout
     } else {
-        limits.idle
+        limits.idle_timeout
     };
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .keep_alive(!closes)
-        .header_read_timeout(to_duration(head_within))
+        .header_read_timeout(to_duration(head_timeout))
         .max_buf_size((limits.head.0 as usize).max(HEAD_LEAST))
         .auto_date_header(false);
     let server = shell.clone();
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -226,7 +226,7 @@
         let shell = self.exchange.shell.clone();
         let keep = self.keep;
         tokio::task::spawn_local(async move {
-            let life = endpoint.to_life();
+            let life = endpoint.to_instance();
             if let Some(connection) = reuse::rested(connection, keep).await {
                 let most = shell.query(|dispatcher, now| {
                     dispatcher.connections_at_rest(now, &endpoint.service)
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -15,7 +15,7 @@
 use hyper::client::conn::http1::SendRequest;
 use tokio::task::JoinHandle;
 use woadstage_dispatch::endpoint::Endpoint;
-use woadstage_dispatch::endpoint::Life;
+use woadstage_dispatch::endpoint::Instance;
 use woadstage_types::unit::Time;
 
 mod connect;
@@ -77,7 +77,7 @@
 /// All connections at rest, and endpoints that may have ended.
 #[derive(Default)]
 pub struct Upstream {
-    idle: RefCell<HashMap<Life, Vec<Idle>>>,
+    idle: RefCell<HashMap<Instance, Vec<Idle>>>,
     /// Numbers of endpoints that are looked after.
     probed: RefCell<HashSet<u32>>,
 }
@@ -101,7 +101,7 @@
     ) -> Result<Answer, Fault> {
         let mut request = request;
         for _ in 0..KEPT_TRIES {
-            let Some(connection) = self.take(now, &endpoint.to_life()) else {
+            let Some(connection) = self.take(now, &endpoint.to_instance()) else {
                 break;
             };
             match send(connection, request).await {
--- a/crates/gateway/src/upstream/reuse.rs
+++ b/crates/gateway/src/upstream/reuse.rs
@@ -6,7 +6,7 @@
 
 use hyper::HeaderMap;
 use hyper::header;
-use woadstage_dispatch::endpoint::Life;
+use woadstage_dispatch::endpoint::Instance;
 use woadstage_types::unit::Time;
 
 use super::Connection;
@@ -31,7 +31,7 @@
 
 impl Upstream {
     /// Takes the connection to an endpoint that rested longest.
-    pub(super) fn take(&self, now: Time, endpoint: &Life) -> Option<Connection> {
+    pub(super) fn take(&self, now: Time, endpoint: &Instance) -> Option<Connection> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(endpoint)?;
         idle.retain(|one| one.until > now && !one.connection.sender.is_closed());
@@ -48,7 +48,7 @@
     pub fn keep(
         &self,
         now: Time,
-        endpoint: Life,
+        endpoint: Instance,
         connection: Connection,
         keep: Duration,
         most: usize,
--- a/crates/gateway/tests/gateway/callers.rs
+++ b/crates/gateway/tests/gateway/callers.rs
@@ -84,7 +84,7 @@
         let quota = Quota {
             per_second: 0.01,
             burst: 8.0,
-            plain_tokens: None,
+            default_tokens: None,
         };
         let gateway = Gateway::with(
             &[&worker],
--- a/crates/gateway/tests/gateway/support/gateway.rs
+++ b/crates/gateway/tests/gateway/support/gateway.rs
@@ -134,7 +134,7 @@
         }],
         customers: Some(vec![Customer {
             name: id::Customer::new("customer"),
-            keys: vec![Key::of(KEY)],
+            keys: vec![Key::from_secret(KEY)],
             priority: None,
             quota,
             regions: Default::default(),
@@ -258,7 +258,7 @@
 pub fn to_endpoint(worker: &Worker) -> Endpoint {
     Endpoint {
         name: id::Endpoint::new(worker.name),
-        born: 0,
+        started_at: 0,
         service: id::Target::new(SERVICE),
         address: worker.address,
         data_centre: id::DataCentre::new("a"),
