--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -170,7 +170,7 @@
         let mut questions = questions.map(|question| (question.owner, question.number));
         let asked = (from, check.number);
         if leases.any(|lease| lease == asked) || questions.any(|question| question == asked) {
-            self.report(from, check.number, lease::Event::Held);
+            self.send_lease_report(from, check.number, lease::Event::Held);
         } else {
             self.release_slot(from, check.number, End::Abandoned);
         }
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -236,7 +236,7 @@
             rank: job.rank,
             tried_for: job.arrived.since(job.first_try),
             age: now.since(job.arrived),
-            within: job.deadline.since(job.arrived),
+            time_limit: job.deadline.since(job.arrived),
             objective: job.objective,
             patience: job.patience,
             pause: job.pause,
@@ -359,10 +359,15 @@
     /// Tells an owner that a slot, or a place in its queue, is not used.
     pub(super) fn release_slot(&mut self, owner: SocketAddrV4, number: u64, end: End) {
         let seen = Observation::default();
-        self.report(owner, number, lease::Event::Ended { end, seen });
+        self.send_lease_report(owner, number, lease::Event::Ended { end, seen });
     }
 
-    pub(super) fn report(&mut self, owner: SocketAddrV4, number: u64, event: lease::Event) {
+    pub(super) fn send_lease_report(
+        &mut self,
+        owner: SocketAddrV4,
+        number: u64,
+        event: lease::Event,
+    ) {
         let report = lease::Report { number, event };
         self.outbox.push((owner, Message::Report(report)));
     }
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -47,7 +47,7 @@
     fn report_rate_limit(&mut self, lease: Lease, limit: Option<Limit>) {
         if self.members.keeps_rate_limits(lease.owner) {
             let event = lease::Event::RateLimit { limit };
-            self.report(lease.owner, lease.number, event);
+            self.send_lease_report(lease.owner, lease.number, event);
         }
     }
 
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -150,7 +150,7 @@
             attempts: 1,
             arrived,
             first_try: arrived - request.tried_for,
-            deadline: arrived + request.within,
+            deadline: arrived + request.time_limit,
             objective: request.objective,
             patience: request.patience,
             pause: request.pause,
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -80,7 +80,7 @@
         }
         self.urgent |= first && run.lease.is_none();
         if let Some((lease, event)) = told {
-            self.report(lease.owner, lease.number, event);
+            self.send_lease_report(lease.owner, lease.number, event);
         }
     }
 
@@ -101,7 +101,7 @@
             worker.pending = worker.pending.saturating_sub(run.uncached);
         }
         if let Some(lease) = run.lease {
-            self.report(lease.owner, lease.number, lease::Event::Progress);
+            self.send_lease_report(lease.owner, lease.number, lease::Event::Progress);
         }
     }
 
@@ -177,7 +177,7 @@
                 took: matches!(end, End::Whole | End::Rejected).then(|| now.since(run.started)),
             };
             let event = lease::Event::Ended { end, seen };
-            self.report(lease.owner, lease.number, event);
+            self.send_lease_report(lease.owner, lease.number, event);
         }
         let Some(pool) = self.pools.get_mut(&run.job.target) else {
             return run.job;
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -194,7 +194,7 @@
 
     /// Assembles and applies a configuration from the parts that other nodes sent. Returns
     /// false if one at least as new is in force or if parts are missing.
-    pub fn receive_head(&mut self, now: Time, head: &Head) -> bool {
+    pub fn receive_manifest(&mut self, now: Time, head: &Head) -> bool {
         if head.version <= self.configuration_version() {
             return false;
         }
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -61,7 +61,7 @@
 impl Dispatcher {
     /// Handles another node's status. The load it reports counts from the next tick on,
     /// which keeps a status cheap to handle in a large fleet.
-    pub fn hear(&mut self, now: Time, from: SocketAddrV4, mut status: Status) -> News {
+    pub fn receive_status(&mut self, now: Time, from: SocketAddrV4, mut status: Status) -> News {
         self.accounts.begin(now);
         let findings = std::mem::take(&mut status.findings);
         let rate_limits = std::mem::take(&mut status.rate_limits);
@@ -279,7 +279,7 @@
     /// configuration only if that node has a newer one. The sections in the answer have to
     /// be combined with the list that is in force now ([`Difference::into_list`]).
     pub fn pull(&self, from: SocketAddrV4) -> Pull {
-        let known = self.known();
+        let known = self.versions();
         let newer = self.members.configuration(from) > known.configuration;
         let in_force = self.table.iter().flat_map(|table| table.parts().digests());
         let held = in_force.copied().chain(self.received.digests());
@@ -292,7 +292,7 @@
     }
 
     /// Returns the versions of the documents that this node has.
-    pub fn known(&self) -> Known {
+    pub fn versions(&self) -> Known {
         Known {
             configuration: self.configuration_version(),
             endpoints: self.list.edition(),
@@ -301,8 +301,13 @@
 
     /// Returns a node that has a newer version of a document, if any. Each `attempt` yields
     /// another node if there are several.
-    pub fn ahead_opt(&self, now: Time, document: Document, attempt: u64) -> Option<SocketAddrV4> {
-        let known = self.known().only(document);
+    pub fn newer_peer_opt(
+        &self,
+        now: Time,
+        document: Document,
+        attempt: u64,
+    ) -> Option<SocketAddrV4> {
+        let known = self.versions().only(document);
         self.members.ahead_opt(now, known, attempt)
     }
 
@@ -312,7 +317,7 @@
     }
 
     /// Returns which nodes read the platform, as seen by this node.
-    pub fn reading(&self, now: Time) -> Reading {
+    pub fn role(&self, now: Time) -> Reading {
         match self.list.revision {
             0 => self.members.first_reading(now, self.accounts.met_at()),
             _ => self.members.reading(now),
@@ -320,7 +325,7 @@
     }
 
     /// Tells the other nodes whether this node is cut off from the platform.
-    pub fn set_cut_off(&mut self, cut_off: bool) {
+    pub fn set_platform_unreachable(&mut self, cut_off: bool) {
         self.urgent |= self.cut_off != cut_off;
         self.cut_off = cut_off;
     }
--- a/crates/dispatch/src/dispatcher/take_notice.rs
+++ b/crates/dispatch/src/dispatcher/take_notice.rs
@@ -119,7 +119,7 @@
         let was_cold = worker.cold.is_cold(now);
         worker.cold.extend(now, cold_for);
         if let Some(lease) = lease {
-            self.report(lease.owner, lease.number, lease::Event::Cold { cold_for });
+            self.send_lease_report(lease.owner, lease.number, lease::Event::Cold { cold_for });
         }
         (!was_cold).then_some(Change::Cold { lasts: cold_for })
     }
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -50,7 +50,7 @@
     /// The time since the arrival of the caller's request.
     pub age: Span,
     /// The time from its arrival to its deadline.
-    pub within: Span,
+    pub time_limit: Span,
     /// The time from the caller's first attempt within which the answer counts as in time.
     pub objective: Span,
     /// How long the caller waits for the answer, or its first event.
--- a/crates/dispatch/tests/dispatch/connections.rs
+++ b/crates/dispatch/tests/dispatch/connections.rs
@@ -38,7 +38,7 @@
             sequence: 1,
             ..Status::default()
         };
-        dispatcher.hear(at(2), node(other), status);
+        dispatcher.receive_status(at(2), node(other), status);
     }
     let service = id::Target::new(SERVICE);
     assert_eq!(dispatcher.connections_at_rest(at(3), &service), kept);
--- a/crates/dispatch/tests/dispatch/fleet/world/lists.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/lists.rs
@@ -75,7 +75,7 @@
         if dispatcher.edition().revision > 0 || links.busy.contains(&node) {
             return;
         }
-        if dispatcher.reading(now) != Reading::Resting {
+        if dispatcher.role(now) != Reading::Resting {
             links.busy.insert(node);
             let read = links.read(now);
             self.plan(read, Event::Read(node));
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -386,7 +386,7 @@
                     return;
                 };
                 dispatcher.tick(now);
-                let ahead = dispatcher.ahead_opt(now, Document::Endpoints, self.next);
+                let ahead = dispatcher.newer_peer_opt(now, Document::Endpoints, self.next);
                 for (status, due) in dispatcher.statuses(now) {
                     for to in due {
                         let message = Box::new(Message::Status(Box::new(status.clone())));
@@ -488,7 +488,7 @@
                     status.rate_limits.clear();
                     status.notices.clear();
                 }
-                dispatcher.hear(now, from, *status);
+                dispatcher.receive_status(now, from, *status);
             }
             Message::Lease(request) => dispatcher.receive_lease_request(now, from, *request),
             Message::Leased(reply) => dispatcher.receive_lease_reply(now, from, reply),
--- a/crates/dispatch/tests/dispatch/lease/mod.rs
+++ b/crates/dispatch/tests/dispatch/lease/mod.rs
@@ -58,7 +58,7 @@
         data_centre: endpoint::number_of("a"),
         ..Status::default()
     };
-    dispatcher.hear(at(1), node(other), status);
+    dispatcher.receive_status(at(1), node(other), status);
 }
 
 fn request_of(messages: Vec<(SocketAddrV4, Message)>) -> Option<(SocketAddrV4, lease::Request)> {
--- a/crates/dispatch/tests/dispatch/order.rs
+++ b/crates/dispatch/tests/dispatch/order.rs
@@ -80,7 +80,7 @@
         waiting: vec![waiting],
         ..Status::default()
     };
-    dispatcher.hear(at(10), node(2), status);
+    dispatcher.receive_status(at(10), node(2), status);
     dispatcher.tick(at(10));
     let routine = dispatcher.enter(at(11), job(MODEL, 2, at(11)));
     assert_eq!(starts(&mut dispatcher), []);
@@ -115,7 +115,7 @@
         loads: vec![load],
         ..Status::default()
     };
-    dispatcher.hear(at(10), node(2), status);
+    dispatcher.receive_status(at(10), node(2), status);
     dispatcher.tick(at(10));
     for millis in 11..14 {
         dispatcher.enter(at(millis), job(MODEL, 2, at(millis)));
--- a/crates/dispatch/tests/dispatch/outcomes.rs
+++ b/crates/dispatch/tests/dispatch/outcomes.rs
@@ -233,7 +233,7 @@
 fn still_gets_work(said: Vec<(std::net::SocketAddrV4, Status)>) -> bool {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4)]);
     for (from, status) in said {
-        dispatcher.hear(at(0), from, status);
+        dispatcher.receive_status(at(0), from, status);
     }
     dispatcher.tick(at(1));
     dispatcher.enter(at(2), once(1));
@@ -266,7 +266,7 @@
     dispatcher.end(at(10), id, End::Whole);
     for number in [2, 3] {
         let (from, status) = finds(number, Trouble::Unreachable, &["e"]);
-        dispatcher.hear(at(20), from, status);
+        dispatcher.receive_status(at(20), from, status);
     }
     dispatcher.tick(at(21));
     dispatcher.take_decisions();
--- a/crates/dispatch/tests/dispatch/parts.rs
+++ b/crates/dispatch/tests/dispatch/parts.rs
@@ -151,7 +151,7 @@
         behind.add_part(part.clone());
     }
     // Not all of it is there.
-    assert!(!behind.receive_head(at(1), &head));
+    assert!(!behind.receive_manifest(at(1), &head));
     assert_eq!(behind.configuration_version(), 0);
     let rest = other.snapshot(&ask(&other, &mut behind));
     assert_eq!(rest.parts, lost);
--- a/crates/dispatch/tests/dispatch/publish.rs
+++ b/crates/dispatch/tests/dispatch/publish.rs
@@ -65,7 +65,7 @@
     assert_eq!(own.edition().revision, 10);
     // A head that arrives late changes nothing either.
     let late = older.snapshot(&Pull::default()).head.expect("a head");
-    assert!(!own.receive_head(at(1), &late));
+    assert!(!own.receive_manifest(at(1), &late));
 }
 
 #[test]
--- a/crates/dispatch/tests/dispatch/quota_fleet/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/mod.rs
@@ -169,7 +169,7 @@
 #[case::a_status(&|dispatcher: &mut Dispatcher, customer| {
     let usage = vec![Usage { customer, units: 0 }];
     let status = Status { incarnation: 9, sequence: 1, usage, ..Status::default() };
-    dispatcher.hear(at(9_990), node(7), status);
+    dispatcher.receive_status(at(9_990), node(7), status);
 })]
 #[case::a_question(&|dispatcher: &mut Dispatcher, customer| {
     let reserve = Reserve { number: 1, customer, units: REQUEST, routine: 0, pressed: false };
--- a/crates/dispatch/tests/dispatch/quota_fleet/world.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/world.rs
@@ -164,7 +164,7 @@
             for (status, due) in dispatcher.statuses(at(millis)) {
                 for to in due {
                     if let Some(other) = self.reached(millis, number, to) {
-                        other.hear(at(millis), node(number), status.clone());
+                        other.receive_status(at(millis), node(number), status.clone());
                     }
                 }
             }
--- a/crates/dispatch/tests/dispatch/restore.rs
+++ b/crates/dispatch/tests/dispatch/restore.rs
@@ -239,8 +239,8 @@
         protocol,
         ..Status::default()
     };
-    dispatcher.hear(at(1), node(2), said);
-    let ahead = dispatcher.ahead_opt(at(2), Document::Endpoints, 0);
+    dispatcher.receive_status(at(1), node(2), said);
+    let ahead = dispatcher.newer_peer_opt(at(2), Document::Endpoints, 0);
     assert_eq!(ahead.is_some(), asked);
 }
 
@@ -269,7 +269,7 @@
             configuration,
             ..Status::default()
         };
-        dispatcher.hear(at(50), node(2), said);
+        dispatcher.receive_status(at(50), node(2), said);
     }
     assert_eq!(dispatcher.is_ready(at(after)), ready);
 }
--- a/crates/dispatch/tests/dispatch/share.rs
+++ b/crates/dispatch/tests/dispatch/share.rs
@@ -46,7 +46,7 @@
     let mut second = dispatcher(&[endpoint("e", MODEL, 1)]);
     first.enter(at(0), job(MODEL, 2, at(0)));
     let said = first.status(at(1));
-    second.hear(
+    second.receive_status(
         at(2),
         node(2),
         Status {
@@ -70,7 +70,7 @@
     second.tick(at(0));
     first.enter(at(0), job(MODEL, 2, at(0)));
     let said = first.status(at(1));
-    second.hear(
+    second.receive_status(
         at(2),
         node(2),
         Status {
@@ -105,7 +105,7 @@
             sequence: 1,
             ..Status::default()
         };
-        own.hear(at(0), node(other), said);
+        own.receive_status(at(0), node(other), said);
     }
     let (first, told) = sent_to(&mut own, at(1), 2).expect("it is due");
     assert_eq!(told, 16);
@@ -117,7 +117,7 @@
                 sequence: millis,
                 ..Status::default()
             };
-            own.hear(at(millis), node(other), said);
+            own.receive_status(at(millis), node(other), said);
         }
         own.statuses(at(millis));
     }
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -95,14 +95,14 @@
         }
     }
     if let Some(head) = head {
-        to.receive_head(at(1), &head);
+        to.receive_manifest(at(1), &head);
     }
     bytes
 }
 
 /// What one node asks another for, once it has heard it.
 pub fn ask(from: &Dispatcher, to: &mut Dispatcher) -> Pull {
-    let known = from.known();
+    let known = from.versions();
     let status = Status {
         incarnation: 99,
         sequence: known.configuration + known.endpoints.revision + 1,
@@ -110,7 +110,7 @@
         endpoints: known.endpoints,
         ..Status::default()
     };
-    to.hear(at(1), node(99), status);
+    to.receive_status(at(1), node(99), status);
     to.pull(node(99))
 }
 
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -154,7 +154,7 @@
         rank: rank(),
         tried_for: Span::from_millis(10),
         age: Span::from_millis(20),
-        within: Span::from_millis(4_000),
+        time_limit: Span::from_millis(4_000),
         objective: Span::from_millis(800),
         patience: Span::from_millis(3_200),
         pause: Some(Span::from_millis(600)),
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -38,7 +38,8 @@
     for attempt in 0.. {
         let from = loop {
             tokio::time::sleep(LOOK_EVERY).await;
-            let ahead = shell.query(|dispatcher, now| dispatcher.ahead_opt(now, document, attempt));
+            let ahead =
+                shell.query(|dispatcher, now| dispatcher.newer_peer_opt(now, document, attempt));
             let Some(from) = ahead else {
                 behind_since = None;
                 continue;
@@ -66,7 +67,7 @@
 /// True while the platform itself is likely to bring what others have. A node
 /// that does not read it has nothing to wait for.
 fn is_left_to_platform(shell: &Shell, behind_since: Time) -> bool {
-    let reading = shell.query(|dispatcher, now| dispatcher.reading(now));
+    let reading = shell.query(|dispatcher, now| dispatcher.role(now));
     let behind = to_duration(shell.now().since(behind_since));
     reading != Reading::Resting && behind < PLATFORM_FIRST
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -121,7 +121,7 @@
 }
 
 fn hear(shell: &Shell, from: SocketAddrV4, status: Status) {
-    let news = shell.command(|dispatcher, now| dispatcher.hear(now, from, status));
+    let news = shell.command(|dispatcher, now| dispatcher.receive_status(now, from, status));
     if news == News::Joined {
         shell.metrics.change("node-heard");
         shell.log(&Event::Dependency {
--- a/crates/gateway/src/publish.rs
+++ b/crates/gateway/src/publish.rs
@@ -33,7 +33,7 @@
 /// missing, where it is newer and all of it is there.
 pub fn take_head(shell: &Shell, from: SocketAddrV4, head: &Head) {
     let before = shell.query(|dispatcher, _| dispatcher.configuration_version());
-    if shell.command(|dispatcher, now| dispatcher.receive_head(now, head)) {
+    if shell.command(|dispatcher, now| dispatcher.receive_manifest(now, head)) {
         note_configuration(shell, Origin::Node(from), before);
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -185,7 +185,7 @@
 }
 
 fn note_platform(shell: &Shell, reached: bool, detail: &str) {
-    shell.command(|dispatcher, _| dispatcher.set_cut_off(!reached));
+    shell.command(|dispatcher, _| dispatcher.set_platform_unreachable(!reached));
     shell.metrics.change(if reached {
         "platform-regained"
     } else {
@@ -213,7 +213,7 @@
         }
         last = now;
         peers::tell(&shell, &socket);
-        let role = shell.query(|dispatcher, now| dispatcher.reading(now));
+        let role = shell.query(|dispatcher, now| dispatcher.role(now));
         reading.send_if_modified(|told| std::mem::replace(told, role) != role);
     }
 }
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -113,7 +113,7 @@
         let (listener, address) = listen().await;
         tokio::task::spawn_local(peers::transfer::serve(gateway.shell.clone(), listener));
         let other = Gateway::empty(log::Options::default()).await;
-        let known = |gateway: &Gateway| gateway.shell.query(|dispatcher, _| dispatcher.known());
+        let known = |gateway: &Gateway| gateway.shell.query(|dispatcher, _| dispatcher.versions());
         assert_ne!(known(&other), known(&gateway));
         for document in [Document::Endpoints, Document::Configuration] {
             let ended = peers::transfer::take(&other.shell, address, document).await;
@@ -184,7 +184,7 @@
         let gateway = Gateway::empty(log::Options::default()).await;
         gateway
             .shell
-            .command(|dispatcher, now| dispatcher.hear(now, address, status));
+            .command(|dispatcher, now| dispatcher.receive_status(now, address, status));
         let ended = peers::transfer::take(&gateway.shell, address, Document::Configuration).await;
         assert!(ended.is_err());
         let pull = gateway
@@ -366,7 +366,7 @@
                 urgency: 0,
             },
             age: Span::ZERO,
-            within: Span::from_secs(5),
+            time_limit: Span::from_secs(5),
             objective: Span::from_secs(1),
             patience: Span::from_secs(5),
             pause: None,
--- a/crates/gateway/tests/gateway/support/peer.rs
+++ b/crates/gateway/tests/gateway/support/peer.rs
@@ -84,7 +84,7 @@
     async fn talk(self: Rc<Peer>, socket: UdpSocket) {
         let mut buffer = [0; 8 << 10];
         for sequence in 1.. {
-            let known = self.dispatcher.borrow().known();
+            let known = self.dispatcher.borrow().versions();
             let status = Status {
                 incarnation: 1,
                 sequence,
