--- a/crates/dispatch/src/configuration.rs
+++ b/crates/dispatch/src/configuration.rs
@@ -183,12 +183,12 @@
             .iter()
             .map(|(_, weight)| u64::from(*weight))
             .sum();
-        let mut at = seed.checked_rem(total)?;
+        let mut remaining = seed.checked_rem(total)?;
         for (target, weight) in &self.targets {
-            if at < u64::from(*weight) {
+            if remaining < u64::from(*weight) {
                 return Some(target);
             }
-            at -= u64::from(*weight);
+            remaining -= u64::from(*weight);
         }
         None
     }
--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -18,44 +18,45 @@
 use crate::worker::Worker;
 
 /// How long an endpoint isn't used after its owner denied a slot.
-const UNUSABLE_FOR: Span = Span::from_millis(200);
+const ENDPOINT_DENIAL_BACKOFF: Span = Span::from_millis(200);
 
 /// A granted slot that this node can't use.
-struct Unusable {
+struct UnusableSlot {
     /// The outcome reported to the owner.
     end: End,
     /// Whether the request must not be offered to this endpoint again.
-    is_tried: bool,
+    excludes_endpoint: bool,
 }
 
 impl Dispatcher {
     /// Handles an owner's answer.
     pub fn receive_lease_reply(&mut self, now: Time, from: SocketAddrV4, reply: Reply) {
         let mut questions = self.questions.iter();
-        let found = questions
-            .find(|(_, question)| question.number == reply.number && question.owner == from);
+        let found = questions.find(|(_, open_request)| {
+            open_request.number == reply.number && open_request.owner == from
+        });
         let Some(id) = found.map(|(id, _)| *id) else {
-            self.return_unwanted(from, &reply);
+            self.release_unwanted_slot(from, &reply);
             return;
         };
         match reply.answer {
             Answer::Waiting => {
-                if let Some(question) = self.questions.get_mut(&id) {
-                    question.unanswered = 0;
+                if let Some(open_request) = self.questions.get_mut(&id) {
+                    open_request.unanswered = 0;
                 }
             }
-            Answer::Granted { endpoint, reason } => self.use_slot(now, id, endpoint, reason),
+            Answer::Granted { endpoint, reason } => self.start_in_slot(now, id, endpoint, reason),
             Answer::Refused(refusal) => {
                 self.questions.remove(&id);
                 let owner = Some(from);
                 self.refuse(now, id, None, Refusal { owner, ..refusal });
             }
-            Answer::Denied => self.take_denial(now, id),
+            Answer::Denied => self.handle_denial(now, id),
         }
     }
 
     /// Returns a granted slot that no request of this node waits for any more.
-    fn return_unwanted(&mut self, from: SocketAddrV4, reply: &Reply) {
+    fn release_unwanted_slot(&mut self, from: SocketAddrV4, reply: &Reply) {
         let in_use = self.runs.values().any(|run| {
             let lease = run.lease;
             lease.is_some_and(|lease| lease.owner == from && lease.number == reply.number)
@@ -65,8 +66,8 @@
         }
     }
 
-    fn use_slot(&mut self, now: Time, id: job::Id, endpoint: u32, reason: Reason) {
-        let Some(question) = self.questions.remove(&id) else {
+    fn start_in_slot(&mut self, now: Time, id: job::Id, endpoint: u32, reason: Reason) {
+        let Some(open_request) = self.questions.remove(&id) else {
             return;
         };
         let target = self.places.get(&id).cloned();
@@ -77,85 +78,89 @@
             return;
         };
         let worker = pool.worker_opt(endpoint);
-        let job = question.job.or_else(|| pool.queue.remove(id));
+        let job = open_request.job.or_else(|| pool.queue.remove(id));
         let Some(mut job) = job else {
-            self.release_slot(question.owner, question.number, End::Abandoned);
+            self.release_slot(open_request.owner, open_request.number, End::Abandoned);
             return;
         };
         let Some(worker) = worker else {
             // The owner's list is newer than this node's.
-            self.release_slot(question.owner, question.number, End::Abandoned);
+            self.release_slot(open_request.owner, open_request.number, End::Abandoned);
             self.push(now, id, job);
             self.place(now, &target);
             return;
         };
-        let known = &self.pools[&target].workers[worker];
-        if let Some(unusable) = self.unusable_opt(now, question.owner, &job, known) {
-            if unusable.is_tried {
-                job.history.tried.push(known.number);
+        let granted_worker = &self.pools[&target].workers[worker];
+        if let Some(unusable) =
+            self.unusable_slot_opt(now, open_request.owner, &job, granted_worker)
+        {
+            if unusable.excludes_endpoint {
+                job.history.tried.push(granted_worker.number);
             }
-            self.release_slot(question.owner, question.number, unusable.end);
+            self.release_slot(open_request.owner, open_request.number, unusable.end);
             self.submit(now, id, job);
             return;
         }
-        let incarnation = self.members.incarnation_opt(now, question.owner);
+        let incarnation = self.members.incarnation_opt(now, open_request.owner);
         let lease = Lease {
-            owner: question.owner,
+            owner: open_request.owner,
             incarnation: incarnation.unwrap_or(0),
-            number: question.number,
+            number: open_request.number,
         };
         self.run(now, id, job, worker, Some(lease), reason);
     }
 
     /// Returns why this node can't use a granted slot, or `None` if it can.
-    fn unusable_opt(
+    fn unusable_slot_opt(
         &self,
         now: Time,
         owner: SocketAddrV4,
         job: &Job,
         worker: &Worker,
-    ) -> Option<Unusable> {
+    ) -> Option<UnusableSlot> {
         if !worker.is_staying() {
             // This node's list is newer than the owner's.
-            return Some(Unusable {
+            return Some(UnusableSlot {
                 end: End::NotThere,
-                is_tried: true,
+                excludes_endpoint: true,
             });
         }
         // The owner may see a different fleet, and it doesn't know in which regions the
         // request may run.
-        let barred = worker.evacuated || !self.may_run_at(job, worker);
-        if barred || !self.may_use_slot(owner, worker) {
-            return Some(Unusable {
+        let forbidden = worker.evacuated || !self.may_run_at(job, worker);
+        if forbidden || !self.may_use_slot(owner, worker) {
+            return Some(UnusableSlot {
                 end: End::Abandoned,
-                is_tried: true,
+                excludes_endpoint: true,
             });
         }
         // An owner that knows notices grants a different endpoint next time. An owner of an
         // earlier build doesn't know them and would grant the same one again.
-        worker.rest.is_resting(now).then(|| Unusable {
+        worker.rest.is_resting(now).then(|| UnusableSlot {
             end: End::Abandoned,
-            is_tried: !self.members.knows_notices(owner),
+            excludes_endpoint: !self.members.knows_notices(owner),
         })
     }
 
     /// Handles a denial: submits the request again, or decides on this node.
-    fn take_denial(&mut self, now: Time, id: job::Id) {
-        let Some(question) = self.questions.remove(&id) else {
+    fn handle_denial(&mut self, now: Time, id: job::Id) {
+        let Some(open_request) = self.questions.remove(&id) else {
             return;
         };
-        let Some(job) = question.job else {
-            self.denied.insert(question.owner, now);
+        let Some(job) = open_request.job else {
+            self.denied.insert(open_request.owner, now);
             return;
         };
         let pool = self.pools.get_mut(&job.target);
-        let worker = pool.zip(question.endpoint).and_then(|(pool, endpoint)| {
-            let at = pool.worker_opt(endpoint)?;
-            pool.workers.get_mut(at)
-        });
+        let worker = pool
+            .zip(open_request.endpoint)
+            .and_then(|(pool, endpoint)| {
+                let at = pool.worker_opt(endpoint)?;
+                pool.workers.get_mut(at)
+            });
         match worker {
             Some(worker) => {
-                worker.rests_until = worker.rests_until.max(now + UNUSABLE_FOR);
+                worker.rests_until = worker.rests_until.max(now + ENDPOINT_DENIAL_BACKOFF);
                 self.submit(now, id, job);
             }
             None => self.enqueue(now, id, job),
@@ -167,9 +172,10 @@
         let runs = self.runs.values().filter_map(|run| run.lease);
         let mut leases = runs.map(|lease| (lease.owner, lease.number));
         let questions = self.questions.values();
-        let mut questions = questions.map(|question| (question.owner, question.number));
-        let asked = (from, check.number);
-        if leases.any(|lease| lease == asked) || questions.any(|question| question == asked) {
+        let mut questions = questions.map(|open_request| (open_request.owner, open_request.number));
+        let requested = (from, check.number);
+        if leases.any(|lease| lease == requested) || questions.any(|question| question == requested)
+        {
             self.send_lease_report(from, check.number, lease::Event::Held);
         } else {
             self.release_slot(from, check.number, End::Abandoned);
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -23,27 +23,27 @@
 
 /// How long to wait for an owner's answer. Many round trips within a region, yet short
 /// compared with any latency objective.
-const ANSWER_WITHIN: Span = Span::from_millis(60);
+const ANSWER_TIMEOUT: Span = Span::from_millis(60);
 
 /// The number of unanswered requests after which an owner is passed over. One may be a lost
 /// datagram.
-const UNANSWERED_MOST: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 
 /// How often a request that waits at an owner is asked for again, so that an owner that
 /// failed is noticed.
-const RENEW_EVERY: Span = Span::from_millis(250);
+const RENEW_INTERVAL: Span = Span::from_millis(250);
 
 /// The number of endpoints sampled for each request; the one with the fewest open requests
 /// of this node is chosen.
-const CHOICES: usize = 2;
+const SAMPLED_ENDPOINTS: usize = 2;
 
 /// The number of endpoints sampled in a fleet of one cell, compared by the expected wait at
 /// their owners. Rate-limited endpoints take only a handful of starts a second, so an
 /// uneven choice shows.
-const CHOICES_OF_ONE_CELL: usize = 4;
+const SAMPLED_ENDPOINTS_IN_ONE_CELL: usize = 4;
 
 /// The maximum number of resting endpoints listed in a request, so that it fits a datagram.
-const AVOIDED_MOST: usize = 64;
+const MAX_AVOIDED_ENDPOINTS: usize = 64;
 
 /// An open request of this node for a slot that another node owns.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
     /// The requested endpoint, if the owner owns the slots of that endpoint alone.
     pub endpoint: Option<u32>,
     /// When it was last sent.
-    asked: Time,
+    last_sent: Time,
     /// How often it was sent since the last answer.
     pub unanswered: u32,
     /// The waiting request; `None` if it also waits in this node's own queue.
@@ -63,7 +63,7 @@
 }
 
 /// The node to ask for a slot, and what to ask it for.
-pub(super) struct Asked {
+pub(super) struct LeaseTarget {
     /// The owner's address.
     pub owner: SocketAddrV4,
     /// The requested endpoint, if the node owns the slots of that endpoint alone.
@@ -73,9 +73,9 @@
 /// The node that decides which slot a request gets.
 enum Arbiter {
     /// This node. `only` restricts it to one endpoint.
-    Own { only: Option<u32> },
+    Local { only: Option<u32> },
     /// Another node.
-    Other(Asked),
+    Remote(LeaseTarget),
 }
 
 impl Dispatcher {
@@ -86,41 +86,41 @@
             return;
         }
         match self.arbiter(now, &job) {
-            Arbiter::Own { only } => {
+            Arbiter::Local { only } => {
                 job.only = only;
                 self.enqueue(now, id, job);
             }
-            Arbiter::Other(asked) => {
+            Arbiter::Remote(target) => {
                 self.places.insert(id, job.target.clone());
-                self.ask(now, id, asked, Some(job));
+                self.request_slot(now, id, target, Some(job));
             }
         }
     }
 
     fn arbiter(&self, now: Time, job: &Job) -> Arbiter {
-        let alone = Arbiter::Own { only: None };
+        let local = Arbiter::Local { only: None };
         let Some(pool) = self.pools.get(&job.target) else {
-            return alone;
+            return local;
         };
-        let each = pool.shared || self.is_limited_throughout(now, pool, job);
-        let endpoint = match each {
-            true => self.shared_worker(now, pool, job),
+        let per_endpoint = pool.shared || self.is_limited_throughout(now, pool, job);
+        let endpoint = match per_endpoint {
+            true => self.sample_endpoint(now, pool, job),
             false => None,
         };
         let endpoint = endpoint.map(|worker| worker.number);
-        if each && endpoint.is_none() {
-            return alone;
+        if per_endpoint && endpoint.is_none() {
+            return local;
         }
         let owner = match self.is_displaced(pool, job) {
             true => self.host_owner(now, pool, job, self.next_question),
             false => self.slot_owner(now, pool, endpoint),
         };
         match owner {
-            Owner::Unheard => alone,
-            Owner::Own => Arbiter::Own {
+            Owner::Unheard => local,
+            Owner::Own => Arbiter::Local {
                 only: endpoint.filter(|_| pool.shared),
             },
-            Owner::Other(owner) => Arbiter::Other(Asked { owner, endpoint }),
+            Owner::Other(owner) => Arbiter::Remote(LeaseTarget { owner, endpoint }),
         }
     }
 
@@ -140,99 +140,111 @@
 
     /// Chooses an endpoint of a service whose endpoints each have an owner: the least
     /// loaded of a few sampled at random (Mitzenmacher, the power of two choices).
-    fn shared_worker<'a>(&self, now: Time, pool: &'a Pool, job: &Job) -> Option<&'a Worker> {
+    fn sample_endpoint<'a>(&self, now: Time, pool: &'a Pool, job: &Job) -> Option<&'a Worker> {
         let options = &self.options.worker;
-        let usable = pool.workers.iter().filter(|worker| {
+        let candidates = pool.workers.iter().filter(|worker| {
             worker.takes_work(now, options)
                 && !job.history.tried.contains(&worker.number)
                 && self.may_run_at(job, worker)
         });
-        let usable: Vec<&Worker> = usable.collect();
-        let sure = usable.iter().filter(|worker| !worker.is_in_doubt(now));
-        let sure: Vec<&Worker> = sure.copied().collect();
-        let usable = if sure.is_empty() { usable } else { sure };
+        let candidates: Vec<&Worker> = candidates.collect();
+        let confirmed = candidates.iter().filter(|worker| !worker.is_in_doubt(now));
+        let confirmed: Vec<&Worker> = confirmed.copied().collect();
+        let candidates = if confirmed.is_empty() {
+            candidates
+        } else {
+            confirmed
+        };
         let one_cell = self.members.cell().whole;
-        let (choices, waiting): (usize, &dyn Fn(&Worker) -> f64) = match one_cell {
-            true => (CHOICES_OF_ONE_CELL, &|worker| {
-                self.waiting_at_owner(now, pool, worker)
+        let (samples, load_of): (usize, &dyn Fn(&Worker) -> f64) = match one_cell {
+            true => (SAMPLED_ENDPOINTS_IN_ONE_CELL, &|worker| {
+                self.owner_wait_seconds(now, pool, worker)
+            }),
+            false => (SAMPLED_ENDPOINTS, &|worker| {
+                self.open_requests_at(worker) as f64
             }),
-            false => (CHOICES, &|worker| self.asked_for(worker) as f64),
         };
-        let mut drawn = hash::chain(self.options.incarnation, &self.next_question.to_le_bytes());
+        let mut random = hash::chain(self.options.incarnation, &self.next_question.to_le_bytes());
         let mut chosen: Option<(f64, &Worker)> = None;
-        for _ in 0..choices {
-            let at = drawn.checked_rem(usable.len() as u64)?;
-            let worker = *usable.get(at as usize)?;
-            let waits = waiting(worker);
-            if chosen.is_none_or(|(least, _)| waits < least) {
-                chosen = Some((waits, worker));
+        for _ in 0..samples {
+            let at = random.checked_rem(candidates.len() as u64)?;
+            let worker = *candidates.get(at as usize)?;
+            let load = load_of(worker);
+            if chosen.is_none_or(|(least, _)| load < least) {
+                chosen = Some((load, worker));
             }
-            drawn = hash::of(&drawn.to_le_bytes());
+            random = hash::of(&random.to_le_bytes());
         }
         chosen.map(|(_, worker)| worker)
     }
 
     /// Counts this node's open requests for a slot of an endpoint.
-    fn asked_for(&self, worker: &Worker) -> usize {
+    fn open_requests_at(&self, worker: &Worker) -> usize {
         let questions = self.questions.values();
         questions
-            .filter(|question| question.endpoint == Some(worker.number))
+            .filter(|open_request| open_request.endpoint == Some(worker.number))
             .count()
     }
 
     /// Returns the expected wait, in seconds, at the owner of a rate-limited endpoint: the
     /// requests it last reported as waiting plus this node's own since, divided by the
     /// total rate of the endpoints whose limits it keeps.
-    fn waiting_at_owner(&self, now: Time, pool: &Pool, worker: &Worker) -> f64 {
+    fn owner_wait_seconds(&self, now: Time, pool: &Pool, worker: &Worker) -> f64 {
         let owner_of = |worker: &Worker| self.slot_owner(now, pool, Some(worker.number));
         let owner = owner_of(worker);
         let kept = pool.workers.iter().filter(|other| owner_of(other) == owner);
         let limits = kept.filter_map(|other| other.rate_limit.limit_opt());
         let rate: f64 = limits.map(Limit::per_second).sum();
-        let told = match owner {
+        let reported_waiting = match owner {
             Owner::Own => pool.queue.len(),
             Owner::Other(owner) => self.members.waiting_at(owner, pool.number),
             Owner::Unheard => 0,
         };
-        (told + self.asked_for(worker) + 1) as f64 / rate
+        (reported_waiting + self.open_requests_at(worker) + 1) as f64 / rate
     }
 
     /// Asks an owner for a slot. `job` is `None` for a spare slot of another cell: the
     /// request then also waits in this node's queue.
-    pub(super) fn ask(&mut self, now: Time, id: job::Id, asked: Asked, job: Option<Job>) {
+    pub(super) fn request_slot(
+        &mut self,
+        now: Time,
+        id: job::Id,
+        target: LeaseTarget,
+        job: Option<Job>,
+    ) {
         self.next_question += 1;
-        let question = OpenRequest {
+        let open_request = OpenRequest {
             number: self.next_question,
-            owner: asked.owner,
-            endpoint: asked.endpoint,
-            asked: now,
+            owner: target.owner,
+            endpoint: target.endpoint,
+            last_sent: now,
             unanswered: 0,
             job,
         };
-        self.questions.insert(id, question);
-        self.send_question(now, id);
+        self.questions.insert(id, open_request);
+        self.send_open_request(now, id);
     }
 
-    fn send_question(&mut self, now: Time, id: job::Id) {
-        let Some(question) = self.questions.get_mut(&id) else {
+    fn send_open_request(&mut self, now: Time, id: job::Id) {
+        let Some(open_request) = self.questions.get_mut(&id) else {
             return;
         };
-        question.asked = now;
-        question.unanswered += 1;
-        let question = &self.questions[&id];
+        open_request.last_sent = now;
+        open_request.unanswered += 1;
+        let open_request = &self.questions[&id];
         let target = self.places.get(&id);
         let pool = target.and_then(|target| self.pools.get(target));
         let waiting = pool.and_then(|pool| pool.queue.get(id));
-        let Some((pool, job)) = pool.zip(question.job.as_ref().or(waiting)) else {
+        let Some((pool, job)) = pool.zip(open_request.job.as_ref().or(waiting)) else {
             return;
         };
         let request = lease::Request {
             incarnation: self.options.incarnation,
-            number: question.number,
+            number: open_request.number,
             fingerprint: job.fingerprint,
             service: pool.number,
-            endpoint: question.endpoint,
-            spare: question.job.is_none(),
+            endpoint: open_request.endpoint,
+            spare: open_request.job.is_none(),
             rank: job.rank,
             tried_for: job.arrived.since(job.first_try),
             age: now.since(job.arrived),
@@ -245,7 +257,7 @@
             avoided: self.avoided(now, pool, job),
         };
         let message = Message::Lease(Box::new(request));
-        self.outbox.push((question.owner, message));
+        self.outbox.push((open_request.owner, message));
     }
 
     /// Returns the endpoints of a service that asked this node for rest.
@@ -254,40 +266,41 @@
             return job.avoided.clone();
         }
         let workers = pool.workers.iter().filter(|worker| worker.listed);
-        let rest =
+        let resting =
             workers.filter(|worker| worker.rest.is_resting(now) || worker.rest.is_on_trial());
-        rest.map(|worker| worker.number)
-            .take(AVOIDED_MOST)
+        resting
+            .map(|worker| worker.number)
+            .take(MAX_AVOIDED_ENDPOINTS)
             .collect()
     }
 
     /// Repeats unanswered requests, and turns to another owner if one is silent or no
     /// longer owns the slots.
     pub(super) fn renew_open_requests(&mut self, now: Time) {
-        let open: Vec<job::Id> = self.questions.keys().copied().collect();
-        for id in open {
-            self.renew_question(now, id);
+        let ids: Vec<job::Id> = self.questions.keys().copied().collect();
+        for id in ids {
+            self.renew_open_request(now, id);
         }
     }
 
-    fn renew_question(&mut self, now: Time, id: job::Id) {
-        if self.asks_for_closed(now, id) {
+    fn renew_open_request(&mut self, now: Time, id: job::Id) {
+        if self.waits_for_closed_endpoint(now, id) {
             if let Some(OpenRequest { job: Some(job), .. }) = self.cancel_open_request(id) {
                 self.submit(now, id, job);
             }
             return;
         }
-        let Some(question) = self.questions.get(&id) else {
+        let Some(open_request) = self.questions.get(&id) else {
             return;
         };
-        let since = now.since(question.asked);
-        let answered = question.unanswered == 0;
-        if since < ANSWER_WITHIN || (answered && since < RENEW_EVERY) {
+        let since = now.since(open_request.last_sent);
+        let answered = open_request.unanswered == 0;
+        if since < ANSWER_TIMEOUT || (answered && since < RENEW_INTERVAL) {
             return;
         }
-        let Some(job) = &question.job else {
+        let Some(job) = &open_request.job else {
             // A spare slot is of no use any more after this long.
-            self.denied.insert(question.owner, now);
+            self.denied.insert(open_request.owner, now);
             self.cancel_open_request(id);
             return;
         };
@@ -297,25 +310,25 @@
             self.refuse(now, id, None, refusal);
             return;
         }
-        let silent = question.unanswered >= UNANSWERED_MOST;
-        if silent {
-            self.members.note_unanswered(now, question.owner);
+        let is_silent = open_request.unanswered >= MAX_UNANSWERED;
+        if is_silent {
+            self.members.note_unanswered(now, open_request.owner);
         }
-        if silent || (answered && !self.is_still_owner(now, id)) {
+        if is_silent || (answered && !self.is_still_owner(now, id)) {
             if let Some(OpenRequest { job: Some(job), .. }) = self.cancel_open_request(id) {
                 self.submit(now, id, job);
             }
             return;
         }
-        self.send_question(now, id);
+        self.send_open_request(now, id);
     }
 
     /// Whether a request waits at the owner of one endpoint that is closed or resting. In a
     /// fleet of one cell the owner may grant any endpoint that it owns.
-    fn asks_for_closed(&self, now: Time, id: job::Id) -> bool {
-        let question = self.questions.get(&id).filter(|one| one.job.is_some());
-        let asked = question.and_then(|question| question.endpoint);
-        let Some((endpoint, target)) = asked.zip(self.places.get(&id)) else {
+    fn waits_for_closed_endpoint(&self, now: Time, id: job::Id) -> bool {
+        let open_request = self.questions.get(&id).filter(|one| one.job.is_some());
+        let requested = open_request.and_then(|open_request| open_request.endpoint);
+        let Some((endpoint, target)) = requested.zip(self.places.get(&id)) else {
             return false;
         };
         let worker = self.worker_opt(target, endpoint);
@@ -331,12 +344,12 @@
 
     /// Whether the node that was asked still owns the requested slots.
     fn is_still_owner(&self, now: Time, id: job::Id) -> bool {
-        let Some(question) = self.questions.get(&id) else {
+        let Some(open_request) = self.questions.get(&id) else {
             return false;
         };
         let target = self.places.get(&id);
         let pool = target.and_then(|target| self.pools.get(target));
-        let Some((pool, job)) = pool.zip(question.job.as_ref()) else {
+        let Some((pool, job)) = pool.zip(open_request.job.as_ref()) else {
             return false;
         };
         if self.members.cell().whole && !self.is_limited_throughout(now, pool, job) {
@@ -344,16 +357,16 @@
         }
         if self.is_displaced(pool, job) {
             let mut hosts = self.host_owners(now, pool, job).into_iter();
-            return hosts.any(|(owner, _)| owner == question.owner);
+            return hosts.any(|(owner, _)| owner == open_request.owner);
         }
-        self.slot_owner(now, pool, question.endpoint) == Owner::Other(question.owner)
+        self.slot_owner(now, pool, open_request.endpoint) == Owner::Other(open_request.owner)
     }
 
     /// Cancels an open request and returns it.
     pub(super) fn cancel_open_request(&mut self, id: job::Id) -> Option<OpenRequest> {
-        let question = self.questions.remove(&id)?;
-        self.release_slot(question.owner, question.number, End::Abandoned);
-        Some(question)
+        let open_request = self.questions.remove(&id)?;
+        self.release_slot(open_request.owner, open_request.number, End::Abandoned);
+        Some(open_request)
     }
 
     /// Tells an owner that a slot, or a place in its queue, is not used.
@@ -383,10 +396,10 @@
             let worker = self.worker_opt(target, number);
             !worker.is_some_and(|worker| worker.takes_work(now, &self.options.worker))
         };
-        let stuck =
+        let stuck_ids =
             waiting.filter(|(_, job)| job.origin.is_none() && job.only.is_some_and(is_stuck));
-        let stuck: Vec<job::Id> = stuck.map(|(id, _)| id).collect();
-        for id in stuck {
+        let stuck_ids: Vec<job::Id> = stuck_ids.map(|(id, _)| id).collect();
+        for id in stuck_ids {
             let pool = self.pools.get_mut(target);
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 continue;
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -40,9 +40,9 @@
     /// The incarnation of the other node.
     incarnation: u64,
     /// When its node last sent a message about it.
-    heard: Time,
+    last_heard: Time,
     /// When its node was last asked about it.
-    checked: Time,
+    last_checked: Time,
     /// The number of the granted endpoint, and the reason for the choice.
     granted: Option<(u32, Reason)>,
 }
@@ -62,7 +62,7 @@
         let known = self.remote.get(&origin).map(|remote| remote.incarnation);
         match known {
             Some(incarnation) if incarnation == request.incarnation => {
-                self.answer_again(now, origin);
+                self.repeat_answer(now, origin);
                 return;
             }
             Some(_) => {
@@ -70,9 +70,9 @@
             }
             None => {}
         }
-        let numbers = self.pools.iter();
-        let mut numbers = numbers.filter(|(_, pool)| pool.number == request.service);
-        let Some(target) = numbers.next().map(|(target, _)| target.clone()) else {
+        let pools = self.pools.iter();
+        let mut pools = pools.filter(|(_, pool)| pool.number == request.service);
+        let Some(target) = pools.next().map(|(target, _)| target.clone()) else {
             self.send_lease_reply(origin, Answer::Denied);
             return;
         };
@@ -86,8 +86,8 @@
         let remote = RemoteRequest {
             id,
             incarnation: request.incarnation,
-            heard: now,
-            checked: now,
+            last_heard: now,
+            last_checked: now,
             granted: None,
         };
         if request.spare {
@@ -96,8 +96,8 @@
         }
         self.remote.insert(origin, remote);
         self.enqueue(now, id, job);
-        let waits = self.remote.get(&origin);
-        if waits.is_some_and(|remote| remote.granted.is_none()) {
+        let waiting = self.remote.get(&origin);
+        if waiting.is_some_and(|remote| remote.granted.is_none()) {
             self.send_lease_reply(origin, Answer::Waiting);
         }
     }
@@ -112,11 +112,11 @@
         })
     }
 
-    fn answer_again(&mut self, now: Time, origin: Origin) {
+    fn repeat_answer(&mut self, now: Time, origin: Origin) {
         let Some(remote) = self.remote.get_mut(&origin) else {
             return;
         };
-        remote.heard = now;
+        remote.last_heard = now;
         let id = remote.id;
         if let Some((endpoint, reason)) = remote.granted {
             self.send_lease_reply(origin, Answer::Granted { endpoint, reason });
@@ -195,7 +195,7 @@
         let Some(remote) = self.remote.get_mut(&origin) else {
             return;
         };
-        remote.heard = now;
+        remote.last_heard = now;
         let id = remote.id;
         match report.event {
             Event::Held => {}
@@ -246,24 +246,24 @@
     /// nodes stay silent.
     pub(super) fn check_remote_requests(&mut self, now: Time) {
         let mut lost = Vec::new();
-        let mut asked = Vec::new();
+        let mut unheard = Vec::new();
         for (origin, remote) in &mut self.remote {
-            let silent = now.since(remote.heard);
-            let most = match remote.granted {
+            let silence = now.since(remote.last_heard);
+            let limit = match remote.granted {
                 Some(_) => LOST_AFTER,
                 None => WITHDRAWN_AFTER,
             };
-            if silent > most {
+            if silence > limit {
                 lost.push(*origin);
-            } else if silent > CHECK_AFTER && now.since(remote.checked) > CHECK_AFTER {
-                remote.checked = now;
-                asked.push(*origin);
+            } else if silence > CHECK_AFTER && now.since(remote.last_checked) > CHECK_AFTER {
+                remote.last_checked = now;
+                unheard.push(*origin);
             }
         }
         for origin in lost {
             self.end_remote_request(now, origin, job::End::Abandoned, Observation::default());
         }
-        for origin in asked {
+        for origin in unheard {
             let check = lease::Check {
                 number: origin.number,
             };
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -29,23 +29,23 @@
 use crate::worker::Worker;
 
 /// The initial estimate of the time to the first event, in microseconds.
-const FIRST: f64 = 150_000.0;
+const INITIAL_FIRST_EVENT_US: f64 = 150_000.0;
 
 /// The initial estimate of the time between two events, in microseconds.
-const STEP: f64 = 25_000.0;
+const INITIAL_STEP_US: f64 = 25_000.0;
 
 /// The initial estimate of the longest pauses, as a multiple of the time between two
 /// events. High enough to bound nothing until pauses have been observed.
-const LONGEST_PAUSE: f64 = 8.0;
+const INITIAL_LONGEST_PAUSE: f64 = 8.0;
 
 /// The initial estimate of the time to read one prompt token, in microseconds.
-const PREFILL: f64 = 40.0;
+const INITIAL_PREFILL_US: f64 = 40.0;
 
 /// The minimum number of endpoints per cell; a service with fewer is shared by all cells.
-const SHARED_LEAST: usize = 3;
+const MIN_ENDPOINTS_PER_CELL: usize = 3;
 
 /// The initial estimate of the duration of a call, in microseconds.
-const CALL: f64 = 40_000.0;
+const INITIAL_CALL_US: f64 = 40_000.0;
 
 impl Dispatcher {
     /// Applies a configuration. Returns false if one at least as new is in force.
@@ -72,7 +72,7 @@
         self.received.clear();
         self.urgent = true;
         self.news = true;
-        self.use_list(now);
+        self.apply_list(now);
         true
     }
 
@@ -113,32 +113,40 @@
         self.sections = section::Index::new(&list);
         self.list = list;
         self.news = true;
-        self.use_list(now);
+        self.apply_list(now);
     }
 
     /// Applies the list to the endpoints whose service the configuration names. Others may
     /// write under the same keys, and no request is ever sent to the endpoints of services
     /// that aren't configured.
-    fn use_list(&mut self, now: Time) {
+    fn apply_list(&mut self, now: Time) {
         let list = self.list.clone();
-        let ended = self.unlist(&list);
-        let named = self.named_services();
-        let is_named = |service| named.as_ref().is_none_or(|named| named.contains(service));
-        for endpoint in list.endpoints.iter().filter(|one| is_named(&one.service)) {
-            self.use_endpoint(now, endpoint);
+        let ended = self.mark_unlisted(&list);
+        let configured = self.configured_services();
+        let is_configured = |service| {
+            configured
+                .as_ref()
+                .is_none_or(|configured| configured.contains(service))
+        };
+        for endpoint in list
+            .endpoints
+            .iter()
+            .filter(|one| is_configured(&one.service))
+        {
+            self.apply_endpoint(now, endpoint);
         }
         for endpoint in ended {
             self.note_endpoint_ended(now, endpoint);
         }
         self.note_evacuated(now, &list);
-        self.forget_workers();
+        self.remove_unlisted_workers();
         self.assign_cell_workers();
         self.sum_remote_loads(now);
         self.place_all(now);
     }
 
     /// Returns the services of the configuration in force, or `None` without one.
-    fn named_services(&self) -> Option<HashSet<id::Target>> {
+    fn configured_services(&self) -> Option<HashSet<id::Target>> {
         let configuration = self.configuration()?;
         let services = configuration.services.iter();
         let services = services.map(|service| service.name.clone());
@@ -150,7 +158,7 @@
 
     /// Applies the entry of one endpoint. An endpoint that was restarted under the same
     /// name is a new one, of which nothing is known.
-    fn use_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
+    fn apply_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
         let endpoint = Arc::new(endpoint.clone());
         let pool = pool_mut(&mut self.pools, &self.options.warm, &endpoint.service);
         let at = pool.index.get(&endpoint.name).copied();
@@ -173,7 +181,7 @@
 
     /// Marks all endpoints as not listed. Returns those that ended without having announced
     /// that they leave: the list lacks them, or has a later start of them.
-    fn unlist(&mut self, list: &List) -> Vec<u32> {
+    fn mark_unlisted(&mut self, list: &List) -> Vec<u32> {
         let listed = list.endpoints.iter();
         let listed: HashSet<u32> = listed.map(Endpoint::to_number).collect();
         let mut ended = Vec::new();
@@ -213,29 +221,29 @@
         let cells = self.members.cells();
         let own = &self.options.data_centre;
         for pool in self.pools.values_mut() {
-            let mut near: Vec<&mut Worker> = pool
+            let mut listed: Vec<&mut Worker> = pool
                 .workers
                 .iter_mut()
                 .filter(|worker| worker.listed)
                 .collect();
-            pool.shared = !cell.whole && near.len() < cells * SHARED_LEAST;
+            pool.shared = !cell.whole && listed.len() < cells * MIN_ENDPOINTS_PER_CELL;
             let all = cell.whole || pool.shared;
-            for worker in &mut near {
+            for worker in &mut listed {
                 worker.own_cell = all;
             }
             if all {
                 continue;
             }
-            near.retain(|worker| worker.endpoint.data_centre == *own);
-            near.sort_by_key(|worker| worker.number);
-            for (place, worker) in near.iter_mut().enumerate() {
+            listed.retain(|worker| worker.endpoint.data_centre == *own);
+            listed.sort_by_key(|worker| worker.number);
+            for (place, worker) in listed.iter_mut().enumerate() {
                 worker.own_cell = place % cell.count == cell.index;
             }
         }
     }
 
     /// Removes endpoints that are no longer listed and run no request of this node.
-    fn forget_workers(&mut self) {
+    fn remove_unlisted_workers(&mut self) {
         let used: HashSet<(id::Target, usize)> = self
             .runs
             .values()
@@ -300,12 +308,12 @@
         warm: Warm::new(warm.clone()),
         recurring: 0.0,
         starts: HashMap::new(),
-        first: FIRST,
-        longest_pause: LONGEST_PAUSE,
-        step: STEP,
+        first: INITIAL_FIRST_EVENT_US,
+        longest_pause: INITIAL_LONGEST_PAUSE,
+        step: INITIAL_STEP_US,
         lengths: Lengths::default(),
-        prefill: PREFILL,
-        call: CALL,
+        prefill: INITIAL_PREFILL_US,
+        call: INITIAL_CALL_US,
         turnaround: Turnaround::default(),
         open_at: None,
     })
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -28,24 +28,24 @@
 use crate::worker::Reports;
 
 /// The maximum number of customers in one status.
-const USAGE_MOST: usize = 32;
+const MAX_USAGE_ENTRIES: usize = 32;
 
 /// The maximum number of endpoints in one status, so that it fits a datagram.
-const LOADS_MOST: usize = 64;
+const MAX_LOAD_ENTRIES: usize = 64;
 
 /// The maximum number of endpoint reports of one kind in a status, and in one to a node
 /// that has just joined and may know none of them. Successive statuses rotate through all
 /// reports.
-const TOLD_MOST: usize = 16;
-const TOLD_TO_NEWCOMER_MOST: usize = 64;
+const MAX_REPORTS: usize = 16;
+const MAX_REPORTS_TO_NEWCOMER: usize = 64;
 
 /// The number of endpoints from which on a node that can't connect to them may itself be
 /// cut off.
-const MANY_UNREACHABLE: usize = 4;
+const MIN_UNREACHABLE_IF_CUT_OFF: usize = 4;
 
 /// What the other nodes report about one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
-struct Elsewhere {
+struct RemoteLoad {
     running: u32,
     pending: u64,
     trouble: Reports,
@@ -53,7 +53,7 @@
 
 /// The load that this node puts on one endpoint in slots that other nodes own and count.
 #[derive(Debug, Clone, Copy, Default)]
-struct Leased {
+struct LeasedLoad {
     running: u32,
     pending: u64,
 }
@@ -73,17 +73,18 @@
         if news == News::Old {
             return news;
         }
-        let speaker = Speaker {
+        let reporter = Speaker {
             address: from,
             incarnation,
             known: news == News::Known,
         };
         let reach = self.members.reach(now);
         let table = self.table.as_ref();
-        for said in usage {
-            let customer = table.and_then(|table| table.customer_by_number_opt(said.customer));
+        for usage_entry in usage {
+            let customer =
+                table.and_then(|table| table.customer_by_number_opt(usage_entry.customer));
             let quota = customer.and_then(|customer| customer.quota.as_ref());
-            self.accounts.hear(now, speaker, said, quota, reach);
+            self.accounts.hear(now, reporter, usage_entry, quota, reach);
         }
         self.hear_rate_limits(now, &rate_limits);
         self.hear_notices(now, &notices);
@@ -94,10 +95,10 @@
 
     /// Sums up the load and the trouble that other nodes report for each endpoint.
     pub(super) fn sum_remote_loads(&mut self, now: Time) {
-        let mut sums: HashMap<u32, Elsewhere> = HashMap::new();
+        let mut sums: HashMap<u32, RemoteLoad> = HashMap::new();
         for (_, member) in self.members.fresh(now) {
             let loads = &member.status.loads;
-            let believed = !is_cut_off(loads);
+            let credible = !is_cut_off(loads);
             for load in loads {
                 let sum = sums.entry(load.endpoint).or_default();
                 sum.running += u32::from(load.running);
@@ -105,7 +106,7 @@
                 match load.trouble {
                     Some(Trouble::Gone) => sum.trouble.gone += 1,
                     Some(Trouble::Failing) => sum.trouble.failing += 1,
-                    Some(Trouble::Unreachable) if believed => sum.trouble.unreachable += 1,
+                    Some(Trouble::Unreachable) if credible => sum.trouble.unreachable += 1,
                     Some(Trouble::Unreachable) | None => {}
                 }
             }
@@ -133,16 +134,16 @@
         self.urgent = false;
         self.news = false;
         let due = due.into_iter();
-        let (newcomers, known): (Vec<_>, Vec<_>) =
+        let (newcomers, established): (Vec<_>, Vec<_>) =
             due.partition(|address| self.members.is_newcomer(now, *address));
         let status = self.status(now);
-        let to_known = Status {
+        let to_established = Status {
             members: self.members.told_to_known(&status.members).to_vec(),
-            rate_limits: told_to_known(&status.rate_limits),
-            notices: told_to_known(&status.notices),
+            rate_limits: limit_reports(&status.rate_limits),
+            notices: limit_reports(&status.notices),
             ..status.clone()
         };
-        let mut statuses = vec![(to_known, known), (status, newcomers)];
+        let mut statuses = vec![(to_established, established), (status, newcomers)];
         statuses.retain(|(_, to)| !to.is_empty());
         statuses
     }
@@ -160,36 +161,39 @@
             cut_off: self.cut_off,
             loads: self.loads(now),
             waiting: self.waiting(),
-            usage: self.accounts.usage(now, USAGE_MOST),
+            usage: self.accounts.usage(now, MAX_USAGE_ENTRIES),
             members: self.members.told(now, self.sequence),
             quarantine: self.quarantine.digest(),
             findings: self.quarantine.news(now),
             protocol: Protocol::OWN,
-            rate_limits: self.in_turn(self.rate_limits_to_tell(now)),
-            notices: self.in_turn(self.notices_to_tell(now)),
+            rate_limits: self.rotate_reports(self.rate_limits_to_tell(now)),
+            notices: self.rotate_reports(self.notices_to_tell(now)),
         }
     }
 
     /// Limits reports to what one status holds; successive statuses rotate through all of
     /// them.
-    fn in_turn<T>(&self, mut told: Vec<T>) -> Vec<T> {
-        if told.len() > TOLD_MOST {
-            let turn = (self.sequence as usize).wrapping_mul(TOLD_MOST);
-            let start = turn % told.len();
-            told.rotate_left(start);
-            told.truncate(TOLD_TO_NEWCOMER_MOST);
+    fn rotate_reports<T>(&self, mut reports: Vec<T>) -> Vec<T> {
+        if reports.len() > MAX_REPORTS {
+            let turn = (self.sequence as usize).wrapping_mul(MAX_REPORTS);
+            let start = turn % reports.len();
+            reports.rotate_left(start);
+            reports.truncate(MAX_REPORTS_TO_NEWCOMER);
         }
-        told
+        reports
     }
 
     /// Returns the load on each endpoint, except what the owners of leased slots report.
     fn loads(&self, now: Time) -> Vec<Load> {
-        let leased = self.leased(now);
+        let leased_loads = self.leased_loads(now);
         let workers = self.pools.values().flat_map(|pool| &pool.workers);
         let loads = workers.map(|worker| {
-            let told = leased.get(&worker.number).copied().unwrap_or_default();
-            let running = worker.running.saturating_sub(told.running);
-            let pending = worker.pending.saturating_sub(told.pending);
+            let leased = leased_loads
+                .get(&worker.number)
+                .copied()
+                .unwrap_or_default();
+            let running = worker.running.saturating_sub(leased.running);
+            let pending = worker.pending.saturating_sub(leased.pending);
             Load {
                 endpoint: worker.number,
                 running: running.min(u32::from(u16::MAX)) as u16,
@@ -197,13 +201,13 @@
                 trouble: worker.trouble(now, &self.options.worker),
             }
         });
-        let told = loads.filter(|load| load.running > 0 || load.trouble.is_some());
-        told.take(LOADS_MOST).collect()
+        let reported = loads.filter(|load| load.running > 0 || load.trouble.is_some());
+        reported.take(MAX_LOAD_ENTRIES).collect()
     }
 
     /// Returns the load in slots whose owner is heard and counts it.
-    fn leased(&self, now: Time) -> HashMap<u32, Leased> {
-        let mut leased: HashMap<u32, Leased> = HashMap::new();
+    fn leased_loads(&self, now: Time) -> HashMap<u32, LeasedLoad> {
+        let mut leased_loads: HashMap<u32, LeasedLoad> = HashMap::new();
         for run in self.runs.values() {
             let Some(lease) = run.lease else {
                 continue;
@@ -215,14 +219,16 @@
             let Some(pool) = self.pools.get(&run.job.target) else {
                 continue;
             };
-            let sum = leased.entry(pool.workers[run.worker].number).or_default();
+            let sum = leased_loads
+                .entry(pool.workers[run.worker].number)
+                .or_default();
             sum.running += 1;
             sum.pending += match run.first {
                 None => run.uncached,
                 Some(_) => 0,
             };
         }
-        leased
+        leased_loads
     }
 
     fn waiting(&self) -> Vec<Waiting> {
@@ -245,11 +251,12 @@
             true => self.list.edition(),
             false => self.list.edition().without_era(),
         };
-        let later = edition > pull.known.endpoints;
-        let endpoints = later.then(|| self.difference(pull));
+        let is_newer_list = edition > pull.known.endpoints;
+        let endpoints = is_newer_list.then(|| self.difference(pull));
         let table = self.table.as_ref();
-        let newer = table.filter(|table| table.configuration().version > pull.known.configuration);
-        let Some(table) = newer else {
+        let newer_table =
+            table.filter(|table| table.configuration().version > pull.known.configuration);
+        let Some(table) = newer_table else {
             return Snapshot {
                 endpoints,
                 ..Snapshot::default()
@@ -280,12 +287,16 @@
     /// be combined with the list that is in force now ([`Difference::into_list`]).
     pub fn pull(&self, from: SocketAddrV4) -> Pull {
         let known = self.versions();
-        let newer = self.members.configuration(from) > known.configuration;
+        let has_newer = self.members.configuration(from) > known.configuration;
         let in_force = self.table.iter().flat_map(|table| table.parts().digests());
         let held = in_force.copied().chain(self.received.digests());
         Pull {
             known,
-            held: if newer { held.collect() } else { Vec::new() },
+            held: if has_newer {
+                held.collect()
+            } else {
+                Vec::new()
+            },
             sections: self.sections.clone(),
             protocol: Protocol::OWN,
         }
@@ -343,10 +354,10 @@
 fn is_cut_off(loads: &[Load]) -> bool {
     let unreachable = |load: &&Load| load.trouble == Some(Trouble::Unreachable);
     let unreachable = loads.iter().filter(unreachable).count();
-    unreachable >= MANY_UNREACHABLE && unreachable * 2 > loads.len()
+    unreachable >= MIN_UNREACHABLE_IF_CUT_OFF && unreachable * 2 > loads.len()
 }
 
 /// Shortens the reports for a newcomer to those for a node that is already known.
-fn told_to_known<T: Clone>(told: &[T]) -> Vec<T> {
-    told[..told.len().min(TOLD_MOST)].to_vec()
+fn limit_reports<T: Clone>(reports: &[T]) -> Vec<T> {
+    reports[..reports.len().min(MAX_REPORTS)].to_vec()
 }
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -9,21 +9,21 @@
 
 use super::Dispatcher;
 use super::Pool;
-use super::borrow::Asked;
+use super::borrow::LeaseTarget;
 use super::lend::RemoteRequest;
 use crate::job;
 use crate::job::Job;
 use crate::lease::Answer;
 
 /// The maximum number of open requests for spare slots per service.
-const SPARE_MOST: usize = 8;
+const MAX_OPEN_SPARE_REQUESTS: usize = 8;
 
 /// How long a node that had no spare slot is not asked again.
-const DENIED_FOR: Span = Span::from_millis(200);
+const DENIAL_BACKOFF: Span = Span::from_millis(200);
 
 /// The fraction of a cell's usable slots that is not lent to other cells, so that the
 /// cell's own next requests need not wait.
-const KEPT_PART: f64 = 0.1;
+const RESERVED_FRACTION: f64 = 0.1;
 
 impl Dispatcher {
     /// Asks other cells for spare slots, for requests at the head of the queue that have
@@ -36,23 +36,24 @@
             return;
         }
         let questions = self.questions.iter();
-        let open = questions
-            .filter(|(id, question)| question.job.is_none() && self.places.get(id) == Some(target));
-        let most = SPARE_MOST.saturating_sub(open.count());
-        let without = pool.usable(now, &self.options.worker) == 0;
+        let open = questions.filter(|(id, open_request)| {
+            open_request.job.is_none() && self.places.get(id) == Some(target)
+        });
+        let remaining = MAX_OPEN_SPARE_REQUESTS.saturating_sub(open.count());
+        let no_usable_endpoint = pool.usable(now, &self.options.worker) == 0;
         let own_cell_for = self.options.policy.own_cell_for;
         let waiting = pool.queue.iter().take(self.options.policy.look_ahead);
         let seeking = waiting.filter(|(id, job)| {
-            let waited = without || now.since(job.arrived) >= own_cell_for;
+            let waited = no_usable_endpoint || now.since(job.arrived) >= own_cell_for;
             waited && !self.questions.contains_key(id)
         });
-        let seeking: Vec<job::Id> = seeking.map(|(id, _)| id).take(most).collect();
+        let seeking: Vec<job::Id> = seeking.map(|(id, _)| id).take(remaining).collect();
         if seeking.is_empty() {
             return;
         }
         let key = u64::from(pool.number);
         self.denied
-            .retain(|_, denied| now.since(*denied) < DENIED_FOR);
+            .retain(|_, denied| now.since(*denied) < DENIAL_BACKOFF);
         let owners = self.members.other_owners(now, key, self.next_question);
         let owners = owners.into_iter();
         let mut owners: VecDeque<SocketAddrV4> = owners
@@ -60,16 +61,17 @@
             .collect();
         for id in seeking {
             let job = self.pools.get(target).and_then(|pool| pool.queue.get(id));
-            let mut near = owners.iter();
-            let at = near.position(|owner| job.is_some_and(|job| self.may_run_near(job, *owner)));
+            let mut candidates = owners.iter();
+            let at =
+                candidates.position(|owner| job.is_some_and(|job| self.may_run_near(job, *owner)));
             let Some(owner) = at.and_then(|at| owners.remove(at)) else {
                 continue;
             };
-            let asked = Asked {
+            let lease_target = LeaseTarget {
                 owner,
                 endpoint: None,
             };
-            self.ask(now, id, asked, None);
+            self.request_slot(now, id, lease_target, None);
         }
     }
 
@@ -87,7 +89,7 @@
         };
         let pool = self.pools.get(&job.target);
         let choice = pool
-            .filter(|pool| self.has_spare(now, pool, &job))
+            .filter(|pool| self.has_spare_slot(now, pool, &job))
             .and_then(|pool| self.cheapest(now, pool, &job, 0, |_| true));
         let Some(choice) = choice.filter(|_| !self.leaving) else {
             self.send_lease_reply(origin, Answer::Denied);
@@ -98,13 +100,13 @@
         self.start(now, id, job, choice);
     }
 
-    fn has_spare(&self, now: Time, pool: &Pool, job: &Job) -> bool {
+    fn has_spare_slot(&self, now: Time, pool: &Pool, job: &Job) -> bool {
         let mut ranks = pool.queue.counts();
         if ranks.any(|(rank, _)| rank <= job.rank) {
             return false;
         }
         let usable = pool.usable_slots(now, &self.options.worker);
         let free = self.free_slots(now, pool);
-        f64::from(free) > f64::from(usable) * KEPT_PART
+        f64::from(free) > f64::from(usable) * RESERVED_FRACTION
     }
 }
--- a/crates/dispatch/src/region.rs
+++ b/crates/dispatch/src/region.rs
@@ -33,7 +33,7 @@
         self.0.is_empty()
     }
 
-    fn allow(&self, region: Option<&id::Region>) -> bool {
+    fn permits(&self, region: Option<&id::Region>) -> bool {
         self.is_unrestricted() || region.is_some_and(|region| self.0.contains(region))
     }
 }
@@ -66,8 +66,8 @@
 impl Map {
     /// Creates a map from the region of each data centre.
     pub fn new(regions: HashMap<id::DataCentre, id::Region>) -> Map {
-        let numbered = regions.iter().map(|(centre, region)| {
-            let number = endpoint::number_of(centre.as_str());
+        let numbered = regions.iter().map(|(data_centre, region)| {
+            let number = endpoint::number_of(data_centre.as_str());
             (number, region.clone())
         });
         Map {
@@ -77,19 +77,19 @@
     }
 
     /// Whether a request may run in a data centre.
-    pub fn allows(&self, bound: &Constraint, centre: &id::DataCentre) -> bool {
-        bound.is_unrestricted() || bound.allows(self.regions.get(centre))
+    pub fn allows(&self, constraint: &Constraint, data_centre: &id::DataCentre) -> bool {
+        constraint.is_unrestricted() || constraint.allows(self.regions.get(data_centre))
     }
 
     /// Whether a request may run in the data centre with the given number.
-    pub fn allows_number(&self, bound: &Constraint, centre: u32) -> bool {
-        bound.is_unrestricted() || bound.allows(self.by_number.get(&centre))
+    pub fn allows_number(&self, constraint: &Constraint, data_centre: u32) -> bool {
+        constraint.is_unrestricted() || constraint.allows(self.by_number.get(&data_centre))
     }
 }
 
 impl Constraint {
     fn allows(&self, region: Option<&id::Region>) -> bool {
-        self.route.allow(region) && self.customer.allow(region)
+        self.route.permits(region) && self.customer.permits(region)
     }
 }
 
@@ -112,22 +112,22 @@
 impl Restrictions {
     /// Collects the restrictions of a configuration.
     pub fn from_configuration(configuration: &Configuration) -> Restrictions {
-        let mut found: BTreeMap<Regions, Restriction> = BTreeMap::new();
-        let bound = configuration.routes.iter();
-        for route in bound.filter(|route| !route.regions.is_unrestricted()) {
-            let entry = found.entry(route.regions.clone()).or_default();
+        let mut by_regions: BTreeMap<Regions, Restriction> = BTreeMap::new();
+        let restricted = configuration.routes.iter();
+        for route in restricted.filter(|route| !route.regions.is_unrestricted()) {
+            let entry = by_regions.entry(route.regions.clone()).or_default();
             entry
                 .routes
                 .push((route.host.clone(), route.prefix.clone()));
         }
-        let bound = configuration.customers.iter().flatten();
-        for customer in bound.filter(|customer| !customer.regions.is_unrestricted()) {
-            let entry = found.entry(customer.regions.clone()).or_default();
+        let restricted = configuration.customers.iter().flatten();
+        for customer in restricted.filter(|customer| !customer.regions.is_unrestricted()) {
+            let entry = by_regions.entry(customer.regions.clone()).or_default();
             entry.customers.push(customer.name.clone());
         }
-        let found = found.into_iter();
-        let found = found.map(|(regions, entry)| Restriction { regions, ..entry });
-        Restrictions(found.collect())
+        let by_regions = by_regions.into_iter();
+        let by_regions = by_regions.map(|(regions, entry)| Restriction { regions, ..entry });
+        Restrictions(by_regions.collect())
     }
 
     /// Applies the restrictions to a configuration, and lifts all others in it.
@@ -136,13 +136,15 @@
         let mut customers: HashMap<&id::Customer, &Regions> = HashMap::new();
         for Restriction {
             regions,
-            routes: bound,
-            customers: named,
+            routes: restricted_routes,
+            customers: restricted_customers,
         } in &self.0
         {
-            let bound = bound.iter();
-            routes.extend(bound.map(|(host, prefix)| ((host.as_str(), prefix.as_str()), regions)));
-            customers.extend(named.iter().map(|name| (name, regions)));
+            let restricted = restricted_routes.iter();
+            routes.extend(
+                restricted.map(|(host, prefix)| ((host.as_str(), prefix.as_str()), regions)),
+            );
+            customers.extend(restricted_customers.iter().map(|name| (name, regions)));
         }
         for route in &mut configuration.routes {
             let key = (route.host.as_str(), route.prefix.as_str());
--- a/crates/dispatch/src/table.rs
+++ b/crates/dispatch/src/table.rs
@@ -86,7 +86,7 @@
 
     /// Returns the route of a host with the longest prefix of the path.
     pub fn route_opt(&self, host: &str, path: &str) -> Option<&Route> {
-        let prefixes = self.routes.get(&to_name(host))?;
+        let prefixes = self.routes.get(&normalise_host(host))?;
         let ends = path.bytes().enumerate().rev();
         let mut slashes = ends.filter(|(_, byte)| *byte == b'/').map(|(at, _)| at);
         let found = slashes.find_map(|at| prefixes.get(&path[..=at]))?;
@@ -118,16 +118,16 @@
     pub fn find(&self, host: &str, path: &str, key: Option<Key>) -> Result<Match<'_>, Code> {
         let route = self.route_opt(host, path).ok_or(Code::RouteUnknown)?;
         let customer = key.and_then(|key| self.customer_opt(key));
-        let asked = self.configuration.customers.is_some() && !route.anonymous;
+        let needs_key = self.configuration.customers.is_some() && !route.anonymous;
         match customer {
-            None if asked => Err(Code::CustomerUnknown),
+            None if needs_key => Err(Code::CustomerUnknown),
             customer => Ok(Match { route, customer }),
         }
     }
 }
 
 /// Normalises a `Host` header: without its port, in lower case.
-fn to_name(host: &str) -> String {
+fn normalise_host(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
