--- a/crates/dispatch/tests/dispatch/connections.rs
+++ b/crates/dispatch/tests/dispatch/connections.rs
@@ -18,13 +18,17 @@
 #[case::alone(1, 490, 245)]
 #[case::seven_hosts(7, 490, 35)]
 #[case::more_hosts_than_connections(200, 100, 1)]
-#[case::none_are_said(7, 0, 1)]
-#[case::no_bound(7, u32::MAX, 306_783_378)]
-fn a_node_keeps_its_part(#[case] nodes: u8, #[case] taken: u32, #[case] kept: usize) {
+#[case::no_connections(7, 0, 1)]
+#[case::unlimited(7, u32::MAX, 306_783_378)]
+fn a_node_keeps_its_share_of_idle_connections(
+    #[case] nodes: u8,
+    #[case] max_connections: u32,
+    #[case] expected: usize,
+) {
     let mut dispatcher = dispatcher(&[]);
     let usual = configuration(2);
     let services = usual.services.iter().map(|service| Service {
-        connections: taken,
+        connections: max_connections,
         ..service.clone()
     });
     let configuration = Configuration {
@@ -41,5 +45,5 @@
         dispatcher.receive_status(at(2), node(other), status);
     }
     let service = id::Target::new(SERVICE);
-    assert_eq!(dispatcher.connections_at_rest(at(3), &service), kept);
+    assert_eq!(dispatcher.connections_at_rest(at(3), &service), expected);
 }
--- a/crates/dispatch/tests/dispatch/evacuate.rs
+++ b/crates/dispatch/tests/dispatch/evacuate.rs
@@ -44,7 +44,7 @@
 }
 
 /// Returns the endpoints that four requests which arrive now are sent to.
-fn used(dispatcher: &mut Dispatcher, millis: u64) -> Vec<String> {
+fn endpoints_used(dispatcher: &mut Dispatcher, millis: u64) -> Vec<String> {
     for _ in 0..4 {
         dispatcher.enter(at(millis), job(SERVICE, 2, at(millis)));
     }
@@ -59,17 +59,17 @@
 }
 
 #[test]
-fn nothing_goes_there_until_it_is_taken_back() {
+fn an_evacuated_data_centre_gets_no_requests_until_it_is_restored() {
     let mut dispatcher = dispatcher(&endpoints());
-    assert_eq!(used(&mut dispatcher, 1), ["e-a", "e-b"]);
+    assert_eq!(endpoints_used(&mut dispatcher, 1), ["e-a", "e-b"]);
     assert!(dispatcher.set_endpoints(at(2), evacuated(2, true, &["a"])));
-    assert_eq!(used(&mut dispatcher, 3), ["e-b"]);
+    assert_eq!(endpoints_used(&mut dispatcher, 3), ["e-b"]);
     assert!(dispatcher.set_endpoints(at(4), evacuated(3, true, &[])));
-    assert_eq!(used(&mut dispatcher, 5), ["e-a", "e-b"]);
+    assert_eq!(endpoints_used(&mut dispatcher, 5), ["e-a", "e-b"]);
 }
 
 #[test]
-fn what_runs_there_ends_as_it_would_have() {
+fn requests_running_there_end_normally() {
     let mut dispatcher = dispatcher(&[in_centre("e-a", "a")]);
     let running = dispatcher.enter(at(1), job(SERVICE, 2, at(1)));
     assert_eq!(starts(&mut dispatcher).len(), 1);
@@ -82,13 +82,13 @@
 /// After an outage of the platform, records of endpoints may be missing, but evacuations
 /// never are.
 #[test]
-fn a_list_that_is_not_settled_says_it_too() {
+fn an_unsettled_list_sets_evacuations_too() {
     let mut dispatcher = dispatcher(&endpoints());
     dispatcher.set_endpoints(at(2), evacuated(2, true, &["a"]));
     dispatcher.set_endpoints(at(3), evacuated(3, false, &[]));
-    assert_eq!(used(&mut dispatcher, 4), ["e-a", "e-b"]);
+    assert_eq!(endpoints_used(&mut dispatcher, 4), ["e-a", "e-b"]);
     dispatcher.set_endpoints(at(5), evacuated(4, false, &["b"]));
-    assert_eq!(used(&mut dispatcher, 6), ["e-a"]);
+    assert_eq!(endpoints_used(&mut dispatcher, 6), ["e-a"]);
 }
 
 #[test]
@@ -96,20 +96,20 @@
     let mut dispatcher = dispatcher(&endpoints());
     dispatcher.set_endpoints(at(2), evacuated(5, true, &["a"]));
     assert!(!dispatcher.set_endpoints(at(3), evacuated(4, true, &[])));
-    assert_eq!(used(&mut dispatcher, 4), ["e-b"]);
+    assert_eq!(endpoints_used(&mut dispatcher, 4), ["e-b"]);
 }
 
 #[test]
-fn it_goes_from_node_to_node() {
+fn evacuations_are_passed_between_nodes() {
     let mut from = dispatcher(&endpoints());
     let mut to = dispatcher(&endpoints());
     from.set_endpoints(at(2), evacuated(2, true, &["a"]));
     pass_on(&from, &mut to);
-    assert_eq!(used(&mut to, 3), ["e-b"]);
+    assert_eq!(endpoints_used(&mut to, 3), ["e-b"]);
 }
 
 #[test]
-fn with_all_evacuated_callers_are_told_when_to_come_back() {
+fn with_all_evacuated_refusals_say_when_to_retry() {
     let mut dispatcher = dispatcher(&endpoints());
     dispatcher.set_endpoints(at(2), evacuated(2, true, &["a", "b"]));
     dispatcher.enter(at(3), job(SERVICE, 2, at(3)));
--- a/crates/dispatch/tests/dispatch/fleet/evacuate.rs
+++ b/crates/dispatch/tests/dispatch/fleet/evacuate.rs
@@ -43,13 +43,13 @@
 }
 
 /// Returns how long it takes until the published list is in force on every running node.
-fn in_force_after(world: &mut World) -> Span {
+fn time_until_in_force(world: &mut World) -> Span {
     let from = world.now;
-    let wanted = world.list.revision;
+    let revision = world.list.revision;
     while world
         .nodes
         .values()
-        .any(|node| node.edition().revision < wanted)
+        .any(|node| node.edition().revision < revision)
     {
         world.run_for(Span::from_millis(20));
         assert!(world.now.since(from) < Span::from_secs(10), "in force");
@@ -63,14 +63,18 @@
 #[case::nodes_79(26, 3, false)]
 #[case::nodes_79_killed(26, 3, true)]
 #[case::nodes_295(59, 5, false)]
-fn no_node_is_late(#[case] nodes: u16, #[case] centres: u16, #[case] kill: bool) {
+fn an_evacuation_reaches_every_node_within_a_second(
+    #[case] nodes: u16,
+    #[case] centres: u16,
+    #[case] kill: bool,
+) {
     let mut world = fleet(nodes, centres);
     let all = all_nodes(&world);
-    let away = all
+    let rejected = all
         .iter()
         .copied()
         .filter(|node| (node / centres).is_multiple_of(3));
-    world.turned_away = away.collect();
+    world.turned_away = rejected.collect();
     load(&mut world, MODEL, 500, Span::from_secs(5), &all);
     world.run_for(SECOND);
     let list = evacuated(&world, &["dc0"]);
@@ -83,7 +87,7 @@
             .collect();
         kill_for(&mut world, &killed, Span::from_millis(600));
     }
-    let took = in_force_after(&mut world);
+    let took = time_until_in_force(&mut world);
     assert!(took <= Span::from_secs(1), "in force after {took}");
     let since = world.now;
     world.run_for(Span::from_secs(2));
@@ -111,7 +115,7 @@
 
 /// Evacuates one data centre after the other; each evacuation lifts the one before.
 #[test]
-fn evacuations_that_follow_each_other() {
+fn successive_evacuations() {
     let mut world = fleet(26, 3);
     let all = all_nodes(&world);
     load(&mut world, MODEL, 500, Span::from_secs(9), &all);
@@ -119,7 +123,7 @@
     for centre in ["dc0", "dc1", "dc2"] {
         let list = evacuated(&world, &[centre]);
         world.publish_to_readers(list);
-        in_force_after(&mut world);
+        time_until_in_force(&mut world);
         let since = world.now;
         world.run_for(Span::from_secs(2));
         assert_eq!(arrivals_after(&world, centre, since), 0, "{centre}");
@@ -132,7 +136,7 @@
 /// An evacuation is lifted during a burst. The endpoints are cold by then, whether or not
 /// they report it.
 #[test]
-fn what_is_taken_back_is_cold() {
+fn restored_endpoints_are_cold() {
     let mut world = fleet(26, 3);
     let all = all_nodes(&world);
     load(&mut world, MODEL, 500, Span::from_secs(8), &all);
@@ -153,13 +157,13 @@
 
 /// With every data centre evacuated, callers are refused.
 #[test]
-fn with_nothing_left_callers_are_refused() {
+fn with_all_evacuated_callers_are_refused() {
     let mut world = fleet(26, 3);
     let all = all_nodes(&world);
     world.run_for(SECOND);
     let list = evacuated(&world, &["dc0", "dc1", "dc2"]);
     world.publish_to_readers(list);
-    in_force_after(&mut world);
+    time_until_in_force(&mut world);
     let seen = serve(&mut world, MODEL, 200, SECOND, &all);
     world.run_for(SECOND);
     assert!(seen.iter().all(|one| one.began.is_none()));
--- a/crates/dispatch/tests/dispatch/fleet/region_bound.rs
+++ b/crates/dispatch/tests/dispatch/fleet/region_bound.rs
@@ -37,11 +37,11 @@
 }
 
 /// Sends requests that may run in the north only, at a rate and for a time.
-fn load_bound(world: &mut World, per_second: u64, span: Span, nodes: &[u16]) {
+fn load_north(world: &mut World, per_second: u64, span: Span, nodes: &[u16]) {
     for number in 0..per_second * span.0 / SECOND.0 {
-        let drawn = hash::chain(world.now.0, &number.to_le_bytes());
-        let node = nodes[(drawn >> 32) as usize % nodes.len()];
-        world.arrive(Span(drawn % span.0), node, |when| Job {
+        let random = hash::chain(world.now.0, &number.to_le_bytes());
+        let node = nodes[(random >> 32) as usize % nodes.len()];
+        world.arrive(Span(random % span.0), node, |when| Job {
             bound: north(),
             ..request(MODEL)(when)
         });
@@ -49,7 +49,7 @@
 }
 
 /// Counts the arrivals at endpoints of the south.
-fn in_the_south(world: &World) -> usize {
+fn arrivals_in_the_south(world: &World) -> usize {
     let south = world.list.endpoints.iter();
     let south = south.filter(|one| one.data_centre == id::DataCentre::new("dc2"));
     let arrivals = south.filter_map(|one| world.arrivals.get(&one.name));
@@ -60,13 +60,13 @@
 #[rstest]
 #[case::one_cell(4)]
 #[case::cells(26)]
-fn they_run_where_they_may(#[case] nodes: u16) {
+fn requests_run_only_in_allowed_regions(#[case] nodes: u16) {
     let mut world = fleet(nodes);
     let all = all_nodes(&world);
-    load_bound(&mut world, 150, Span::from_secs(5), &all);
+    load_north(&mut world, 150, Span::from_secs(5), &all);
     let from = world.now;
     world.run_for(Span::from_secs(5));
-    assert_eq!(in_the_south(&world), 0);
+    assert_eq!(arrivals_in_the_south(&world), 0);
     assert_in_time(&world.between(from, world.now), 95.0);
     assert_all_over(&mut world);
 }
@@ -77,22 +77,22 @@
 #[case::regions_apart(|node| node % 3 / 2)]
 #[case::each_centre_alone(|node| node % 3)]
 #[case::each_node_alone(|node| node)]
-fn cuts_between_regions(#[case] part: fn(u16) -> u16) {
+fn partitions_between_regions(#[case] part: fn(u16) -> u16) {
     let mut world = fleet(26);
     let all = all_nodes(&world);
-    load_bound(&mut world, 100, Span::from_secs(9), &all);
+    load_north(&mut world, 100, Span::from_secs(9), &all);
     world.run_for(SECOND);
     world.part = Some(part);
     world.run_for(Span::from_secs(4));
     world.part = None;
     world.run_for(Span::from_secs(4));
-    assert_eq!(in_the_south(&world), 0);
+    assert_eq!(arrivals_in_the_south(&world), 0);
     assert_all_over(&mut world);
 }
 
 /// With the whole region evacuated, the requests are refused.
 #[test]
-fn with_their_regions_evacuated_they_are_refused() {
+fn with_their_region_evacuated_requests_are_refused() {
     let mut world = fleet(26);
     let all = all_nodes(&world);
     let closed = List {
@@ -103,9 +103,9 @@
     world.publish_to_readers(closed);
     world.run_for(SECOND);
     let from = world.now;
-    load_bound(&mut world, 100, SECOND, &all);
+    load_north(&mut world, 100, SECOND, &all);
     world.run_for(Span::from_secs(3));
     let seen = world.between(from, world.now);
     assert!(seen.iter().all(|one| one.refused && one.began.is_none()));
-    assert_eq!(in_the_south(&world), 0);
+    assert_eq!(arrivals_in_the_south(&world), 0);
 }
--- a/crates/dispatch/tests/dispatch/lease/borrow.rs
+++ b/crates/dispatch/tests/dispatch/lease/borrow.rs
@@ -19,7 +19,7 @@
 use crate::support::starts;
 
 #[test]
-fn a_request_runs_in_the_slot_that_was_given_and_its_end_is_told() {
+fn a_request_runs_in_the_granted_slot_and_its_end_is_reported() {
     let (mut dispatcher, owner, request) = asking();
     assert!(starts(&mut dispatcher).is_empty());
     dispatcher.receive_lease_reply(at(3), owner, granted(&request, "e3"));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_the_owner_tells_is_not_told_twice() {
+fn load_that_the_owner_reports_is_not_reported_twice() {
     let (mut dispatcher, owner, request) = asking();
     dispatcher.receive_lease_reply(at(3), owner, granted(&request, "e3"));
     assert!(dispatcher.status(at(4)).loads.is_empty());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_owner_that_does_not_answer_is_asked_again_and_then_passed_over() {
+fn a_silent_owner_is_asked_again_and_then_passed_over() {
     let (mut dispatcher, owner, request) = asking();
     dispatcher.tick(at(40));
     assert!(request_of(dispatcher.take_messages()).is_none());
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_node_that_reaches_no_owner_decides_itself() {
+fn a_node_that_reaches_no_owner_decides_on_its_own() {
     let (mut dispatcher, _, _) = asking();
     for millis in (20..1_000).step_by(20) {
         dispatcher.tick(at(millis));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_slot_at_an_endpoint_that_is_known_to_leave_is_returned() {
+fn a_slot_at_a_leaving_endpoint_is_returned() {
     let (mut dispatcher, owner, request) = asking();
     let mut leaving = endpoints();
     leaving[3].leaving = true;
--- a/crates/dispatch/tests/dispatch/lease/lend.rs
+++ b/crates/dispatch/tests/dispatch/lease/lend.rs
@@ -38,7 +38,7 @@
 }
 
 /// Returns the nodes that are granted a slot when a request of node 50 ends.
-fn granted_after(owner: &mut Dispatcher, number: u64) -> Vec<SocketAddrV4> {
+fn nodes_granted_after(owner: &mut Dispatcher, number: u64) -> Vec<SocketAddrV4> {
     let event = Event::Ended {
         end: End::Whole,
         seen: Observation::default(),
@@ -58,12 +58,12 @@
     owner.receive_lease_request(at(3), node(51), question(1, 2));
     owner.receive_lease_request(at(4), node(52), question(1, 0));
     owner.take_messages();
-    assert_eq!(granted_after(&mut owner, 1), [node(50)]);
-    assert_eq!(granted_after(&mut owner, 2), [node(52)]);
+    assert_eq!(nodes_granted_after(&mut owner, 1), [node(50)]);
+    assert_eq!(nodes_granted_after(&mut owner, 2), [node(52)]);
 }
 
 #[test]
-fn a_question_that_comes_twice_gets_the_same_slot() {
+fn a_duplicated_request_gets_the_same_slot() {
     let mut owner = owning();
     owner.receive_lease_request(at(2), node(50), question(1, 2));
     owner.receive_lease_request(at(3), node(50), question(1, 2));
@@ -74,21 +74,21 @@
 }
 
 #[test]
-fn another_life_of_a_node_does_not_inherit_its_slots() {
+fn a_new_incarnation_of_a_node_does_not_inherit_its_slots() {
     let mut owner = owning();
     owner.receive_lease_request(at(2), node(50), question(1, 2));
-    let other_life = lease::Request {
+    let other_incarnation = lease::Request {
         incarnation: 77,
         ..question(1, 2)
     };
-    owner.receive_lease_request(at(3), node(50), other_life);
+    owner.receive_lease_request(at(3), node(50), other_incarnation);
     assert_eq!(owner.held_for_others(), 1);
 }
 
 #[rstest]
 #[case::it_still_runs(true)]
 #[case::its_node_is_gone(false)]
-fn a_slot_of_which_nothing_is_heard_is_asked_after(#[case] answers: bool) {
+fn a_slot_without_reports_is_checked(#[case] answers: bool) {
     let mut owner = owning();
     owner.receive_lease_request(at(2), node(50), question(1, 2));
     owner.take_messages();
@@ -110,7 +110,7 @@
 #[rstest]
 #[case::free(0, true)]
 #[case::all_taken(100, false)]
-fn only_what_is_to_spare_goes_to_another_cell(#[case] taken: u64, #[case] given: bool) {
+fn only_spare_slots_are_lent_to_another_cell(#[case] taken: u64, #[case] is_granted: bool) {
     let mut owner = owning();
     for number in 0..taken {
         owner.receive_lease_request(at(2), node(50), question(number, 2));
@@ -122,8 +122,8 @@
     };
     owner.receive_lease_request(at(3), node(60), spare);
     let answers = answers_of(owner.take_messages());
-    assert_eq!(matches!(answers[..], [Answer::Granted { .. }]), given);
-    assert_eq!(answers.contains(&Answer::Denied), !given);
+    assert_eq!(matches!(answers[..], [Answer::Granted { .. }]), is_granted);
+    assert_eq!(answers.contains(&Answer::Denied), !is_granted);
 }
 
 #[test]
@@ -138,17 +138,17 @@
 }
 
 #[test]
-fn a_request_is_judged_by_its_age_at_its_owner() {
+fn an_owner_considers_the_age_of_a_request() {
     let mut owner = owning();
     fill(&mut owner, 2);
     // Its caller waits for 10 ms more.
-    let old = Job {
+    let expiring = Job {
         patience: Span::from_millis(500),
         ..job(MODEL, 2, at(0))
     };
     let late = lease::Request {
         age: Span::from_millis(490),
-        patience: old.patience,
+        patience: expiring.patience,
         tried: vec![1],
         ..question(90, 2)
     };
@@ -165,20 +165,20 @@
 #[rstest]
 #[case::of_its_first_event(Event::First, true)]
 #[case::only_that_it_goes_on(Event::Progress, false)]
-fn the_time_to_a_first_event_is_learnt_only_where_that_is_told(
+fn the_time_to_the_first_event_is_learnt_only_from_its_report(
     #[case] event: Event,
     #[case] learnt: bool,
 ) {
-    let usual = least_objective(&mut owning());
+    let baseline = shortest_objective(&mut owning());
     let mut owner = owning();
     owner.receive_lease_request(at(2), node(50), question(1, 2));
     owner.receive_lease_report(at(60_000), node(50), Report { number: 1, event });
-    assert_eq!(least_objective(&mut owner) > usual, learnt);
+    assert_eq!(shortest_objective(&mut owner) > baseline, learnt);
 }
 
 /// Returns the shortest objective, in milliseconds, with which a request is accepted behind
 /// one that waits.
-fn least_objective(owner: &mut Dispatcher) -> u64 {
+fn shortest_objective(owner: &mut Dispatcher) -> u64 {
     fill(owner, 2);
     let mut objectives = (10..5_000).step_by(10);
     let least = objectives.find(|objective| {
--- a/crates/dispatch/tests/dispatch/publish.rs
+++ b/crates/dispatch/tests/dispatch/publish.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_another_node_read_counts_only_where_it_is_newer() {
+fn documents_of_another_node_are_applied_only_if_newer() {
     let mut own = dispatcher(&[endpoint("e", SERVICE, 1)]);
     own.set_configuration(at(0), configuration(7));
     own.set_endpoints(at(0), list(9, &[endpoint("e", SERVICE, 1)]));
@@ -69,11 +69,11 @@
 }
 
 #[test]
-fn a_node_is_given_only_what_it_has_not() {
+fn a_node_is_sent_only_what_it_lacks() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     dispatcher.set_configuration(at(0), configuration(7));
     dispatcher.set_endpoints(at(0), list(9, &[]));
-    let given = |configuration, revision| {
+    let sent = |configuration, revision| {
         let endpoints = Edition {
             revision,
             settled: true,
@@ -92,10 +92,10 @@
             snapshot.endpoints.is_some(),
         )
     };
-    assert_eq!(given(0, 0), (true, true));
-    assert_eq!(given(7, 8), (false, true));
-    assert_eq!(given(6, 9), (true, false));
-    assert_eq!(given(7, 9), (false, false));
+    assert_eq!(sent(0, 0), (true, true));
+    assert_eq!(sent(7, 8), (false, true));
+    assert_eq!(sent(6, 9), (true, false));
+    assert_eq!(sent(7, 9), (false, false));
 }
 
 /// Returns a list that may lack endpoints which still run.
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn what_an_unsettled_list_lacks_is_kept_until_a_settled_one_comes() {
+fn endpoints_missing_from_an_unsettled_list_are_kept_until_a_settled_one_arrives() {
     let leaving = Endpoint {
         leaving: true,
         ..endpoint("leaving", SERVICE, 4)
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_or_is_gone_gets_nothing_new() {
+fn an_endpoint_that_leaves_or_is_gone_gets_no_new_requests() {
     let leaving = Endpoint {
         leaving: true,
         ..endpoint("e", SERVICE, 4)
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn an_endpoint_that_says_it_is_leaving_gets_nothing_new() {
+fn an_endpoint_that_answers_that_it_is_leaving_gets_no_new_requests() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4)]);
     let once = Job {
         attempts: 1,
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_runs_is_followed_while_endpoints_come_and_go() {
+fn running_requests_are_tracked_while_endpoints_come_and_go() {
     let all = ["a", "b", "c", "d"].map(|name| endpoint(name, SERVICE, 1));
     let mut dispatcher = dispatcher(&all);
     let ids: Vec<_> = (0..4)
@@ -186,7 +186,7 @@
 }
 
 /// Returns an endpoint with the given start, in milliseconds since 1970.
-fn started_at(name: &str, started_at: u64) -> Endpoint {
+fn endpoint_started_at(name: &str, started_at: u64) -> Endpoint {
     Endpoint {
         started_at,
         ..endpoint(name, MODEL, 1)
@@ -195,14 +195,14 @@
 
 /// A restart ends what ran at the endpoint and clears its prompt cache.
 #[test]
-fn an_endpoint_that_starts_again_under_its_name_has_nothing_of_before() {
-    let mut dispatcher = dispatcher(&[started_at("e", 1_000)]);
+fn a_restarted_endpoint_inherits_nothing() {
+    let mut dispatcher = dispatcher(&[endpoint_started_at("e", 1_000)]);
     let ran = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     assert_eq!(starts(&mut dispatcher).len(), 1);
     // Its only slot is taken.
     dispatcher.enter(at(1), job(MODEL, 2, at(1)));
     assert_eq!(starts(&mut dispatcher), []);
-    dispatcher.set_endpoints(at(2), list(2, &[started_at("e", 2_000)]));
+    dispatcher.set_endpoints(at(2), list(2, &[endpoint_started_at("e", 2_000)]));
     assert_eq!(starts(&mut dispatcher).len(), 1);
     // The broken connection to the earlier start doesn't count against the later one.
     dispatcher.end(at(3), ran, End::Lost);
@@ -214,23 +214,23 @@
 
 /// What other nodes reported of the earlier start doesn't hold for the later one.
 #[test]
-fn each_start_of_an_endpoint_has_a_number_of_its_own() {
-    let numbers = [0, 1_000, 2_000].map(|start| started_at("e", start).to_number());
+fn each_start_of_an_endpoint_has_its_own_number() {
+    let numbers = [0, 1_000, 2_000].map(|start| endpoint_started_at("e", start).to_number());
     assert_ne!(numbers[0], numbers[1]);
     assert_ne!(numbers[1], numbers[2]);
     assert_ne!(
-        started_at("e", 1_000).to_instance(),
-        started_at("e", 2_000).to_instance()
+        endpoint_started_at("e", 1_000).to_instance(),
+        endpoint_started_at("e", 2_000).to_instance()
     );
-    assert_eq!(started_at("e", 1_000).to_number(), numbers[1]);
+    assert_eq!(endpoint_started_at("e", 1_000).to_number(), numbers[1]);
 }
 
 /// Others may write under the same keys. Endpoints of a service that isn't configured are
 /// not used, until a configuration names the service.
 #[test]
-fn endpoints_of_a_service_that_is_not_named_are_not_used() {
-    let stranger = endpoint("x", "stranger", 4);
-    let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1), stranger]);
+fn endpoints_of_a_service_that_is_not_configured_are_not_used() {
+    let unconfigured = endpoint("x", "stranger", 4);
+    let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1), unconfigured]);
     let targets = |dispatcher: &Dispatcher| {
         let summaries = dispatcher.summaries(at(1)).into_iter();
         let mut targets: Vec<String> = summaries
--- a/crates/dispatch/tests/dispatch/region.rs
+++ b/crates/dispatch/tests/dispatch/region.rs
@@ -60,7 +60,7 @@
     dispatcher
 }
 
-fn bound(route: &str, customer: &str) -> Job {
+fn restricted_job(route: &str, customer: &str) -> Job {
     Job {
         bound: Constraint {
             route: regions(route),
@@ -73,16 +73,20 @@
 }
 
 #[rstest]
-#[case::the_route_binds("south", "", &["south"])]
-#[case::the_customer_binds("", "north", &["north"])]
+#[case::route_restricts("south", "", &["south"])]
+#[case::customer_restricts("", "north", &["north"])]
 #[case::both_agree("south north", "south", &["south"])]
-#[case::both_bind("north", "south", &[])]
+#[case::both_restrict("north", "south", &[])]
 #[case::a_region_that_is_not_known("west", "", &[])]
-#[case::none_binds("", "", &["elsewhere", "north", "south"])]
-fn where_requests_run(#[case] route: &str, #[case] customer: &str, #[case] expected: &[&str]) {
+#[case::neither_restricts("", "", &["elsewhere", "north", "south"])]
+fn requests_run_only_in_allowed_regions(
+    #[case] route: &str,
+    #[case] customer: &str,
+    #[case] expected: &[&str],
+) {
     let mut dispatcher = node();
     for _ in 0..12 {
-        dispatcher.enter(at(1), bound(route, customer));
+        dispatcher.enter(at(1), restricted_job(route, customer));
     }
     let mut used: Vec<String> = starts(&mut dispatcher)
         .into_iter()
@@ -94,9 +98,9 @@
 }
 
 #[test]
-fn one_that_may_run_nowhere_is_refused_and_told_when_to_return() {
+fn a_request_that_may_run_nowhere_is_refused_with_a_retry_time() {
     let mut dispatcher = node();
-    let id = dispatcher.enter(at(1), bound("north", "south"));
+    let id = dispatcher.enter(at(1), restricted_job("north", "south"));
     dispatcher.tick(at(900));
     assert!(refusals(&mut dispatcher).is_empty());
     dispatcher.tick(at(1_100));
@@ -108,9 +112,9 @@
 }
 
 #[test]
-fn another_attempt_stays_within_the_region() {
+fn a_further_attempt_stays_within_the_region() {
     let mut dispatcher = node();
-    let id = dispatcher.enter(at(1), bound("south", ""));
+    let id = dispatcher.enter(at(1), restricted_job("south", ""));
     assert_eq!(starts(&mut dispatcher).len(), 1);
     dispatcher.end(at(2), id, End::Full);
     dispatcher.tick(at(400));
@@ -119,7 +123,7 @@
 
 /// Restrictions are sent beside the parts of a configuration.
 #[test]
-fn restrictions_are_put_together_with_the_parts() {
+fn restrictions_are_applied_to_an_assembled_configuration() {
     let mut configuration = Configuration::clone(&configuration(4));
     configuration.routes[0].regions = regions("north");
     configuration.routes[2].regions = regions("north south");
--- a/crates/dispatch/tests/dispatch/share.rs
+++ b/crates/dispatch/tests/dispatch/share.rs
@@ -19,7 +19,7 @@
 use crate::support::starts;
 
 #[test]
-fn a_status_holds_what_runs_and_what_waits() {
+fn a_status_holds_running_and_waiting_requests() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let long = Job {
         prompt: Prompt {
@@ -41,41 +41,41 @@
 }
 
 #[test]
-fn a_place_taken_elsewhere_is_free_again_when_its_node_is_silent() {
+fn a_slot_taken_by_another_node_is_free_once_that_node_is_silent() {
     let mut first = dispatcher(&[endpoint("e", MODEL, 1)]);
     let mut second = dispatcher(&[endpoint("e", MODEL, 1)]);
     first.enter(at(0), job(MODEL, 2, at(0)));
-    let said = first.status(at(1));
+    let other_status = first.status(at(1));
     second.receive_status(
         at(2),
         node(2),
         Status {
             incarnation: 9,
-            ..said
+            ..other_status
         },
     );
     second.tick(at(2));
-    let waits = second.enter(at(3), job(MODEL, 2, at(3)));
+    let waiting_id = second.enter(at(3), job(MODEL, 2, at(3)));
     assert_eq!(starts(&mut second), []);
     second.tick(at(1_100));
     assert_eq!(starts(&mut second), []);
     second.tick(at(1_300));
-    assert_eq!(starts(&mut second), [(waits, "e".to_owned())]);
+    assert_eq!(starts(&mut second), [(waiting_id, "e".to_owned())]);
 }
 
 #[test]
-fn after_a_pause_nothing_that_others_said_holds() {
+fn after_a_pause_statuses_of_others_have_expired() {
     let mut first = dispatcher(&[endpoint("e", MODEL, 1)]);
     let mut second = dispatcher(&[endpoint("e", MODEL, 1)]);
     second.tick(at(0));
     first.enter(at(0), job(MODEL, 2, at(0)));
-    let said = first.status(at(1));
+    let other_status = first.status(at(1));
     second.receive_status(
         at(2),
         node(2),
         Status {
             incarnation: 9,
-            ..said
+            ..other_status
         },
     );
     second.tick(at(2));
@@ -86,7 +86,7 @@
 
 /// Returns the size in bytes of the status that is due to a node, and the number of
 /// addresses in it.
-fn sent_to(dispatcher: &mut Dispatcher, now: Time, to: u8) -> Option<(usize, usize)> {
+fn status_size_to(dispatcher: &mut Dispatcher, now: Time, to: u8) -> Option<(usize, usize)> {
     let mut statuses = dispatcher.statuses(now).into_iter();
     let (status, _) = statuses.find(|(_, due)| due.contains(&node(to)))?;
     let told = status.members.len();
@@ -97,31 +97,31 @@
 /// Sixteen addresses make up most of an idle node's status: with them it takes 118 bytes,
 /// with two it takes 34.
 #[test]
-fn a_node_that_knows_the_fleet_is_told_of_few_others() {
+fn an_established_node_is_told_of_few_others() {
     let mut own = dispatcher(&[]);
     for other in 2..40 {
-        let said = Status {
+        let other_status = Status {
             incarnation: u64::from(other),
             sequence: 1,
             ..Status::default()
         };
-        own.receive_status(at(0), node(other), said);
+        own.receive_status(at(0), node(other), other_status);
     }
-    let (first, told) = sent_to(&mut own, at(1), 2).expect("it is due");
+    let (first, told) = status_size_to(&mut own, at(1), 2).expect("it is due");
     assert_eq!(told, 16);
     for millis in (100..6_000).step_by(100) {
         own.tick(at(millis));
         for other in 2..40 {
-            let said = Status {
+            let other_status = Status {
                 incarnation: u64::from(other),
                 sequence: millis,
                 ..Status::default()
             };
-            own.receive_status(at(millis), node(other), said);
+            own.receive_status(at(millis), node(other), other_status);
         }
         own.statuses(at(millis));
     }
-    let later = (6_000..8_000).find_map(|millis| sent_to(&mut own, at(millis), 2));
+    let later = (6_000..8_000).find_map(|millis| status_size_to(&mut own, at(millis), 2));
     let (later, told) = later.expect("it is due");
     assert_eq!(told, 2);
     assert!(later + 14 * 6 <= first, "{later} of {first} bytes");
@@ -130,18 +130,18 @@
 proptest! {
     /// Whatever requests and endpoints do, counts stay consistent.
     #[test]
-    fn counts_add_up(steps in proptest::collection::vec((0u8..6, 0usize..8), 1..80)) {
+    fn counts_stay_consistent(steps in proptest::collection::vec((0u8..6, 0usize..8), 1..80)) {
         let ends = [End::Whole, End::Lost, End::Full, End::NotSent, End::Fault];
         let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 2), endpoint("f", MODEL, 2)]);
         let mut ids = Vec::new();
         let mut now = 0;
-        for (what, which) in steps {
+        for (action, index) in steps {
             now += 37;
-            match what {
-                0 | 1 => ids.push(dispatcher.enter(at(now), Job { repeatable: what == 0, ..job(MODEL, 2, at(now)) })),
+            match action {
+                0 | 1 => ids.push(dispatcher.enter(at(now), Job { repeatable: action == 0, ..job(MODEL, 2, at(now)) })),
                 2 => { dispatcher.tick(at(now)); }
-                3 if which < ids.len() => { dispatcher.abandon(at(now), ids[which]); }
-                4 if which < ids.len() => { dispatcher.end(at(now), ids[which], ends[which % ends.len()]); }
+                3 if index < ids.len() => { dispatcher.abandon(at(now), ids[index]); }
+                4 if index < ids.len() => { dispatcher.end(at(now), ids[index], ends[index % ends.len()]); }
                 _ => { dispatcher.take_decisions(); }
             }
             let summary = dispatcher.summaries(at(now)).into_iter().find(|one| one.target.as_str() == MODEL);
--- a/crates/dispatch/tests/dispatch/table.rs
+++ b/crates/dispatch/tests/dispatch/table.rs
@@ -61,7 +61,7 @@
 #[case::host_with_port("host.example:8080", "/a/x", Some("short"))]
 #[case::host_in_capitals("HOST.example", "/a/x", Some("short"))]
 #[case::an_empty_path("host.example", "", None)]
-fn the_longest_prefix_of_the_host(
+fn routes_are_found_by_the_longest_prefix_of_the_host(
     #[case] host: &str,
     #[case] path: &str,
     #[case] name: Option<&str>,
@@ -75,9 +75,9 @@
 #[case::a_known_key("/a/x", Some("secret"), Ok(Some("customer")))]
 #[case::an_unknown_key("/a/x", Some("other"), Err(Code::CustomerUnknown))]
 #[case::no_key("/a/x", None, Err(Code::CustomerUnknown))]
-#[case::none_is_asked_for("/open/x", None, Ok(None))]
+#[case::no_key_is_needed("/open/x", None, Ok(None))]
 #[case::no_route("/none/", Some("secret"), Err(Code::RouteUnknown))]
-fn who_may(
+fn customers_are_found_by_key(
     #[case] path: &str,
     #[case] key: Option<&str>,
     #[case] expected: Result<Option<&str>, Code>,
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn weights_share_requests_out() {
+fn requests_are_distributed_by_weight() {
     let route = Route {
         targets: vec![
             (id::Target::new("a"), 90),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_route_to_nowhere_has_no_target() {
+fn a_route_without_targets_yields_none() {
     let route = Route {
         targets: Vec::new(),
         ..with_prefix("nowhere", "/n/")
@@ -116,6 +116,6 @@
 }
 
 #[test]
-fn keys_are_not_shown() {
+fn debug_output_does_not_show_keys() {
     assert!(!format!("{:?}", Key::from_secret("secret")).contains("secret"));
 }
