--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -20,7 +20,7 @@
     /// The window.
     pub window: Span,
     /// The part of both that is used, since others count at other moments.
-    pub caution: f64,
+    pub safety_factor: f64,
 }
 
 impl Default for Options {
@@ -29,7 +29,7 @@
             ratio: 0.2,
             extra: 10.0,
             window: Span::from_secs(10),
-            caution: 0.8,
+            safety_factor: 0.8,
         }
     }
 }
@@ -42,7 +42,7 @@
 }
 
 impl Counts {
-    fn forget(&mut self, before: Time) {
+    fn expire(&mut self, before: Time) {
         for times in [&mut self.requests, &mut self.repeats] {
             while times.front().is_some_and(|time| *time < before) {
                 times.pop_front();
@@ -68,15 +68,15 @@
     }
 
     /// Counts a request that came for a service.
-    pub fn earn(&mut self, now: Time, target: &id::Target) {
+    pub fn note_request(&mut self, now: Time, target: &id::Target) {
         let window = self.options.window;
         let counts = self.services.entry(target.clone()).or_default();
-        counts.forget(now - window);
+        counts.expire(now - window);
         counts.requests.push_back(now);
     }
 
     /// Repeats that a node may still make now when `nodes` share the budget.
-    pub fn left(&self, now: Time, target: &id::Target, nodes: usize) -> u64 {
+    pub fn remaining(&self, now: Time, target: &id::Target, nodes: usize) -> u64 {
         let Some(counts) = self.services.get(target) else {
             return 0;
         };
@@ -90,13 +90,13 @@
         };
         let own = self.options.ratio * recent(&counts.requests) as f64;
         let part = self.options.extra / nodes.max(1) as f64;
-        let allowed = ((own + part) * self.options.caution) as u64;
+        let allowed = ((own + part) * self.options.safety_factor) as u64;
         allowed.saturating_sub(recent(&counts.repeats) as u64)
     }
 
     /// True if a repeat may be made now, which is then counted.
     pub fn try_spend(&mut self, now: Time, target: &id::Target, nodes: usize) -> bool {
-        if self.left(now, target, nodes) == 0 {
+        if self.remaining(now, target, nodes) == 0 {
             return false;
         }
         let counts = self.services.entry(target.clone()).or_default();
--- a/crates/dispatch/src/cold.rs
+++ b/crates/dispatch/src/cold.rs
@@ -18,14 +18,14 @@
     /// The shortest time between two starts.
     pub interval: Span,
     /// How long an endpoint stays cold after a start.
-    pub lasts: Span,
+    pub duration: Span,
 }
 
 /// Whether one endpoint is cold, and when it may be sent the next request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct State {
     until: Time,
-    next: Time,
+    next_start: Time,
 }
 
 impl State {
@@ -42,11 +42,11 @@
 
     /// True unless it was sent a request too short a time ago.
     pub fn may_start(&self, now: Time) -> bool {
-        now >= self.next
+        now >= self.next_start
     }
 
     /// Notes that it was sent a request: the next one may follow after `interval`.
-    pub fn start(&mut self, now: Time, interval: Span) {
-        self.next = now + interval;
+    pub fn note_start(&mut self, now: Time, interval: Span) {
+        self.next_start = now + interval;
     }
 }
--- a/crates/dispatch/src/dispatcher/take_notice.rs
+++ b/crates/dispatch/src/dispatcher/apply_notice.rs
@@ -8,18 +8,18 @@
 use super::Run;
 use crate::job;
 use crate::lease;
+use crate::notice::Announcement;
 use crate::notice::Change;
-use crate::notice::Fact;
+use crate::notice::Condition;
 use crate::notice::Field;
 use crate::notice::Notice;
-use crate::notice::Told;
 use crate::notice::Update;
 use crate::worker::Worker;
 
 impl Dispatcher {
     /// Takes what the head of the answer to a request says of the endpoint that runs it.
     /// Gives what is believed of the endpoint otherwise than before.
-    pub fn take_notice(&mut self, now: Time, id: job::Id, notice: &Notice) -> Vec<Change> {
+    pub fn apply_notice(&mut self, now: Time, id: job::Id, notice: &Notice) -> Vec<Change> {
         let cold = notice
             .cold_for
             .and_then(|cold_for| self.note_cold(now, id, cold_for));
@@ -35,7 +35,7 @@
     }
 
     /// A request that runs, and the endpoint that runs it.
-    pub(super) fn running_at_mut(&mut self, id: job::Id) -> Option<(&Run, &mut Worker)> {
+    pub(super) fn run_and_worker_mut(&mut self, id: job::Id) -> Option<(&Run, &mut Worker)> {
         let run = self.runs.get(&id)?;
         let pool = self.pools.get_mut(&run.job.target)?;
         Some((run, &mut pool.workers[run.worker]))
@@ -44,7 +44,7 @@
     /// An endpoint said in an answer that it leaves. All others are told at once: each
     /// would otherwise learn it by a request that it sends there.
     fn note_leaving(&mut self, id: job::Id) -> Option<Change> {
-        let (_, worker) = self.running_at_mut(id)?;
+        let (_, worker) = self.run_and_worker_mut(id)?;
         worker.leaving = true;
         let number = worker.number;
         let new = self.leaving_endpoints.insert(number);
@@ -54,11 +54,11 @@
     }
 
     /// Takes what endpoints said to another node.
-    pub(super) fn hear_notices(&mut self, now: Time, told: &[Told]) {
+    pub(super) fn receive_announcements(&mut self, now: Time, told: &[Announcement]) {
         for one in told {
-            match one.fact {
-                Fact::Leaving => self.hear_leaving(one.endpoint),
-                Fact::Rest { left_ms } => {
+            match one.condition {
+                Condition::Leaving => self.receive_leaving(one.endpoint),
+                Condition::Rest { left_ms } => {
                     let until = now + Span::from_millis(u64::from(left_ms));
                     let heard = self.rests_heard.entry(one.endpoint).or_default();
                     *heard = until.max(*heard);
@@ -67,7 +67,7 @@
         }
     }
 
-    fn hear_leaving(&mut self, endpoint: u32) {
+    fn receive_leaving(&mut self, endpoint: u32) {
         if !self.leaving_endpoints.insert(endpoint) {
             return;
         }
@@ -79,10 +79,12 @@
     }
 
     /// What endpoints said and lists do not say, in the order of the endpoints.
-    pub(super) fn notices_to_tell(&self, now: Time) -> Vec<Told> {
+    pub(super) fn announcements(&self, now: Time) -> Vec<Announcement> {
         let workers = self.pools.values().flat_map(|pool| &pool.workers);
         let open = workers.filter(|worker| worker.listed && !worker.endpoint.leaving);
-        let mut told: Vec<Told> = open.filter_map(|worker| to_told_opt(now, worker)).collect();
+        let mut told: Vec<Announcement> = open
+            .filter_map(|worker| to_announcement_opt(now, worker))
+            .collect();
         told.sort_by_key(|one| one.endpoint);
         told
     }
@@ -90,13 +92,13 @@
     /// An endpoint turned a request away and wants nothing from this node for so long.
     fn note_rest(&mut self, now: Time, id: job::Id, rest: Span) -> Option<Change> {
         let incarnation = self.options.incarnation;
-        let (_, worker) = self.running_at_mut(id)?;
+        let (_, worker) = self.run_and_worker_mut(id)?;
         let drawn = hash::chain(incarnation, &worker.number.to_le_bytes());
-        if !worker.rest.ask(now, rest, drawn) {
+        if !worker.rest.extend(now, rest, drawn) {
             return None;
         }
         self.urgent = true;
-        Some(Change::Rest { lasts: rest })
+        Some(Change::Rest { duration: rest })
     }
 
     /// Takes what was heard of rests since the last tick, and notes which are over.
@@ -104,7 +106,7 @@
         let heard = std::mem::take(&mut self.rests_heard);
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
             if let Some(until) = heard.get(&worker.number) {
-                worker.rest.hear(*until);
+                worker.rest.extend_remote(*until);
             }
             if worker.rest.take_end(now) {
                 self.updates.push(Update::new(worker, Change::Rested));
@@ -114,29 +116,29 @@
 
     /// An endpoint said in an answer that it is cold for so long.
     pub(super) fn note_cold(&mut self, now: Time, id: job::Id, cold_for: Span) -> Option<Change> {
-        let (run, worker) = self.running_at_mut(id)?;
+        let (run, worker) = self.run_and_worker_mut(id)?;
         let lease = run.lease;
         let was_cold = worker.cold.is_cold(now);
         worker.cold.extend(now, cold_for);
         if let Some(lease) = lease {
             self.report(lease.owner, lease.number, lease::Event::Cold { cold_for });
         }
-        (!was_cold).then_some(Change::Cold { lasts: cold_for })
+        (!was_cold).then_some(Change::Cold { duration: cold_for })
     }
 }
 
 /// What others are told of an endpoint by its answers to this node.
-fn to_told_opt(now: Time, worker: &Worker) -> Option<Told> {
+fn to_announcement_opt(now: Time, worker: &Worker) -> Option<Announcement> {
     let left = worker.rest.left(now);
-    let fact = match worker.leaving {
-        true => Fact::Leaving,
+    let condition = match worker.leaving {
+        true => Condition::Leaving,
         false if left == Span::ZERO => return None,
-        false => Fact::Rest {
+        false => Condition::Rest {
             left_ms: u32::try_from(left.0 / 1_000).unwrap_or(u32::MAX),
         },
     };
-    Some(Told {
+    Some(Announcement {
         endpoint: worker.number,
-        fact,
+        condition,
     })
 }
--- a/crates/dispatch/src/dispatcher/begin.rs
+++ b/crates/dispatch/src/dispatcher/begin.rs
@@ -68,13 +68,13 @@
         let queued = worker.busy() >= worker.endpoint.slots;
         worker.start(now, reason.uncached);
         if job.origin.is_none() && worker.is_in_doubt(now) {
-            worker.rest.start(now);
+            worker.rest.start_probe(now);
         }
         if let Some(interval) = interval {
-            worker.cold.start(now, interval);
+            worker.cold.note_start(now, interval);
         }
         if let Some(spacing) = spacing {
-            worker.rate_limit.start(now, spacing);
+            worker.rate_limit.note_start(now, spacing);
         }
         let endpoint = worker.endpoint.clone();
         let number = worker.number;
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -80,7 +80,7 @@
     /// Puts a request in the queue that it belongs to: here, or at the owner of
     /// the slots that it may have.
     pub(super) fn submit(&mut self, now: Time, id: job::Id, mut job: Job) {
-        if let Some(refusal) = self.bar(now, &mut job) {
+        if let Some(refusal) = self.check_barred(now, &mut job) {
             self.refuse(now, id, job.origin, refusal);
             return;
         }
@@ -252,8 +252,7 @@
             return job.avoided.clone();
         }
         let workers = pool.workers.iter().filter(|worker| worker.listed);
-        let rest =
-            workers.filter(|worker| worker.rest.is_resting(now) || worker.rest.is_on_trial());
+        let rest = workers.filter(|worker| worker.rest.is_resting(now) || worker.rest.is_probing());
         rest.map(|worker| worker.number)
             .take(AVOIDED_MOST)
             .collect()
@@ -290,7 +289,7 @@
             return;
         };
         if job.latest() <= now + self.options.policy.least_left {
-            let refusal = self.too_late(now, job);
+            let refusal = self.too_late_refusal(now, job);
             self.withdraw(id);
             self.refuse(now, id, None, refusal);
             return;
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -25,7 +25,7 @@
     /// back are taken to be cold, since operators evacuate what they restart.
     pub(super) fn note_evacuated(&mut self, now: Time, list: &List) {
         for pool in self.pools.values_mut() {
-            let cold_for = pool.cold.map(|cold| cold.lasts).unwrap_or_default();
+            let cold_for = pool.cold.map(|cold| cold.duration).unwrap_or_default();
             for worker in &mut pool.workers {
                 let evacuated = list.is_evacuated(&worker.endpoint.data_centre);
                 if worker.evacuated && !evacuated {
--- a/crates/dispatch/src/dispatcher/doubt.rs
+++ b/crates/dispatch/src/dispatcher/doubt.rs
@@ -43,8 +43,10 @@
             return Risk::Again;
         }
         // Each trial under way may need a repeat as well.
-        let repeats = self.budget.left(now, &job.target, self.budget_nodes(now));
-        let on_trial = |worker: &&Worker| worker.rest.is_on_trial();
+        let repeats = self
+            .budget
+            .remaining(now, &job.target, self.budget_nodes(now));
+        let on_trial = |worker: &&Worker| worker.rest.is_probing();
         let trials = pool.workers.iter().filter(on_trial).count();
         if job.has_spare_attempt() && repeats > trials as u64 {
             return Risk::Again;
@@ -65,12 +67,12 @@
         if job.origin.is_some() {
             return Some(Turn::InDoubt);
         }
-        if worker.rest.is_on_trial() {
+        if worker.rest.is_probing() {
             return None;
         }
         match self {
             Risk::RefusedTooSoon => None,
-            Risk::Again if worker.rest.is_trial_due(now) => Some(Turn::Trial),
+            Risk::Again if worker.rest.is_probe_due(now) => Some(Turn::Trial),
             Risk::Again | Risk::Refused => Some(Turn::InDoubt),
         }
     }
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -34,10 +34,10 @@
 
 /// How long something must have waited before the rate at which requests start
 /// tells more than the endpoints' slots.
-const BUSY_LEAST: Span = Span::from_millis(200);
+const MIN_BUSY_FOR_RATE: Span = Span::from_millis(200);
 
 /// Time left from which it makes sense to come back.
-const COME_BACK_FROM: Span = Span::from_millis(300);
+const MIN_LEFT_TO_RETRY: Span = Span::from_millis(300);
 
 impl Dispatcher {
     /// The time for which a caller has tried, at the least, that has so much `left`
@@ -52,7 +52,7 @@
         self.accounts.begin(now);
         self.next_job += 1;
         let id = job::Id(self.next_job);
-        self.budget.earn(now, &job.target);
+        self.budget.note_request(now, &job.target);
         pool(&mut self.pools, &self.options.warm, &job.target);
         self.submit(now, id, job);
         id
@@ -61,7 +61,7 @@
     /// Puts a request in this node's queue, unless it is refused at the door.
     pub(super) fn enqueue(&mut self, now: Time, id: job::Id, job: Job) {
         let refusal = match job.is_newcomer() {
-            true => self.verdict(now, &job),
+            true => self.admission_refusal(now, &job),
             false => None,
         };
         if let Some(refusal) = refusal {
@@ -97,13 +97,13 @@
     /// What a caller is told whose request found no slot in time. It has waited so
     /// long that the queue is taken to last as long again. Who has hardly any time
     /// left is not asked to come again.
-    pub(super) fn too_late(&self, now: Time, job: &Job) -> Refusal {
+    pub(super) fn too_late_refusal(&self, now: Time, job: &Job) -> Refusal {
         let left = job.deadline.since(now);
         let waited = now.since(job.arrived);
         let retry_after = || self.retry_after_estimate(now, waited, left);
         Refusal {
             code: Code::TooLate,
-            retry_after: (left > COME_BACK_FROM).then(retry_after),
+            retry_after: (left > MIN_LEFT_TO_RETRY).then(retry_after),
             wait: None,
             owner: None,
         }
@@ -119,10 +119,10 @@
     }
 
     /// Says why a newcomer is refused at once, if it is.
-    fn verdict(&self, now: Time, job: &Job) -> Option<Refusal> {
+    fn admission_refusal(&self, now: Time, job: &Job) -> Option<Refusal> {
         let left = job.deadline.since(now);
         let waiting: usize = self.pools.values().map(|pool| pool.queue.len()).sum();
-        let wait = self.wait(now, job);
+        let wait = self.expected_wait(now, job);
         if waiting >= self.options.policy.queue_limit {
             return Some(Refusal {
                 code: Code::QueueFull,
@@ -151,7 +151,7 @@
     /// waited: before, they tell how many requests came, not how many could
     /// begin. Where none has started, as long again for each as the first has
     /// waited.
-    pub(super) fn wait(&self, now: Time, job: &Job) -> Span {
+    pub(super) fn expected_wait(&self, now: Time, job: &Job) -> Span {
         let Some(pool) = self.pools.get(&job.target) else {
             return Span::ZERO;
         };
@@ -159,8 +159,8 @@
             return Span::ZERO;
         };
         let busy = now.since(busy_since);
-        if busy < BUSY_LEAST {
-            return self.wait_by_slots(now, pool, job.rank);
+        if busy < MIN_BUSY_FOR_RATE {
+            return self.expected_wait_by_slots(now, pool, job.rank);
         }
         let waiting = pool.queue.count(job.rank) as u64;
         let window = self.options.policy.rate_window.min(busy);
@@ -172,11 +172,11 @@
 
     /// The time in which the slots of all usable endpoints would take up what
     /// waits now, here and on other nodes, and does not go behind this rank.
-    fn wait_by_slots(&self, now: Time, pool: &Pool, rank: Rank) -> Span {
+    fn expected_wait_by_slots(&self, now: Time, pool: &Pool, rank: Rank) -> Span {
         let goes_before = |other: Rank| other <= rank;
         let here = pool.queue.counts().filter(|(other, _)| goes_before(*other));
         let here: usize = here.map(|(_, count)| count).sum();
-        let others = self.others_waiting(now, pool.number);
+        let others = self.waiting_elsewhere(now, pool.number);
         let others = others.filter(|waiting| goes_before(waiting.rank));
         let others: usize = others.map(|waiting| usize::from(waiting.count)).sum();
         let waiting = here + others;
@@ -185,7 +185,7 @@
     }
 
     /// What waits for a service on other nodes of this cell, as heard lately.
-    pub(super) fn others_waiting(
+    pub(super) fn waiting_elsewhere(
         &self,
         now: Time,
         service: u32,
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -12,8 +12,8 @@
 use crate::lease;
 use crate::lease::Lease;
 use crate::notice::Change;
+use crate::rate_limit::Announcement;
 use crate::rate_limit::Limit;
-use crate::rate_limit::Told;
 use crate::worker::Worker;
 
 impl Dispatcher {
@@ -25,7 +25,7 @@
         id: job::Id,
         limit: Option<Limit>,
     ) -> Option<Change> {
-        let (run, worker) = self.running_at_mut(id)?;
+        let (run, worker) = self.run_and_worker_mut(id)?;
         let lease = run.lease;
         let before = worker.rate_limit.limit_opt();
         let changed = worker.rate_limit.note_answer(now, run.started, limit);
@@ -35,7 +35,7 @@
         if !changed {
             return None;
         }
-        self.spread_limit(before, limit);
+        self.announce_limit_change(before, limit);
         Some(Change::RateLimit {
             before,
             after: limit,
@@ -53,13 +53,13 @@
 
     /// Sees to it that others soon hear of a change: all of them where a limit begins or
     /// ends, and those of the cell, which send requests there, where it moves.
-    fn spread_limit(&mut self, before: Option<Limit>, after: Option<Limit>) {
+    fn announce_limit_change(&mut self, before: Option<Limit>, after: Option<Limit>) {
         self.urgent = true;
         self.news |= before.is_none() || after.is_none();
     }
 
     /// Keeps what another node tells until it is looked at together with its load.
-    pub(super) fn hear_rate_limits(&mut self, now: Time, told: &[Told]) {
+    pub(super) fn receive_rate_limits(&mut self, now: Time, told: &[Announcement]) {
         for one in told {
             let report = one.to_report(now);
             let known = self.rate_limits_heard.entry(one.endpoint).or_insert(report);
@@ -70,7 +70,7 @@
     }
 
     /// Takes what other nodes told.
-    pub(super) fn take_rate_limits_heard(&mut self, now: Time) {
+    pub(super) fn apply_received_rate_limits(&mut self, now: Time) {
         if self.rate_limits_heard.is_empty() {
             return;
         }
@@ -86,37 +86,38 @@
             }
         }
         for (before, after) in changes {
-            self.spread_limit(before, after);
+            self.announce_limit_change(before, after);
         }
     }
 
     /// Rate limits to tell others of, in the order of their endpoints.
-    pub(super) fn rate_limits_to_tell(&self, now: Time) -> Vec<Told> {
+    pub(super) fn rate_limits_to_announce(&self, now: Time) -> Vec<Announcement> {
         let workers = self.pools.values().flat_map(|pool| &pool.workers);
         let listed = workers.filter(|worker| worker.listed);
-        let told = listed.filter_map(|worker| worker.rate_limit.to_told_opt(now, worker.number));
-        let mut told: Vec<Told> = told.collect();
+        let told =
+            listed.filter_map(|worker| worker.rate_limit.to_announcement_opt(now, worker.number));
+        let mut told: Vec<Announcement> = told.collect();
         told.sort_by_key(|one| one.endpoint);
         told
     }
 
     /// Lets the time until this node's first request begin anew at each endpoint whose
     /// limit another keeps.
-    pub(super) fn wait_for_limits(&mut self, now: Time) {
+    pub(super) fn restart_limit_intervals(&mut self, now: Time) {
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
         for target in targets {
-            let kept = self.kept_by_others(now, &target);
+            let kept = self.limits_kept_elsewhere(now, &target);
             let Some(pool) = self.pools.get_mut(&target) else {
                 continue;
             };
             for at in kept {
-                pool.workers[at].rate_limit.wait(now);
+                pool.workers[at].rate_limit.restart_interval(now);
             }
         }
     }
 
     /// The places of a service's endpoints whose rate limits other nodes keep.
-    fn kept_by_others(&self, now: Time, target: &id::Target) -> Vec<usize> {
+    fn limits_kept_elsewhere(&self, now: Time, target: &id::Target) -> Vec<usize> {
         let pool = self.pools.get(target);
         let permit = pool.and_then(|pool| self.permit_opt(now, pool));
         let Some((pool, permit)) = pool.zip(permit) else {
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -20,7 +20,7 @@
 //! * `displace.rs`: where requests go that may not run in this data centre.
 //! * `predict.rs`: what is expected of an engine.
 //! * `observe.rs`: calls make progress and end.
-//! * `take_notice.rs`: what endpoints say of themselves in answers.
+//! * `apply_notice.rs`: what endpoints say of themselves in answers.
 //! * `suspect.rs`: requests under which endpoints ended.
 //! * `tick.rs`: what only the passing of time brings about.
 //! * `share.rs`: what nodes tell each other.
@@ -71,6 +71,7 @@
 use crate::worker::Worker;
 
 mod answer;
+mod apply_notice;
 mod begin;
 mod borrow;
 mod decision;
@@ -92,7 +93,6 @@
 mod spare;
 mod start_cold;
 mod suspect;
-mod take_notice;
 mod tick;
 
 use borrow::Question;
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -53,7 +53,7 @@
         };
         pool.workers[run.worker].heard = now;
         if run.job.origin.is_none() {
-            pool.workers[run.worker].rest.serve(run.started);
+            pool.workers[run.worker].rest.note_served(run.started);
         }
         run.shown += events;
         let first = run.first.is_none();
@@ -188,8 +188,8 @@
         worker.end(pending);
         if run.job.origin.is_none() {
             match end {
-                End::Whole | End::Rejected | End::Fault => worker.rest.serve(run.started),
-                _ => worker.rest.end_trial(run.started),
+                End::Whole | End::Rejected | End::Fault => worker.rest.note_served(run.started),
+                _ => worker.rest.end_probe(run.started),
             }
         }
         match end {
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -113,7 +113,7 @@
         let Some(pool) = self.pools.get(target) else {
             return counts;
         };
-        for waiting in self.others_waiting(now, pool.number) {
+        for waiting in self.waiting_elsewhere(now, pool.number) {
             *counts.entry(waiting.rank).or_default() += usize::from(waiting.count);
         }
         counts
@@ -162,8 +162,8 @@
         let home = home(pool, &chain);
         let slowest = pool.slowest_step_opt(now, job, &self.options.worker);
         let permit = self.permit_opt(now, pool);
-        let apart = self.keep_apart(now, &job.target, job);
-        if apart.as_ref().is_some_and(|apart| apart.begins) {
+        let apart = self.isolation_opt(now, &job.target, job);
+        if apart.as_ref().is_some_and(|apart| apart.is_starting) {
             return None;
         }
         let risk = self.risk(now, pool, job);
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -157,7 +157,7 @@
     /// its endpoints will take up in a moment.
     pub fn is_pressed(&self, now: Time, target: &id::Target) -> bool {
         self.pools.get(target).is_some_and(|pool| {
-            let others = self.others_waiting(now, pool.number);
+            let others = self.waiting_elsewhere(now, pool.number);
             let others: usize = others.map(|waiting| usize::from(waiting.count)).sum();
             let waiting = pool.queue.len() + others;
             let usable = pool.usable(now, &self.options.worker);
@@ -236,7 +236,7 @@
             cold: pool.count_listed(|worker| worker.cold.is_cold(now)),
             leaving: pool.count_listed(Worker::is_leaving),
             resting: pool.count_listed(|worker| worker.rest.is_resting(now)),
-            repeats_left: self.budget.left(now, target, nodes),
+            repeats_left: self.budget.remaining(now, target, nodes),
         });
         pools.collect()
     }
--- a/crates/dispatch/src/dispatcher/retry.rs
+++ b/crates/dispatch/src/dispatcher/retry.rs
@@ -14,26 +14,26 @@
 
 /// Shortest time after which a refused caller comes back: some ways there and
 /// back within a region.
-const LEAST: Span = Span::from_millis(100);
+const MIN_RETRY_AFTER: Span = Span::from_millis(100);
 
 /// When a caller may come back whom no endpoint had room for, and none asked for rest.
-const SOON: Span = Span::from_millis(200);
+const UNAVAILABLE_RETRY_AFTER: Span = Span::from_millis(200);
 
 /// The part of a known wait over which the callers that wait for it are spread,
 /// so that they do not all come at one moment.
-const SPREAD: f64 = 0.25;
+const JITTER: f64 = 0.25;
 
 /// Steps in which a span is divided to spread callers over it.
-const STEPS: u64 = 1_000;
+const JITTER_STEPS: u64 = 1_000;
 
 impl Dispatcher {
     /// When a refused caller with so much time `left` is to come back, where it is
     /// known that its request fits after `wait`: a bucket fills, or a node starts.
     pub fn retry_after(&self, now: Time, wait: Span, left: Span) -> Span {
-        let wait = wait.max(LEAST);
-        let spread = wait.0 as f64 * SPREAD * self.chance(now);
+        let wait = wait.max(MIN_RETRY_AFTER);
+        let spread = wait.0 as f64 * JITTER * self.jitter_fraction(now);
         let at = wait + Span(spread as u64);
-        at.min(self.longest_wait(left))
+        at.min(self.max_retry_after(left))
     }
 
     /// The same where `wait` is an estimate: of a queue that others go on to join,
@@ -42,10 +42,10 @@
     /// quarter of the estimate instead, worth was 0.002 lower (18 plays of days under
     /// load, sd of a pair 0.017): 0.007 lower on two fleets, 0.009 higher on a third.
     pub fn retry_after_estimate(&self, now: Time, wait: Span, left: Span) -> Span {
-        let most = self.longest_wait(left);
+        let most = self.max_retry_after(left);
         let wait = wait.min(most);
-        let spread = (most.0 - wait.0) as f64 * self.chance(now);
-        (wait + Span(spread as u64)).max(LEAST)
+        let spread = (most.0 - wait.0) as f64 * self.jitter_fraction(now);
+        (wait + Span(spread as u64)).max(MIN_RETRY_AFTER)
     }
 
     /// When a caller with so much time `left` is to come back whose request endpoints
@@ -57,18 +57,18 @@
             .filter(|worker| worker.is_open())
             .map(|worker| worker.rest.left(now));
         let soonest = rests.min().unwrap_or_default();
-        self.retry_after(now, soonest.max(SOON), left)
+        self.retry_after(now, soonest.max(UNAVAILABLE_RETRY_AFTER), left)
     }
 
     /// The longest time that a caller heeds which has so much `left`.
-    fn longest_wait(&self, left: Span) -> Span {
+    fn max_retry_after(&self, left: Span) -> Span {
         Span((left.0 as f64 * self.options.policy.come_back_within) as u64)
     }
 
     /// A number from 0 to 1, as if at random: another for each node and moment.
-    fn chance(&self, now: Time) -> f64 {
+    fn jitter_fraction(&self, now: Time) -> f64 {
         let mixed = hash::chain(self.options.incarnation, &now.0.to_le_bytes());
         let mixed = hash::chain(mixed, &self.next_job.to_le_bytes());
-        (mixed % STEPS) as f64 / STEPS as f64
+        (mixed % JITTER_STEPS) as f64 / JITTER_STEPS as f64
     }
 }
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -84,8 +84,8 @@
             let quota = customer.and_then(|customer| customer.quota.as_ref());
             self.accounts.hear(now, speaker, said, quota, reach);
         }
-        self.hear_rate_limits(now, &rate_limits);
-        self.hear_notices(now, &notices);
+        self.receive_rate_limits(now, &rate_limits);
+        self.receive_announcements(now, &notices);
         self.take_findings(now, &findings);
         self.answer_digest(now, from, quarantine);
         news
@@ -162,10 +162,10 @@
             usage: self.accounts.usage(now, USAGE_MOST),
             members: self.members.told(now, self.sequence),
             quarantine: self.quarantine.digest(),
-            findings: self.quarantine.news(now),
+            findings: self.quarantine.recent_findings(now),
             protocol: Protocol::OWN,
-            rate_limits: self.in_turn(self.rate_limits_to_tell(now)),
-            notices: self.in_turn(self.notices_to_tell(now)),
+            rate_limits: self.in_turn(self.rate_limits_to_announce(now)),
+            notices: self.in_turn(self.announcements(now)),
         }
     }
 
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -21,26 +21,26 @@
 
 /// What a suspect is taken to cost, in microseconds, for each request that runs at an
 /// endpoint and would end with it.
-const BESIDE: f64 = 50_000.0;
+const NEIGHBOUR_COST_US: f64 = 50_000.0;
 
 /// What it is taken to cost, in microseconds, that two suspects begin at one endpoint:
 /// were it to end, nobody could tell under which.
-const BESIDE_SUSPECT: f64 = 300_000.0;
+const SUSPECT_NEIGHBOUR_COST_US: f64 = 300_000.0;
 
 /// How long after its beginning a request may still end its endpoint: those that do so
 /// did within 0.75 s in logs of fourteen such ends.
-const BEGINS_FOR: Span = Span::from_secs(1);
+const CRASH_WINDOW: Span = Span::from_secs(1);
 
 /// When the caller of a request comes back that is not tried again: by then its
 /// endpoints may be mended and the fleet restarted.
-const MENDED_AFTER: Span = Span::from_secs(3_600);
+const FINAL_RETRY_AFTER: Span = Span::from_secs(3_600);
 
 /// Nodes beyond its cell, about, from which a node that knows less is sent findings. Were
 /// it all of 414, one that starts would be sent each finding 413 times (worked out).
-const TELLERS: u64 = 16;
+const REMOTE_RESPONDERS: u64 = 16;
 
 /// How far the part of nodes that may begin a trial is doubled at the most.
-const TURNS_MOST: u64 = 16;
+const MAX_TURN_DOUBLINGS: u64 = 16;
 
 /// What became known of a request, for logs and metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -81,21 +81,21 @@
 }
 
 /// How a suspect is kept apart from others.
-pub(super) struct Apart {
+pub(super) struct Isolation {
     /// True while the same request begins elsewhere: one at a time is enough to tell.
-    pub begins: bool,
+    pub is_starting: bool,
     /// Endpoints, by their place, at which another suspect begins.
-    beside: HashSet<usize>,
+    suspect_starts: HashSet<usize>,
 }
 
-impl Apart {
+impl Isolation {
     /// What it counts that a suspect runs at an endpoint that has so many requests.
     pub fn risk(&self, place: usize, busy: u32) -> f64 {
-        let suspect = match self.beside.contains(&place) {
-            true => BESIDE_SUSPECT,
+        let suspect = match self.suspect_starts.contains(&place) {
+            true => SUSPECT_NEIGHBOUR_COST_US,
             false => 0.0,
         };
-        suspect + f64::from(busy) * BESIDE
+        suspect + f64::from(busy) * NEIGHBOUR_COST_US
     }
 }
 
@@ -113,20 +113,20 @@
     /// True where a request is not run any more.
     pub fn is_barred(&self, now: Time, fingerprint: Fingerprint) -> bool {
         let record = self.quarantine.get(fingerprint);
-        record.is_some_and(|record| record.ends.len() >= self.barred_from(now, record))
+        record.is_some_and(|record| record.ends.len() >= self.bar_threshold(now, record))
     }
 
     /// Ends of endpoints from which on a request is barred. A node that hears less than
     /// half of the fleet may be one of several parts, of which each would go through as
     /// many as the whole.
-    fn barred_from(&self, now: Time, record: &Record) -> usize {
+    fn bar_threshold(&self, now: Time, record: &Record) -> usize {
         let options = self.quarantine.options();
         let reach = self.members.reach(now);
         let heard = reach.nodes - reach.silent;
-        match record.was_sound() {
-            _ if heard * 2 < reach.nodes => options.cut_off_barred_from,
-            true => options.sound_barred_from,
-            false => options.barred_from,
+        match record.was_cleared() {
+            _ if heard * 2 < reach.nodes => options.partitioned_bar_threshold,
+            true => options.cleared_bar_threshold,
+            false => options.bar_threshold,
         }
     }
 
@@ -153,7 +153,7 @@
     /// Takes what another node knows.
     pub fn take_findings(&mut self, now: Time, findings: &[Finding]) {
         for finding in findings {
-            if self.quarantine.take(now, finding) {
+            if self.quarantine.merge(now, finding) {
                 self.note_change(now, finding.fingerprint, Evidence::Heard);
             }
         }
@@ -195,19 +195,19 @@
             if let Some(pool) = target.and_then(|target| self.pools.get_mut(&target)) {
                 pool.queue.remove(id);
             }
-            let refusal = self.barred(now, fingerprint);
+            let refusal = self.barred_refusal(now, fingerprint);
             self.refuse(now, id, None, refusal);
         }
     }
 
     /// Says why a request of this node's callers is not run, if it is barred; or begins
     /// the one more trial that it may have.
-    pub(super) fn bar(&mut self, now: Time, job: &mut Job) -> Option<Refusal> {
+    pub(super) fn check_barred(&mut self, now: Time, job: &mut Job) -> Option<Refusal> {
         if job.trial || !self.is_barred(now, job.fingerprint) {
             return None;
         }
-        if !job.is_newcomer() || !self.may_try(now, job.fingerprint) {
-            return Some(self.barred(now, job.fingerprint));
+        if !job.is_newcomer() || !self.may_start_trial(now, job.fingerprint) {
+            return Some(self.barred_refusal(now, job.fingerprint));
         }
         job.trial = true;
         self.quarantine.note_trial(now, job.fingerprint);
@@ -226,17 +226,17 @@
     /// What the caller of a barred request is told: to come back when it may be tried
     /// once more, but not at once, since many may come; and where it is not tried again,
     /// after [`MENDED_AFTER`].
-    fn barred(&self, now: Time, fingerprint: Fingerprint) -> Refusal {
+    fn barred_refusal(&self, now: Time, fingerprint: Fingerprint) -> Refusal {
         let options = self.quarantine.options();
         let record = self.quarantine.get(fingerprint);
         let after = record.and_then(|record| {
-            let after = self.quarantine.trial_after_opt(record)?;
+            let after = self.quarantine.trial_delay_opt(record)?;
             let left = after.0.saturating_sub(now.since(record.last).0);
-            Some(Span(left).max(after.min(options.trial_after)))
+            Some(Span(left).max(after.min(options.trial_delay)))
         });
         Refusal {
             code: Code::Barred,
-            retry_after: Some(after.unwrap_or(MENDED_AFTER)),
+            retry_after: Some(after.unwrap_or(FINAL_RETRY_AFTER)),
             wait: None,
             owner: None,
         }
@@ -246,28 +246,33 @@
     /// node is silent, which might do the same, and it is this node's turn. The turn is
     /// that of the request's owner among the nodes at first, and then of twice as many
     /// for each while that nothing is heard of a trial.
-    fn may_try(&self, now: Time, fingerprint: Fingerprint) -> bool {
+    fn may_start_trial(&self, now: Time, fingerprint: Fingerprint) -> bool {
         let Some(record) = self.quarantine.get(fingerprint) else {
             return false;
         };
-        let Some(after) = self.quarantine.trial_after_opt(record) else {
+        let Some(after) = self.quarantine.trial_delay_opt(record) else {
             return false;
         };
         let since = now.since(record.last);
         if since < after || self.members.reach(now).silent > 0 {
             return false;
         }
-        let turn = (since.0 - after.0) / self.quarantine.options().trial_turn.0.max(1);
+        let turn = (since.0 - after.0) / self.quarantine.options().trial_turn_duration.0.max(1);
         let score = |node: &SocketAddrV4| hash::chain(fingerprint.0, &node.ip().octets());
         let own = score(&self.options.own);
         let before = self.members.fresh(now);
         let before = before.filter(|(node, _)| score(node) > own).count() as u64;
-        before < 1 << turn.min(TURNS_MOST)
+        before < 1 << turn.min(MAX_TURN_DOUBLINGS)
     }
 
     /// How a request is kept apart from suspects, where it is one itself. One that was
     /// sound before need not wait for another of its kind.
-    pub(super) fn keep_apart(&self, now: Time, target: &id::Target, job: &Job) -> Option<Apart> {
+    pub(super) fn isolation_opt(
+        &self,
+        now: Time,
+        target: &id::Target,
+        job: &Job,
+    ) -> Option<Isolation> {
         let record = self.quarantine.get(job.fingerprint)?;
         if record.ends.is_empty() {
             return None;
@@ -275,16 +280,16 @@
         let runs = self.runs.values();
         let begun = runs.filter(|run| {
             run.job.target == *target
-                && now.since(run.started) < BEGINS_FOR
+                && now.since(run.started) < CRASH_WINDOW
                 && self.quarantine.is_suspect(run.job.fingerprint)
         });
-        let mut apart = Apart {
-            begins: false,
-            beside: HashSet::new(),
+        let mut apart = Isolation {
+            is_starting: false,
+            suspect_starts: HashSet::new(),
         };
         for run in begun {
-            apart.begins |= run.job.fingerprint == job.fingerprint && !record.was_sound();
-            apart.beside.insert(run.worker);
+            apart.is_starting |= run.job.fingerprint == job.fingerprint && !record.was_cleared();
+            apart.suspect_starts.insert(run.worker);
         }
         Some(apart)
     }
@@ -292,10 +297,10 @@
     /// Sends what this node knows to one that knows other things.
     pub(super) fn answer_digest(&mut self, now: Time, to: SocketAddrV4, theirs: u32) {
         let ours = self.quarantine.digest();
-        if ours == theirs || ours == 0 || !self.is_teller(now, to) {
+        if ours == theirs || ours == 0 || !self.should_answer_digest(now, to) {
             return;
         }
-        let every = self.quarantine.options().send_every;
+        let every = self.quarantine.options().min_send_interval;
         if !self.members.note_told(now, to, (ours, theirs), every) {
             return;
         }
@@ -304,12 +309,12 @@
     }
 
     /// True for the nodes of the cell of another, and some beyond it.
-    fn is_teller(&self, now: Time, to: SocketAddrV4) -> bool {
+    fn should_answer_digest(&self, now: Time, to: SocketAddrV4) -> bool {
         if self.members.is_near(to) {
             return true;
         }
         let mixed = hash::chain(self.options.incarnation, &now.0.to_le_bytes());
         let mixed = hash::chain(mixed, &to.ip().octets());
-        mixed % (self.members.len() as u64).max(1) < TELLERS
+        mixed % (self.members.len() as u64).max(1) < REMOTE_RESPONDERS
     }
 }
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -41,11 +41,11 @@
         self.ticked = now;
         self.accounts.begin(now);
         self.members.forget(now);
-        self.quarantine.forget(now);
+        self.quarantine.expire(now);
         self.stop_correcting(now);
         self.arrange(now);
         self.count_others(now);
-        self.take_rate_limits_heard(now);
+        self.apply_received_rate_limits(now);
         self.update_rests(now);
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
         for target in targets {
@@ -74,7 +74,7 @@
             self.assign_workers();
         }
         self.check_remote(now);
-        self.wait_for_limits(now);
+        self.restart_limit_intervals(now);
     }
 
     fn refuse_expired(&mut self, now: Time, target: &id::Target) {
@@ -90,7 +90,7 @@
             let Some(job) = job else {
                 return;
             };
-            let refusal = self.too_late(now, &job);
+            let refusal = self.too_late_refusal(now, &job);
             self.refuse(now, id, job.origin, refusal);
         }
     }
--- a/crates/dispatch/src/first_try.rs
+++ b/crates/dispatch/src/first_try.rs
@@ -15,40 +15,40 @@
 
 /// The part of a timeout from which a caller counts as on its first try until
 /// enough of them were seen: a little is lost on the way.
-const USUAL: f64 = 0.97;
+const DEFAULT_FIRST_TRY_FRACTION: f64 = 0.97;
 
 /// Requests from which on what was seen is believed: some two seconds of a node's
 /// share of a fleet's load.
-const SEEN_LEAST: u32 = 20;
+const MIN_SAMPLES: u32 = 20;
 
 /// Requests after which what was seen counts half: some forty seconds of that load.
-const SEEN_MOST: u32 = 400;
+const MAX_SAMPLES: u32 = 400;
 
 /// Steps in which the part that is left is told apart.
-const STEPS: usize = 50;
+const BUCKETS: usize = 50;
 
 /// The part of first tries that may be taken for returns: some callers have far less
 /// time than all others, which says nothing of those.
-const MISTAKEN: f64 = 0.1;
+const MAX_MISTAKEN_FRACTION: f64 = 0.1;
 
 /// How long after a refusal nothing is learnt: callers come back within a third of
 /// what they have left, and of the longest timeouts (15 s) that is this.
-const RETURN_WITHIN: Span = Span::from_secs(5);
+const LEARNING_PAUSE: Span = Span::from_secs(5);
 
 /// What was seen of callers' time left.
 #[derive(Debug)]
 pub struct Histogram {
-    counts: [u32; STEPS],
-    seen: u32,
-    refused: Option<Time>,
+    counts: [u32; BUCKETS],
+    samples: u32,
+    last_refusal: Option<Time>,
 }
 
 impl Default for Histogram {
     fn default() -> Histogram {
         Histogram {
-            counts: [0; STEPS],
-            seen: 0,
-            refused: None,
+            counts: [0; BUCKETS],
+            samples: 0,
+            last_refusal: None,
         }
     }
 }
@@ -56,30 +56,32 @@
 impl Histogram {
     /// Notes that a caller was told to come back.
     pub fn note_refused(&mut self, now: Time) {
-        self.refused = Some(now);
+        self.last_refusal = Some(now);
     }
 
     /// Learns from a caller with so much `left` of a route's `timeout`, unless it may
     /// be one that returns. One that waits for longer than the route says nothing.
     pub fn learn(&mut self, now: Time, left: Span, timeout: Span) {
-        let lately = self.refused.is_some_and(|at| now.since(at) < RETURN_WITHIN);
-        if lately || timeout == Span::ZERO || left > timeout {
+        let may_return = self
+            .last_refusal
+            .is_some_and(|at| now.since(at) < LEARNING_PAUSE);
+        if may_return || timeout == Span::ZERO || left > timeout {
             return;
         }
-        let step = left.0 * STEPS as u64 / timeout.0;
-        let step = (step as usize).min(STEPS - 1);
-        self.counts[step] += 1;
-        self.seen += 1;
-        if self.seen >= SEEN_MOST {
+        let bucket = left.0 * BUCKETS as u64 / timeout.0;
+        let bucket = (bucket as usize).min(BUCKETS - 1);
+        self.counts[bucket] += 1;
+        self.samples += 1;
+        if self.samples >= MAX_SAMPLES {
             self.counts.iter_mut().for_each(|count| *count /= 2);
-            self.seen = self.counts.iter().sum();
+            self.samples = self.counts.iter().sum();
         }
     }
 
     /// The time for which a caller has tried, at the least, that has so much `left`
     /// of a route's `timeout`; none where it may be on its first try.
     pub fn tried_for(&self, left: Span, timeout: Span) -> Span {
-        let least = Span((timeout.0 as f64 * self.least()) as u64);
+        let least = Span((timeout.0 as f64 * self.first_try_fraction()) as u64);
         match left < least {
             true => Span(least.0 - left.0),
             false => Span::ZERO,
@@ -87,17 +89,17 @@
     }
 
     /// The part of a timeout that nearly all callers have left at their first try.
-    fn least(&self) -> f64 {
-        if self.seen < SEEN_LEAST {
-            return USUAL;
+    fn first_try_fraction(&self) -> f64 {
+        if self.samples < MIN_SAMPLES {
+            return DEFAULT_FIRST_TRY_FRACTION;
         }
-        let mistaken = f64::from(self.seen) * MISTAKEN;
+        let mistaken = f64::from(self.samples) * MAX_MISTAKEN_FRACTION;
         let mut below = 0;
         let first = self.counts.iter().position(|count| {
             below += count;
             f64::from(below) > mistaken
         });
-        let least = first.unwrap_or(0) as f64 / STEPS as f64;
-        least.min(USUAL)
+        let least = first.unwrap_or(0) as f64 / BUCKETS as f64;
+        least.min(DEFAULT_FIRST_TRY_FRACTION)
     }
 }
--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -9,7 +9,7 @@
 
 /// Starts of endpoints that are remembered: more than are replaced in the time in which an
 /// older list may come back.
-const KEPT_MOST: usize = 8_192;
+const MAX_STARTS: usize = 8_192;
 
 /// The numbers of starts that leave.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
             return false;
         }
         self.order.push_back(endpoint);
-        if self.order.len() > KEPT_MOST
+        if self.order.len() > MAX_STARTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.numbers.remove(&oldest);
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -98,10 +98,10 @@
     pub protocol: Protocol,
     /// Some of the rate limits that it knows, others each time.
     #[serde(skip)]
-    pub rate_limits: Vec<rate_limit::Told>,
+    pub rate_limits: Vec<rate_limit::Announcement>,
     /// Some of what else endpoints said in answers, others each time.
     #[serde(skip)]
-    pub notices: Vec<notice::Told>,
+    pub notices: Vec<notice::Announcement>,
 }
 
 /// Asks the owner of a customer's quota for a request's units.
--- a/crates/dispatch/src/notice.rs
+++ b/crates/dispatch/src/notice.rs
@@ -1,7 +1,7 @@
 //! What an endpoint says of itself in the head of an answer.
 //!
 //! The adapter reads a head once, into a [`Notice`], and all of it reaches the decisions by
-//! one command ([`Dispatcher::take_notice`](crate::dispatcher::Dispatcher::take_notice)).
+//! one command ([`Dispatcher::apply_notice`](crate::dispatcher::Dispatcher::apply_notice)).
 
 use std::fmt;
 
@@ -44,7 +44,7 @@
     /// It is cold, which it was not.
     Cold {
         /// For how long.
-        lasts: Span,
+        duration: Span,
     },
     /// It takes another number of requests a second; none where it names no limit.
     RateLimit {
@@ -60,7 +60,7 @@
     /// It wants nothing for so long from now on.
     Rest {
         /// For how long.
-        lasts: Span,
+        duration: Span,
     },
     /// The time for which it wanted nothing is over.
     Rested,
@@ -68,16 +68,16 @@
 
 /// What nodes tell each other of an endpoint, by its answer to one of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Announcement {
     /// The number of the endpoint's start.
     pub endpoint: u32,
     /// What it said.
-    pub fact: Fact,
+    pub condition: Condition,
 }
 
 /// One thing that an endpoint said.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fact {
+pub enum Condition {
     /// It leaves.
     Leaving,
     /// It turned the node away that tells, and wants nothing from it for a while.
@@ -118,7 +118,7 @@
     }
 
     /// What was believed before, for logs.
-    pub fn to_before(self) -> String {
+    pub fn describe_before(self) -> String {
         match self {
             Change::Cold { .. } | Change::Leaving | Change::Rest { .. } => NONE.to_owned(),
             Change::Left => YES.to_owned(),
@@ -128,9 +128,9 @@
     }
 
     /// What is believed now, for logs.
-    pub fn to_after(self) -> String {
+    pub fn describe_after(self) -> String {
         match self {
-            Change::Cold { lasts } | Change::Rest { lasts } => lasts.to_string(),
+            Change::Cold { duration } | Change::Rest { duration } => duration.to_string(),
             Change::Leaving => YES.to_owned(),
             Change::Left | Change::Rested => NONE.to_owned(),
             Change::RateLimit { after, .. } => to_text(after),
--- a/crates/dispatch/src/quarantine/record.rs
+++ b/crates/dispatch/src/quarantine/record.rs
@@ -9,7 +9,7 @@
 use crate::job::Fingerprint;
 
 /// Ends that are kept of one request: more than any bound from which it is barred.
-pub const ENDS_MOST: usize = 8;
+pub const MAX_ENDS: usize = 8;
 
 /// What is known of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -45,7 +45,7 @@
         self.last = now;
         if let Err(at) = self.ends.binary_search(&endpoint) {
             self.ends.insert(at, endpoint);
-            self.ends.truncate(ENDS_MOST);
+            self.ends.truncate(MAX_ENDS);
         }
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// True where it was sound at some time.
-    pub fn was_sound(&self) -> bool {
+    pub fn was_cleared(&self) -> bool {
         self.cleared > 0
     }
 
@@ -78,7 +78,7 @@
                 self.ends.insert(at, *endpoint);
             }
         }
-        self.ends.truncate(ENDS_MOST);
+        self.ends.truncate(MAX_ENDS);
         self.trials = self.trials.max(other.trials);
         self.last = self.last.max(other.last);
     }
@@ -110,7 +110,7 @@
         let mut ends = self.ends.clone();
         ends.sort_unstable();
         ends.dedup();
-        ends.truncate(ENDS_MOST);
+        ends.truncate(MAX_ENDS);
         Record {
             cleared: self.cleared,
             ends,
--- a/crates/dispatch/src/quarantine/registry.rs
+++ b/crates/dispatch/src/quarantine/registry.rs
@@ -13,7 +13,7 @@
 
 /// A broken attempt of which it is not known yet whether its endpoint has ended.
 #[derive(Debug)]
-struct Broken {
+struct BrokenAttempt {
     fingerprint: Fingerprint,
     endpoint: u32,
     at: Time,
@@ -27,26 +27,26 @@
     /// The digests of all records, joined.
     digest: u32,
     /// What changed lately, oldest first.
-    fresh: VecDeque<(Time, Fingerprint)>,
-    broken: VecDeque<Broken>,
+    recent_changes: VecDeque<(Time, Fingerprint)>,
+    broken_attempts: VecDeque<BrokenAttempt>,
     /// Requests whose whole answer came, each in a place of its own; a later one takes
     /// the place.
-    sound: Vec<Option<Fingerprint>>,
+    known_good: Vec<Option<Fingerprint>>,
     /// Turns what is sent, so that all of it is sent in time.
-    sent: usize,
+    rotation: usize,
 }
 
 impl Registry {
     /// Nothing known yet.
     pub fn new(options: Options) -> Registry {
         Registry {
-            sound: vec![None; options.sound.max(1)],
+            known_good: vec![None; options.max_known_good.max(1)],
             options,
             records: HashMap::new(),
             digest: 0,
-            fresh: VecDeque::new(),
-            broken: VecDeque::new(),
-            sent: 0,
+            recent_changes: VecDeque::new(),
+            broken_attempts: VecDeque::new(),
+            rotation: 0,
         }
     }
 
@@ -79,8 +79,8 @@
 
     /// A whole answer came. True where the request had been charged.
     pub fn note_whole(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
-        let place = self.place(fingerprint);
-        self.sound[place] = Some(fingerprint);
+        let slot = self.known_good_slot(fingerprint);
+        self.known_good[slot] = Some(fingerprint);
         if !self.is_suspect(fingerprint) {
             return false;
         }
@@ -90,10 +90,10 @@
 
     /// An attempt broke: its endpoint may have ended.
     pub fn note_broken(&mut self, now: Time, fingerprint: Fingerprint, endpoint: u32) {
-        if self.broken.len() >= self.options.unconfirmed {
-            self.broken.pop_front();
+        if self.broken_attempts.len() >= self.options.max_unconfirmed {
+            self.broken_attempts.pop_front();
         }
-        self.broken.push_back(Broken {
+        self.broken_attempts.push_back(BrokenAttempt {
             fingerprint,
             endpoint,
             at: now,
@@ -102,21 +102,22 @@
 
     /// An endpoint has not ended: what broke there broke for another reason.
     pub fn note_alive(&mut self, endpoint: u32) {
-        self.broken.retain(|broken| broken.endpoint != endpoint);
+        self.broken_attempts
+            .retain(|attempt| attempt.endpoint != endpoint);
     }
 
     /// An endpoint has ended. Charges what broke there, and says what that was.
     pub fn note_ended(&mut self, now: Time, endpoint: u32) -> Vec<Fingerprint> {
-        let under = self.broken.iter();
-        let under = under.filter(|broken| broken.endpoint == endpoint);
-        let mut charged: Vec<Fingerprint> = under.map(|broken| broken.fingerprint).collect();
+        let under = self.broken_attempts.iter();
+        let under = under.filter(|attempt| attempt.endpoint == endpoint);
+        let mut charged: Vec<Fingerprint> = under.map(|attempt| attempt.fingerprint).collect();
         charged.sort_unstable();
         charged.dedup();
         self.note_alive(endpoint);
         for fingerprint in &charged {
-            let sound = self.is_known_sound(*fingerprint);
+            let known_good = self.is_known_good(*fingerprint);
             self.change(now, *fingerprint, |record| {
-                record.cleared = record.cleared.max(u32::from(sound));
+                record.cleared = record.cleared.max(u32::from(known_good));
                 record.charge(now, endpoint);
             });
         }
@@ -132,23 +133,25 @@
     }
 
     /// Takes what another node knows; true where that was news.
-    pub fn take(&mut self, now: Time, finding: &Finding) -> bool {
+    pub fn merge(&mut self, now: Time, finding: &Finding) -> bool {
         let mut record = finding.to_record(now);
         let old = now.since(record.last) > self.options.forget_after;
-        if old && record.ends.len() < self.options.barred_from {
+        if old && record.ends.len() < self.options.bar_threshold {
             return false;
         }
-        if self.is_known_sound(finding.fingerprint) {
+        if self.is_known_good(finding.fingerprint) {
             record.cleared = record.cleared.max(1);
         }
         self.change(now, finding.fingerprint, |known| known.join(&record))
     }
 
     /// What is told in a status: what changed lately, the newest first.
-    pub fn news(&self, now: Time) -> Vec<Finding> {
+    pub fn recent_findings(&self, now: Time) -> Vec<Finding> {
         let mut told: Vec<Finding> = Vec::new();
-        for (at, fingerprint) in self.fresh.iter().rev() {
-            if told.len() >= self.options.told || now.since(*at) > self.options.fresh_for {
+        for (at, fingerprint) in self.recent_changes.iter().rev() {
+            if told.len() >= self.options.max_findings_per_status
+                || now.since(*at) > self.options.announce_for
+            {
                 break;
             }
             let known = told.iter().any(|one| one.fingerprint == *fingerprint);
@@ -162,41 +165,41 @@
     /// What is sent to a node that knows others: what is barred first, and with each
     /// call others of the rest.
     pub fn findings(&mut self, now: Time) -> Vec<Finding> {
-        let most = self.options.sent;
+        let most = self.options.max_findings_per_message;
         let mut all: Vec<(Fingerprint, &Record)> = self.iter().collect();
         all.sort_unstable_by_key(|(fingerprint, record)| {
             (std::cmp::Reverse(record.ends.len()), *fingerprint)
         });
         if all.len() > most {
             let rest = &mut all[most / 2..];
-            let turns = self.sent % rest.len();
+            let turns = self.rotation % rest.len();
             rest.rotate_left(turns);
         }
         let told = all.iter().take(most);
         let findings = told.map(|(fingerprint, record)| record.to_finding(now, *fingerprint));
         let findings = findings.collect();
-        self.sent = self.sent.wrapping_add(most / 2);
+        self.rotation = self.rotation.wrapping_add(most / 2);
         findings
     }
 
     /// Forgets what is old: attempts that nothing was heard of, and requests that are
     /// not barred.
-    pub fn forget(&mut self, now: Time) {
-        let most = self.options.unconfirmed_for;
-        while let Some(broken) = self.broken.front() {
-            if now.since(broken.at) <= most {
+    pub fn expire(&mut self, now: Time) {
+        let most = self.options.unconfirmed_timeout;
+        while let Some(attempt) = self.broken_attempts.front() {
+            if now.since(attempt.at) <= most {
                 break;
             }
-            self.broken.pop_front();
+            self.broken_attempts.pop_front();
         }
-        while let Some((at, _)) = self.fresh.front() {
-            if now.since(*at) <= self.options.fresh_for {
+        while let Some((at, _)) = self.recent_changes.front() {
+            if now.since(*at) <= self.options.announce_for {
                 break;
             }
-            self.fresh.pop_front();
+            self.recent_changes.pop_front();
         }
         let old = self.iter().filter(|(_, record)| {
-            record.ends.len() < self.options.barred_from
+            record.ends.len() < self.options.bar_threshold
                 && now.since(record.last) > self.options.forget_after
         });
         let old: Vec<Fingerprint> = old.map(|(fingerprint, _)| fingerprint).collect();
@@ -207,12 +210,13 @@
 
     /// The time after which a barred request may be tried once more; nothing where it
     /// is not.
-    pub fn trial_after_opt(&self, record: &Record) -> Option<Span> {
-        if record.was_sound() {
-            let doubled = self.options.sound_trial_after.0 << record.trials.min(DOUBLINGS_MOST);
+    pub fn trial_delay_opt(&self, record: &Record) -> Option<Span> {
+        if record.was_cleared() {
+            let doubled =
+                self.options.cleared_trial_delay.0 << record.trials.min(MAX_TRIAL_DOUBLINGS);
             return Some(Span(doubled));
         }
-        (record.trials < self.options.trials).then_some(self.options.trial_after)
+        (record.trials < self.options.max_trials).then_some(self.options.trial_delay)
     }
 
     /// Changes what is known of a request; true where that is other than before.
@@ -229,12 +233,12 @@
             return false;
         }
         self.remove(fingerprint);
-        self.make_room();
+        self.evict_if_full();
         self.digest ^= after.digest(fingerprint);
         self.records.insert(fingerprint, after);
-        self.fresh.push_back((now, fingerprint));
-        if self.fresh.len() > self.options.records {
-            self.fresh.pop_front();
+        self.recent_changes.push_back((now, fingerprint));
+        if self.recent_changes.len() > self.options.max_records {
+            self.recent_changes.pop_front();
         }
         true
     }
@@ -246,27 +250,31 @@
     }
 
     /// Forgets the oldest of those that are not barred, or the oldest of all.
-    fn make_room(&mut self) {
-        if self.records.len() < self.options.records {
+    fn evict_if_full(&mut self) {
+        if self.records.len() < self.options.max_records {
             return;
         }
-        let barred_from = self.options.barred_from;
+        let bar_threshold = self.options.bar_threshold;
         let oldest = self.iter().min_by_key(|(fingerprint, record)| {
-            (record.ends.len() >= barred_from, record.last, *fingerprint)
+            (
+                record.ends.len() >= bar_threshold,
+                record.last,
+                *fingerprint,
+            )
         });
         if let Some(oldest) = oldest.map(|(fingerprint, _)| fingerprint) {
             self.remove(oldest);
         }
     }
 
-    fn is_known_sound(&self, fingerprint: Fingerprint) -> bool {
-        self.sound[self.place(fingerprint)] == Some(fingerprint)
+    fn is_known_good(&self, fingerprint: Fingerprint) -> bool {
+        self.known_good[self.known_good_slot(fingerprint)] == Some(fingerprint)
     }
 
-    fn place(&self, fingerprint: Fingerprint) -> usize {
-        (fingerprint.0 % self.sound.len() as u64) as usize
+    fn known_good_slot(&self, fingerprint: Fingerprint) -> usize {
+        (fingerprint.0 % self.known_good.len() as u64) as usize
     }
 }
 
 /// How often the time until the next trial doubles: up to 17 minutes from a second.
-const DOUBLINGS_MOST: u8 = 10;
+const MAX_TRIAL_DOUBLINGS: u8 = 10;
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -19,27 +19,27 @@
 use woadstage_types::unit::Time;
 
 /// Steps of a limit in one request a second.
-const STEPS: f64 = 1_000.0;
+const STEPS_PER_REQUEST: f64 = 1_000.0;
 
 /// The longest time between two requests to an endpoint, however low its limit. Only
 /// answers say that a limit has ended, so an endpoint that is sent nothing would stay
 /// limited for good.
-const SENT_AT_LEAST_EVERY: Span = Span::from_secs(10);
+const MAX_INTERVAL: Span = Span::from_secs(10);
 
 /// How much sooner the next request may follow where one was later than its time: what
 /// waits is looked at a few dozen times a second.
-const CAUGHT_UP_MOST: Span = Span::from_millis(40);
+const MAX_CATCH_UP: Span = Span::from_millis(40);
 
 /// How much later than a limit an answer without one must have come, by what other nodes
 /// say, to end it: their reports are on their way for some milliseconds, which would make
 /// an older answer look newer.
-const ENDS_AFTER: Span = Span::from_millis(100);
+const END_MIN_NEWER_BY: Span = Span::from_millis(100);
 
 /// How much newer a report of the limit that is known already must be to be taken.
-const REFRESHED_AFTER: Span = Span::from_secs(1);
+const REFRESH_MIN_NEWER_BY: Span = Span::from_secs(1);
 
 /// How long others are told that a limit has ended.
-const END_TOLD_FOR: Span = Span::from_secs(5);
+const ANNOUNCE_END_FOR: Span = Span::from_secs(5);
 
 /// Requests a second that an endpoint takes, in thousandths. Text form: `2.75`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -49,13 +49,13 @@
 impl Limit {
     /// Requests a second.
     pub fn per_second(self) -> f64 {
-        f64::from(self.0) / STEPS
+        f64::from(self.0) / STEPS_PER_REQUEST
     }
 
     /// The time from one request to the next.
     pub fn to_interval(self) -> Span {
         let micros = MICROS_PER_SECOND as f64 / self.per_second();
-        Span(micros as u64).min(SENT_AT_LEAST_EVERY)
+        Span(micros as u64).min(MAX_INTERVAL)
     }
 }
 
@@ -72,7 +72,7 @@
         let expected = "requests a second such as \"2.75\"";
         let per_second = unit::parse_from_zero(text, expected)?;
         // What is too large to be held bounds nothing.
-        Ok(Limit((per_second * STEPS) as u32))
+        Ok(Limit((per_second * STEPS_PER_REQUEST) as u32))
     }
 }
 
@@ -87,7 +87,7 @@
 
 /// What one node tells others of an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Announcement {
     /// The endpoint's number.
     pub endpoint: u32,
     /// The limit; none where it named one and does so no more.
@@ -96,7 +96,7 @@
     pub age_ms: u32,
 }
 
-impl Told {
+impl Announcement {
     /// The same as a report of a node that heard it now.
     pub fn to_report(self, now: Time) -> Report {
         Report {
@@ -111,7 +111,7 @@
 pub struct State {
     report: Option<Report>,
     /// From when on the time until the next request counts.
-    since: Time,
+    interval_start: Time,
 }
 
 impl State {
@@ -139,9 +139,9 @@
             return report.limit.is_some() && self.replace(now, report);
         };
         let newer_by = match report.limit {
-            same if same == known.limit => REFRESHED_AFTER,
+            same if same == known.limit => REFRESH_MIN_NEWER_BY,
             Some(_) => Span::ZERO,
-            None => ENDS_AFTER,
+            None => END_MIN_NEWER_BY,
         };
         report.at > known.at + newer_by && self.replace(now, report)
     }
@@ -150,18 +150,18 @@
         let before = self.limit_opt();
         if before.is_none() {
             // A request was sent there a moment ago, since it answered.
-            self.since = now;
+            self.interval_start = now;
         }
         self.report = Some(report);
         before != report.limit
     }
 
     /// What others are told of the endpoint with this number, if anything.
-    pub fn to_told_opt(&self, now: Time, endpoint: u32) -> Option<Told> {
+    pub fn to_announcement_opt(&self, now: Time, endpoint: u32) -> Option<Announcement> {
         let report = self.report?;
         let age = now.since(report.at);
-        let told = report.limit.is_some() || age < END_TOLD_FOR;
-        told.then_some(Told {
+        let told = report.limit.is_some() || age < ANNOUNCE_END_FOR;
+        told.then_some(Announcement {
             endpoint,
             limit: report.limit,
             age_ms: u32::try_from(age.0 / 1_000).unwrap_or(u32::MAX),
@@ -170,18 +170,18 @@
 
     /// True where a request may follow the one before, with `spacing` between two.
     pub fn may_start(&self, now: Time, spacing: Span) -> bool {
-        now >= self.since + spacing
+        now >= self.interval_start + spacing
     }
 
     /// Notes that a request is sent, with `spacing` between two.
-    pub fn start(&mut self, now: Time, spacing: Span) {
-        let due = self.since + spacing;
-        self.since = due.clamp(now - CAUGHT_UP_MOST, now);
+    pub fn note_start(&mut self, now: Time, spacing: Span) {
+        let due = self.interval_start + spacing;
+        self.interval_start = due.clamp(now - MAX_CATCH_UP, now);
     }
 
     /// Notes that another node keeps the limit. Once this one does, its first request is
     /// as far from what the other sent as any two are.
-    pub fn wait(&mut self, now: Time) {
-        self.since = now;
+    pub fn restart_interval(&mut self, now: Time) {
+        self.interval_start = now;
     }
 }
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/rest.rs
@@ -15,25 +15,25 @@
 use woadstage_types::unit::Time;
 
 /// The longest rest that is kept; who asks for more is asked again after it.
-const LONGEST: Span = Span::from_secs(24 * 3_600);
+const MAX_REST: Span = Span::from_secs(24 * 3_600);
 
 /// By how much a rest must become longer for that to be told.
-const TOLD_FROM: Span = Span::from_millis(500);
+const MIN_REPORTED_EXTENSION: Span = Span::from_millis(500);
 
 /// How long after a second rest in a row the endpoint is tried again while others have
 /// room; doubles with each further one.
-const TRIED_AFTER: Span = Span::from_secs(1);
+const FIRST_PROBE_DELAY: Span = Span::from_secs(1);
 
 /// How long an endpoint stays in doubt that nobody tries; doubles with each rest in a row.
-const DOUBTED_FOR: Span = Span::from_secs(4);
+const UNCONFIRMED_FOR: Span = Span::from_secs(4);
 
 /// How often both double at the most.
-const DOUBLINGS_MOST: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// The part of a rest over which nodes that rest until the same moment come back, and the
 /// longest time that this takes.
-const SPREAD_PART: u64 = 8;
-const SPREAD_MOST: Span = Span::from_millis(250);
+const JITTER_DIVISOR: u64 = 8;
+const MAX_JITTER: Span = Span::from_millis(250);
 
 /// Reads a rest: seconds, with a fraction or without.
 ///
@@ -43,7 +43,7 @@
     let seconds = unit::parse_from_zero(text, "seconds such as \"2.5\"")?;
     let micros = seconds * MICROS_PER_SECOND as f64;
     // What is too large to be held is cut to the longest.
-    Ok(Span(micros as u64).min(LONGEST))
+    Ok(Span(micros as u64).min(MAX_REST))
 }
 
 /// What is known of one endpoint's rest.
@@ -51,13 +51,13 @@
 pub struct State {
     until: Time,
     /// True until its end was taken ([`State::take_end`]).
-    is_end_due: bool,
+    is_end_pending: bool,
     /// Rests that it asked for since it last took a request.
-    rests: u32,
+    consecutive_rests: u32,
     /// When the request was sent of which nothing is known yet, after the rest.
-    trial: Option<Time>,
+    probe: Option<Time>,
     /// Until when it wants nothing from another node, as far as heard.
-    others_until: Time,
+    remote_until: Time,
 }
 
 impl State {
@@ -65,15 +65,15 @@
     /// `drawn` spreads the nodes that come back.
     ///
     /// True where the rest is new, or ends noticeably later than before.
-    pub fn ask(&mut self, now: Time, rest: Span, drawn: u64) -> bool {
-        let spread = (rest.0 / SPREAD_PART).min(SPREAD_MOST.0);
+    pub fn extend(&mut self, now: Time, rest: Span, drawn: u64) -> bool {
+        let spread = (rest.0 / JITTER_DIVISOR).min(MAX_JITTER.0);
         let until = now + rest + Span(drawn.checked_rem(spread).unwrap_or(0));
         let new = !self.is_resting(now);
-        let changed = new || until.since(self.until) >= TOLD_FROM;
+        let changed = new || until.since(self.until) >= MIN_REPORTED_EXTENSION;
         self.until = self.until.max(until);
-        self.rests += u32::from(new);
-        self.trial = None;
-        self.is_end_due = true;
+        self.consecutive_rests += u32::from(new);
+        self.probe = None;
+        self.is_end_pending = true;
         changed
     }
 
@@ -88,63 +88,64 @@
     }
 
     /// Takes until when the endpoint rests for another node.
-    pub fn hear(&mut self, until: Time) {
-        self.others_until = self.others_until.max(until);
+    pub fn extend_remote(&mut self, until: Time) {
+        self.remote_until = self.remote_until.max(until);
     }
 
     /// True while it is not known whether the endpoint takes requests again.
-    pub fn is_in_doubt(&self, now: Time) -> bool {
-        self.rests > 0 && now < self.until + doubled(DOUBTED_FOR, self.rests)
+    pub fn is_unconfirmed(&self, now: Time) -> bool {
+        self.consecutive_rests > 0
+            && now < self.until + doubled(UNCONFIRMED_FOR, self.consecutive_rests)
     }
 
     /// The same by what was heard from others.
-    pub fn is_in_doubt_elsewhere(&self, now: Time) -> bool {
-        now < self.others_until + DOUBTED_FOR
+    pub fn is_unconfirmed_elsewhere(&self, now: Time) -> bool {
+        now < self.remote_until + UNCONFIRMED_FOR
     }
 
     /// True while a request is on its way that will show whether it takes requests.
-    pub fn is_on_trial(&self) -> bool {
-        self.trial.is_some()
+    pub fn is_probing(&self) -> bool {
+        self.probe.is_some()
     }
 
     /// True where it is time to try the endpoint though others have room.
-    pub fn is_trial_due(&self, now: Time) -> bool {
-        let after = match self.rests {
+    pub fn is_probe_due(&self, now: Time) -> bool {
+        let after = match self.consecutive_rests {
             0 | 1 => Span::ZERO,
-            rests => doubled(TRIED_AFTER, rests - 2),
+            consecutive_rests => doubled(FIRST_PROBE_DELAY, consecutive_rests - 2),
         };
-        self.trial.is_none() && now >= self.others_until && now >= self.until + after
+        self.probe.is_none() && now >= self.remote_until && now >= self.until + after
     }
 
     /// Notes that a request was sent there while it is in doubt.
-    pub fn start(&mut self, now: Time) {
-        self.trial = Some(now);
+    pub fn start_probe(&mut self, now: Time) {
+        self.probe = Some(now);
     }
 
     /// Notes that the endpoint took a request that was sent at `sent`.
-    pub fn serve(&mut self, sent: Time) {
+    pub fn note_served(&mut self, sent: Time) {
         if sent >= self.until {
-            self.rests = 0;
-            self.trial = None;
-            self.others_until = Time(0);
+            self.consecutive_rests = 0;
+            self.probe = None;
+            self.remote_until = Time(0);
         }
     }
 
     /// Notes that a request sent at `sent` ended and showed nothing.
-    pub fn end_trial(&mut self, sent: Time) {
-        if self.trial == Some(sent) {
-            self.trial = None;
+    pub fn end_probe(&mut self, sent: Time) {
+        if self.probe == Some(sent) {
+            self.probe = None;
         }
     }
 
     /// True where the rest is over, once for each rest.
     pub fn take_end(&mut self, now: Time) -> bool {
-        let ends = self.is_end_due && !self.is_resting(now);
-        self.is_end_due &= !ends;
+        let ends = self.is_end_pending && !self.is_resting(now);
+        self.is_end_pending &= !ends;
         ends
     }
 }
 
 fn doubled(span: Span, times: u32) -> Span {
-    Span(span.0 << times.min(DOUBLINGS_MOST))
+    Span(span.0 << times.min(MAX_DOUBLINGS))
 }
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -321,7 +321,7 @@
     /// node, and no call of this node worked since.
     pub fn is_in_doubt(&self, now: Time) -> bool {
         let proved = self.proved_at.is_some_and(|at| now.since(at) < PROVED_FOR);
-        self.rest.is_in_doubt(now) || (!proved && self.rest.is_in_doubt_elsewhere(now))
+        self.rest.is_unconfirmed(now) || (!proved && self.rest.is_unconfirmed_elsewhere(now))
     }
 
     /// True where others found it gone, or several could not connect to it, and
--- a/crates/dispatch/tests/dispatch/budget.rs
+++ b/crates/dispatch/tests/dispatch/budget.rs
@@ -13,7 +13,7 @@
         ratio: 0.2,
         extra: 9.0,
         window: Span::from_secs(10),
-        caution: 1.0,
+        safety_factor: 1.0,
     })
 }
 
@@ -25,7 +25,7 @@
     let target = id::Target::new("service");
     let mut budget = budget();
     for millis in 0..100 {
-        budget.earn(at(millis), &target);
+        budget.note_request(at(millis), &target);
     }
     let spent = (0..100)
         .filter(|_| budget.try_spend(at(200), &target, nodes))
@@ -37,7 +37,7 @@
 fn both_counts_are_those_of_one_window() {
     let target = id::Target::new("service");
     let mut budget = budget();
-    budget.earn(at(0), &target);
+    budget.note_request(at(0), &target);
     let spent = (0..100)
         .filter(|_| budget.try_spend(at(0), &target, 1))
         .count();
@@ -48,5 +48,5 @@
 
 #[test]
 fn a_service_that_nobody_asked_for_has_none() {
-    assert_eq!(budget().left(at(0), &id::Target::new("other"), 1), 0);
+    assert_eq!(budget().remaining(at(0), &id::Target::new("other"), 1), 0);
 }
--- a/crates/dispatch/tests/dispatch/cold.rs
+++ b/crates/dispatch/tests/dispatch/cold.rs
@@ -20,7 +20,7 @@
 
 const BOUND: Bound = Bound {
     interval: Span::from_millis(200),
-    lasts: Span::from_secs(3),
+    duration: Span::from_secs(3),
 };
 
 fn cold(name: &str, millis: u64) -> Endpoint {
@@ -108,7 +108,7 @@
         cold_for: Some(Span::from_millis(600)),
         ..Notice::default()
     };
-    dispatcher.take_notice(at(1_000), first, &notice);
+    dispatcher.apply_notice(at(1_000), first, &notice);
     // The one that brought the word counts as well.
     assert_eq!(
         sent_by(&mut dispatcher, &[1_000, 1_199, 1_200, 1_600]),
--- a/crates/dispatch/tests/dispatch/fleet/cold.rs
+++ b/crates/dispatch/tests/dispatch/fleet/cold.rs
@@ -10,7 +10,7 @@
 /// What an endpoint bears while it is cold: 6.9 requests a second for three.
 const BOUND: cold::Bound = cold::Bound {
     interval: Span::from_millis(145),
-    lasts: Span::from_secs(3),
+    duration: Span::from_secs(3),
 };
 
 /// Arrivals in one second above which an endpoint falls over: one and a half times
@@ -54,7 +54,7 @@
             let name = format!("{}-again", endpoint.name);
             *endpoint = Endpoint {
                 name: woadstage_types::id::Endpoint::new(&name),
-                cold_for: BOUND.lasts,
+                cold_for: BOUND.duration,
                 ..endpoint.clone()
             };
             cold.push(endpoint.clone());
--- a/crates/dispatch/tests/dispatch/fleet/crash.rs
+++ b/crates/dispatch/tests/dispatch/fleet/crash.rs
@@ -218,9 +218,9 @@
 /// Whoever comes beside such a request pays for each end more and for each end less.
 #[test]
 fn two_ends_cost_others_least() {
-    let served = |barred_from| {
+    let served = |bar_threshold| {
         let options = quarantine::Options {
-            barred_from,
+            bar_threshold,
             ..quarantine::Options::default()
         };
         through_eight(options, None).served
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -437,7 +437,7 @@
             Event::First(node, id, endpoint) => {
                 let notice = self.read_notice(node, &endpoint);
                 if let Some(dispatcher) = self.nodes.get_mut(&node) {
-                    dispatcher.take_notice(now, id, &notice);
+                    dispatcher.apply_notice(now, id, &notice);
                     dispatcher.progress(now, id, 1);
                     self.settle(node);
                 }
--- a/crates/dispatch/tests/dispatch/fleet/world/notices.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/notices.rs
@@ -161,7 +161,7 @@
         let Some(dispatcher) = self.nodes.get_mut(&node) else {
             return;
         };
-        dispatcher.take_notice(self.now, id, &notice);
+        dispatcher.apply_notice(self.now, id, &notice);
         let next = dispatcher.end(self.now, id, End::Full);
         if next != Next::Again {
             let seen = self.seen.get_mut(&(node, id)).expect("it came");
--- a/crates/dispatch/tests/dispatch/outcomes.rs
+++ b/crates/dispatch/tests/dispatch/outcomes.rs
@@ -118,7 +118,7 @@
     options.budget = budget::Options {
         ratio: 0.0,
         extra: 16.0,
-        caution: 1.0,
+        safety_factor: 1.0,
         window: Span::from_secs(10),
     };
     let mut dispatcher = Dispatcher::new(options);
--- a/crates/dispatch/tests/dispatch/quarantine.rs
+++ b/crates/dispatch/tests/dispatch/quarantine.rs
@@ -90,7 +90,7 @@
 fn a_broken_attempt_is_not_charged_with_an_end_long_after() {
     let mut registry = Registry::new(Options::default());
     registry.note_broken(at(0), ONE, 7);
-    registry.forget(at(10_001));
+    registry.expire(at(10_001));
     assert_eq!(registry.note_ended(at(10_002), 7), []);
 }
 
@@ -100,11 +100,11 @@
     let mut other = Registry::new(Options::default());
     charge(&mut one, at(0), ONE, &[1, 2]);
     for finding in one.findings(at(1)) {
-        assert!(other.take(at(1), &finding));
+        assert!(other.merge(at(1), &finding));
     }
     assert!(other.note_whole(at(2), ONE));
     for finding in other.findings(at(3)) {
-        assert!(one.take(at(3), &finding));
+        assert!(one.merge(at(3), &finding));
     }
     assert!(!one.is_suspect(ONE));
     assert_eq!(one.digest(), other.digest());
@@ -116,7 +116,7 @@
         trials: 0,
         age_s: 0,
     };
-    assert!(!one.take(at(4), &late));
+    assert!(!one.merge(at(4), &late));
     assert!(!one.is_suspect(ONE));
 }
 
@@ -125,15 +125,15 @@
     let mut registry = Registry::new(Options::default());
     registry.note_whole(at(0), ONE);
     charge(&mut registry, at(1), ONE, &[1]);
-    assert!(registry.get(ONE).expect("it is charged").was_sound());
+    assert!(registry.get(ONE).expect("it is charged").was_cleared());
     charge(&mut registry, at(1), OTHER, &[2]);
-    assert!(!registry.get(OTHER).expect("it is charged").was_sound());
+    assert!(!registry.get(OTHER).expect("it is charged").was_cleared());
 }
 
 #[test]
 fn memory_is_bounded_and_what_is_barred_is_kept() {
     let options = Options {
-        records: 64,
+        max_records: 64,
         ..Options::default()
     };
     let mut registry = Registry::new(options);
@@ -149,7 +149,7 @@
     }
     assert_eq!(registry.iter().count(), 64);
     assert_eq!(ends(&registry, ONE), 2);
-    assert!(registry.findings(at(2_000)).len() <= Options::default().sent);
+    assert!(registry.findings(at(2_000)).len() <= Options::default().max_findings_per_message);
     // Of many ends of one request a few are kept.
     charge(
         &mut registry,
@@ -167,7 +167,7 @@
     let mut registry = Registry::new(Options::default());
     charge(&mut registry, at(0), ONE, endpoints);
     let later = at(0) + Span::from_secs(3_601);
-    registry.forget(later);
+    registry.expire(later);
     assert_eq!(ends(&registry, ONE), left);
     if left == 0 {
         assert_eq!(registry.digest(), 0);
@@ -179,7 +179,7 @@
             trials: 0,
             age_s: 3_601,
         };
-        assert!(!registry.take(later, &finding));
+        assert!(!registry.merge(later, &finding));
     }
 }
 
@@ -195,7 +195,7 @@
     let mut turns = 0;
     while one.digest() != other.digest() {
         for finding in one.findings(at(1)) {
-            other.take(at(1), &finding);
+            other.merge(at(1), &finding);
         }
         turns += 1;
         assert!(turns <= 40, "{turns}");
--- a/crates/dispatch/tests/dispatch/rate_limit.rs
+++ b/crates/dispatch/tests/dispatch/rate_limit.rs
@@ -90,7 +90,7 @@
 fn the_end_of_an_unknown_limit_says_nothing() {
     let mut state = State::default();
     assert!(!state.note_report(at(2_000), report(None, at(1_000))));
-    assert_eq!(state.to_told_opt(at(2_000), 7), None);
+    assert_eq!(state.to_announcement_opt(at(2_000), 7), None);
 }
 
 /// Who follows another as the keeper of a limit waits as long as between any two requests.
@@ -100,10 +100,10 @@
     let mut state = limited(at(1_000));
     assert!(!state.may_start(at(1_499), spacing));
     assert!(state.may_start(at(9_000), spacing));
-    state.start(at(9_000), spacing);
+    state.note_start(at(9_000), spacing);
     assert!(!state.may_start(at(9_459), spacing));
     assert!(state.may_start(at(9_460), spacing));
-    state.wait(at(9_400));
+    state.restart_interval(at(9_400));
     assert!(!state.may_start(at(9_899), spacing));
 }
 
@@ -111,10 +111,10 @@
 fn others_are_told_of_an_end_for_a_while() {
     let mut state = limited(at(1_000));
     state.note_answer(at(2_000), at(1_500), None);
-    let told = state.to_told_opt(at(2_300), 7).expect("told");
+    let told = state.to_announcement_opt(at(2_300), 7).expect("told");
     assert_eq!((told.endpoint, told.limit, told.age_ms), (7, None, 300));
     assert_eq!(told.to_report(at(5_000)).at, at(4_700));
-    assert_eq!(state.to_told_opt(at(7_001), 7), None);
+    assert_eq!(state.to_announcement_opt(at(7_001), 7), None);
 }
 
 /// A further attempt waits for its turn like a first one.
@@ -129,7 +129,7 @@
         rate_limit: Field::Given(limit("2").expect("a limit")),
         ..Notice::default()
     };
-    dispatcher.take_notice(at(410), first, &notice);
+    dispatcher.apply_notice(at(410), first, &notice);
     dispatcher.end(at(420), first, End::Whole);
     let second = dispatcher.enter(at(430), job(SERVICE, 1, at(430)));
     assert_ne!(starts(&mut dispatcher)[0].1, needy);
--- a/crates/dispatch/tests/dispatch/rest.rs
+++ b/crates/dispatch/tests/dispatch/rest.rs
@@ -40,7 +40,7 @@
 /// A state that was asked for a second of rest.
 fn rested() -> State {
     let mut state = State::default();
-    assert!(state.ask(at(1_000), SECOND, 0));
+    assert!(state.extend(at(1_000), SECOND, 0));
     state
 }
 
@@ -50,7 +50,10 @@
 #[case::hardly_more(1_000, false, 2_100)]
 fn a_later_answer_cuts_no_rest(#[case] millis: u64, #[case] changed: bool, #[case] until: u64) {
     let mut state = rested();
-    assert_eq!(state.ask(at(1_100), Span::from_millis(millis), 0), changed);
+    assert_eq!(
+        state.extend(at(1_100), Span::from_millis(millis), 0),
+        changed
+    );
     assert!(state.is_resting(at(until - 1)));
     assert!(!state.is_resting(at(until)));
 }
@@ -59,7 +62,7 @@
 fn nodes_that_rest_until_the_same_moment_come_back_apart() {
     let left = |drawn| {
         let mut state = State::default();
-        state.ask(at(0), Span::from_secs(4), drawn);
+        state.extend(at(0), Span::from_secs(4), drawn);
         state.left(at(0)).0
     };
     assert_eq!(left(0), 4_000_000);
@@ -70,52 +73,52 @@
 #[test]
 fn an_endpoint_is_in_doubt_until_it_takes_a_request_sent_since() {
     let mut state = rested();
-    state.serve(at(900));
-    assert!(state.is_in_doubt(at(2_000)));
-    state.serve(at(2_001));
-    assert!(!state.is_in_doubt(at(2_002)));
+    state.note_served(at(900));
+    assert!(state.is_unconfirmed(at(2_000)));
+    state.note_served(at(2_001));
+    assert!(!state.is_unconfirmed(at(2_002)));
 }
 
 #[test]
 fn an_endpoint_that_nobody_tries_is_used_again_in_the_end() {
     let state = rested();
-    assert!(state.is_in_doubt(at(9_999)));
-    assert!(!state.is_in_doubt(at(10_000)));
+    assert!(state.is_unconfirmed(at(9_999)));
+    assert!(!state.is_unconfirmed(at(10_000)));
 }
 
 #[test]
 fn one_request_at_a_time_tries_an_endpoint() {
     let mut state = rested();
-    assert!(state.is_trial_due(at(2_000)));
-    state.start(at(2_000));
-    assert!(!state.is_trial_due(at(2_500)));
-    state.end_trial(at(1_999));
-    assert!(state.is_on_trial());
-    state.end_trial(at(2_000));
-    assert!(state.is_trial_due(at(2_500)));
+    assert!(state.is_probe_due(at(2_000)));
+    state.start_probe(at(2_000));
+    assert!(!state.is_probe_due(at(2_500)));
+    state.end_probe(at(1_999));
+    assert!(state.is_probing());
+    state.end_probe(at(2_000));
+    assert!(state.is_probe_due(at(2_500)));
 }
 
 #[test]
 fn an_endpoint_that_goes_on_turning_away_is_tried_less_often() {
     let mut state = rested();
-    state.ask(at(3_000), SECOND, 0);
-    assert!(!state.is_trial_due(at(4_999)));
-    assert!(state.is_trial_due(at(5_000)));
-    state.ask(at(5_000), SECOND, 0);
-    assert!(!state.is_trial_due(at(7_999)));
-    assert!(state.is_trial_due(at(8_000)));
+    state.extend(at(3_000), SECOND, 0);
+    assert!(!state.is_probe_due(at(4_999)));
+    assert!(state.is_probe_due(at(5_000)));
+    state.extend(at(5_000), SECOND, 0);
+    assert!(!state.is_probe_due(at(7_999)));
+    assert!(state.is_probe_due(at(8_000)));
 }
 
 #[test]
 fn an_endpoint_that_rests_for_others_is_tried_by_none() {
     let mut state = State::default();
-    state.hear(at(3_000));
+    state.extend_remote(at(3_000));
     assert!(!state.is_resting(at(1_000)));
-    assert!(state.is_in_doubt_elsewhere(at(3_500)));
-    assert!(!state.is_trial_due(at(2_999)));
-    assert!(state.is_trial_due(at(3_000)));
-    state.serve(at(1_000));
-    assert!(!state.is_in_doubt_elsewhere(at(1_001)));
+    assert!(state.is_unconfirmed_elsewhere(at(3_500)));
+    assert!(!state.is_probe_due(at(2_999)));
+    assert!(state.is_probe_due(at(3_000)));
+    state.note_served(at(1_000));
+    assert!(!state.is_unconfirmed_elsewhere(at(1_001)));
 }
 
 #[test]
@@ -137,7 +140,7 @@
         rest: Some(Span::from_millis(200)),
         ..Notice::default()
     };
-    dispatcher.take_notice(at(10), first, &notice);
+    dispatcher.apply_notice(at(10), first, &notice);
     assert_eq!(dispatcher.end(at(10), first, End::Full), Next::Again);
     dispatcher.abandon(at(11), first);
     starts(&mut dispatcher);
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -41,7 +41,7 @@
 use woadstage_dispatch::message::Verdict;
 use woadstage_dispatch::message::Waiting;
 use woadstage_dispatch::notice;
-use woadstage_dispatch::notice::Fact;
+use woadstage_dispatch::notice::Condition;
 use woadstage_dispatch::parts;
 use woadstage_dispatch::protocol::Protocol;
 use woadstage_dispatch::quarantine::Finding;
@@ -114,18 +114,21 @@
         protocol: Protocol::OWN,
         rate_limits: vec![told(5, Some("2.75")), told(6, None)],
         notices: vec![
-            notice(7, Fact::Leaving),
-            notice(8, Fact::Rest { left_ms: 2_500 }),
+            notice(7, Condition::Leaving),
+            notice(8, Condition::Rest { left_ms: 2_500 }),
         ],
     }
 }
 
-fn notice(endpoint: u32, fact: Fact) -> notice::Told {
-    notice::Told { endpoint, fact }
+fn notice(endpoint: u32, condition: Condition) -> notice::Announcement {
+    notice::Announcement {
+        endpoint,
+        condition,
+    }
 }
 
-fn told(endpoint: u32, limit: Option<&str>) -> rate_limit::Told {
-    rate_limit::Told {
+fn told(endpoint: u32, limit: Option<&str>) -> rate_limit::Announcement {
+    rate_limit::Announcement {
         endpoint,
         limit: limit.map(to_limit),
         age_ms: 1_300,
@@ -315,7 +318,7 @@
             engine: true,
             cold: Some(cold::Bound {
                 interval: Span::from_millis(100),
-                lasts: Span::from_secs(5),
+                duration: Span::from_secs(5),
             }),
         }],
         limits: Limits {
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -281,7 +281,7 @@
             return;
         };
         let take =
-            |dispatcher: &mut Dispatcher, now| dispatcher.take_notice(now, job, &read.notice);
+            |dispatcher: &mut Dispatcher, now| dispatcher.apply_notice(now, job, &read.notice);
         for change in self.shell.command(take) {
             let request = &self.admitted.request;
             let endpoint = endpoint.name.as_str();
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -278,8 +278,8 @@
             request,
             endpoint,
             what: change.as_str(),
-            now: &change.to_after(),
-            before: &change.to_before(),
+            now: &change.describe_after(),
+            before: &change.describe_before(),
         });
     }
 
