--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,7 +1,7 @@
-//! What may be sent again. All nodes together may repeat a share of what came
-//! plus a fixed number in each window. Each node keeps to the share of its own
-//! requests and to its even part of the fixed number, so that no cut between
-//! nodes can break the whole (after the retry budget of Finagle).
+//! Retry budget. All nodes together may retry a ratio of the incoming requests plus a
+//! fixed number in each window. Each node only uses the ratio of its own requests and an
+//! equal part of the fixed number, so the total bound holds during any network partition
+//! (after the retry budget of Finagle).
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -10,16 +10,17 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// Bounds on what is sent again, over all nodes together.
+/// Bounds on retries, over all nodes together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Repeats allowed for each request.
+    /// The number of retries allowed for each request.
     pub ratio: f64,
-    /// Repeats allowed beyond that in each window.
+    /// The number of further retries allowed in each window.
     pub extra: f64,
-    /// The window.
+    /// The time window.
     pub window: Span,
-    /// The part of both that is used, since others count at other moments.
+    /// The fraction of both that is used, because the windows of other nodes are not
+    /// aligned.
     pub safety_factor: f64,
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// Counts of one service.
+/// The request and retry times of one service within the window.
 #[derive(Debug, Default)]
 struct Counts {
     requests: VecDeque<Time>,
@@ -51,7 +52,7 @@
     }
 }
 
-/// The repeats of one node.
+/// The retry budget of one node.
 #[derive(Debug)]
 pub struct Budget {
     options: Options,
@@ -59,7 +60,7 @@
 }
 
 impl Budget {
-    /// Nothing sent yet.
+    /// Creates a budget without any requests or retries.
     pub fn new(options: Options) -> Budget {
         Budget {
             options,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Counts a request that came for a service.
+    /// Counts an incoming request of a service.
     pub fn note_request(&mut self, now: Time, target: &id::Target) {
         let window = self.options.window;
         let counts = self.services.entry(target.clone()).or_default();
@@ -75,7 +76,8 @@
         counts.requests.push_back(now);
     }
 
-    /// Repeats that a node may still make now when `nodes` share the budget.
+    /// Returns the number of retries that a node may make now if `nodes` share the
+    /// budget.
     pub fn remaining(&self, now: Time, target: &id::Target, nodes: usize) -> u64 {
         let Some(counts) = self.services.get(target) else {
             return 0;
@@ -94,7 +96,7 @@
         allowed.saturating_sub(recent(&counts.repeats) as u64)
     }
 
-    /// True if a repeat may be made now, which is then counted.
+    /// Takes one retry from the budget. Returns false if none is left.
     pub fn try_spend(&mut self, now: Time, target: &id::Target, nodes: usize) -> bool {
         if self.remaining(now, target, nodes) == 0 {
             return false;
--- a/crates/dispatch/src/cold.rs
+++ b/crates/dispatch/src/cold.rs
@@ -1,27 +1,27 @@
-//! Endpoints that are cold: for some seconds after a start, and at times at
-//! other moments, they bear only a few requests a second and fall over above
-//! that, which costs whatever runs there.
+//! Cold endpoints. For some seconds after a start, and sometimes at other moments, an
+//! endpoint can take only a few requests a second; above that it fails with all that runs
+//! there.
 //!
-//! Starts at a cold endpoint are spaced evenly: one at a time, and the next no
-//! sooner than the interval that it bears. The operator's rule allows more in a
-//! single second; that margin is left for what a node cannot see, such as starts
-//! by another that took itself for the owner of the same slots for a moment.
+//! Starts at a cold endpoint are spaced evenly: one at a time, and each at least the
+//! tolerated interval after the previous one. The operator's rule allows more within a
+//! single second. That margin is left for what a node cannot see, such as starts by
+//! another node that briefly considered itself the owner of the same slots.
 
 use serde::Deserialize;
 use serde::Serialize;
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// What an endpoint of a service bears while it is cold.
+/// The load that a cold endpoint of a service tolerates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bound {
-    /// The shortest time between two starts.
+    /// The minimum time between two starts.
     pub interval: Span,
     /// How long an endpoint stays cold after a start.
     pub duration: Span,
 }
 
-/// Whether one endpoint is cold, and when it may be sent the next request.
+/// The cold state of one endpoint, and when the next request may be sent to it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct State {
     until: Time,
@@ -29,23 +29,23 @@
 }
 
 impl State {
-    /// Notes that it is cold for so long from now on. Where several say so, the
-    /// one that says longest is believed.
+    /// Records that the endpoint is cold for `cold_for` from now on. If reports differ,
+    /// the longest one applies.
     pub fn extend(&mut self, now: Time, cold_for: Span) {
         self.until = self.until.max(now + cold_for);
     }
 
-    /// True while it is cold.
+    /// Whether the endpoint is cold.
     pub fn is_cold(&self, now: Time) -> bool {
         now < self.until
     }
 
-    /// True unless it was sent a request too short a time ago.
+    /// Whether the interval since the last start has passed.
     pub fn may_start(&self, now: Time) -> bool {
         now >= self.next_start
     }
 
-    /// Notes that it was sent a request: the next one may follow after `interval`.
+    /// Records a start; the next one may follow after `interval`.
     pub fn note_start(&mut self, now: Time, interval: Span) {
         self.next_start = now + interval;
     }
--- a/crates/dispatch/src/dispatcher/apply_notice.rs
+++ b/crates/dispatch/src/dispatcher/apply_notice.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in the heads of answers.
+//! Processing of what endpoints state about themselves in the heads of answers.
 
 use woadstage_types::hash;
 use woadstage_types::unit::Span;
@@ -17,8 +17,8 @@
 use crate::worker::Worker;
 
 impl Dispatcher {
-    /// Takes what the head of the answer to a request says of the endpoint that runs it.
-    /// Gives what is believed of the endpoint otherwise than before.
+    /// Applies the notice in the head of a request's answer to the endpoint that runs the
+    /// request. Returns what changed.
     pub fn apply_notice(&mut self, now: Time, id: job::Id, notice: &Notice) -> Vec<Change> {
         let cold = notice
             .cold_for
@@ -34,15 +34,15 @@
         changes.chain(leaving).chain(rest).collect()
     }
 
-    /// A request that runs, and the endpoint that runs it.
+    /// Returns a running request and the endpoint that runs it.
     pub(super) fn run_and_worker_mut(&mut self, id: job::Id) -> Option<(&Run, &mut Worker)> {
         let run = self.runs.get(&id)?;
         let pool = self.pools.get_mut(&run.job.target)?;
         Some((run, &mut pool.workers[run.worker]))
     }
 
-    /// An endpoint said in an answer that it leaves. All others are told at once: each
-    /// would otherwise learn it by a request that it sends there.
+    /// Records that an endpoint is leaving. Other nodes are told immediately, because
+    /// each of them would otherwise learn it only from a request that it sends there.
     fn note_leaving(&mut self, id: job::Id) -> Option<Change> {
         let (_, worker) = self.run_and_worker_mut(id)?;
         worker.leaving = true;
@@ -53,7 +53,7 @@
         new.then_some(Change::Leaving)
     }
 
-    /// Takes what endpoints said to another node.
+    /// Receives what endpoints stated to another node.
     pub(super) fn receive_announcements(&mut self, now: Time, told: &[Announcement]) {
         for one in told {
             match one.condition {
@@ -78,7 +78,8 @@
         }
     }
 
-    /// What endpoints said and lists do not say, in the order of the endpoints.
+    /// Returns what endpoints stated and the platform's lists do not contain, ordered by
+    /// endpoint.
     pub(super) fn announcements(&self, now: Time) -> Vec<Announcement> {
         let workers = self.pools.values().flat_map(|pool| &pool.workers);
         let open = workers.filter(|worker| worker.listed && !worker.endpoint.leaving);
@@ -89,7 +90,8 @@
         told
     }
 
-    /// An endpoint turned a request away and wants nothing from this node for so long.
+    /// Records that an endpoint rejected a request and wants none from this node for a
+    /// while.
     fn note_rest(&mut self, now: Time, id: job::Id, rest: Span) -> Option<Change> {
         let incarnation = self.options.incarnation;
         let (_, worker) = self.run_and_worker_mut(id)?;
@@ -101,7 +103,8 @@
         Some(Change::Rest { duration: rest })
     }
 
-    /// Takes what was heard of rests since the last tick, and notes which are over.
+    /// Applies the rests announced since the last tick, and reports those that have
+    /// ended.
     pub(super) fn update_rests(&mut self, now: Time) {
         let heard = std::mem::take(&mut self.rests_heard);
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
@@ -114,7 +117,7 @@
         }
     }
 
-    /// An endpoint said in an answer that it is cold for so long.
+    /// Records that an endpoint stated in an answer that it is cold.
     pub(super) fn note_cold(&mut self, now: Time, id: job::Id, cold_for: Span) -> Option<Change> {
         let (run, worker) = self.run_and_worker_mut(id)?;
         let lease = run.lease;
@@ -127,7 +130,8 @@
     }
 }
 
-/// What others are told of an endpoint by its answers to this node.
+/// Returns the announcement of what an endpoint stated to this node, if there is anything
+/// to announce.
 fn to_announcement_opt(now: Time, worker: &Worker) -> Option<Announcement> {
     let left = worker.rest.left(now);
     let condition = match worker.leaving {
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -1,4 +1,4 @@
-//! Requests come: refused where they would wait too long, or put in line.
+//! Admission of requests: a request is queued, or refused if it would wait too long.
 
 use std::net::SocketAddrV4;
 
@@ -19,35 +19,35 @@
 use crate::lease::Origin;
 use crate::message::Waiting;
 
-/// Why a request is refused, and when its caller may come back.
+/// A refusal of a request, with the time after which its caller may retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The result code.
     pub code: Code,
-    /// When to come back, where time can mend it.
+    /// When the caller may retry, if a later attempt can succeed.
     pub retry_after: Option<Span>,
-    /// The wait that was expected, where that decided it.
+    /// The expected wait, if the request was refused because of it.
     pub wait: Option<Span>,
-    /// The node that decided it, where it was another.
+    /// The node that made the decision, if it was another one.
     pub owner: Option<SocketAddrV4>,
 }
 
-/// How long something must have waited before the rate at which requests start
-/// tells more than the endpoints' slots.
+/// How long a queue must have been non-empty before the start rate predicts the wait
+/// better than the endpoints' slots do.
 const MIN_BUSY_FOR_RATE: Span = Span::from_millis(200);
 
-/// Time left from which it makes sense to come back.
+/// The minimum time left at which a caller is asked to retry.
 const MIN_LEFT_TO_RETRY: Span = Span::from_millis(300);
 
 impl Dispatcher {
-    /// The time for which a caller has tried, at the least, that has so much `left`
-    /// of its route's `timeout`.
+    /// Returns the minimum time that a caller has spent on earlier attempts, given that
+    /// `left` remains of its route's `timeout`.
     pub fn tried_for(&mut self, now: Time, left: Span, timeout: Span) -> Span {
         self.first_tries.learn(now, left, timeout);
         self.first_tries.tried_for(left, timeout)
     }
 
-    /// Puts a request in line. What becomes of it is decided at once or later.
+    /// Submits a request. The decision about it is made immediately or later.
     pub fn enter(&mut self, now: Time, job: Job) -> job::Id {
         self.accounts.begin(now);
         self.next_job += 1;
@@ -58,7 +58,7 @@
         id
     }
 
-    /// Puts a request in this node's queue, unless it is refused at the door.
+    /// Adds a request to this node's queue, unless admission control refuses it.
     pub(super) fn enqueue(&mut self, now: Time, id: job::Id, job: Job) {
         let refusal = match job.is_newcomer() {
             true => self.admission_refusal(now, &job),
@@ -73,7 +73,7 @@
         self.place(now, &target);
     }
 
-    /// Tells the one who has a request that it is refused.
+    /// Reports a refusal to the caller, or to the node that the request came from.
     pub(super) fn refuse(
         &mut self,
         now: Time,
@@ -94,9 +94,9 @@
         }
     }
 
-    /// What a caller is told whose request found no slot in time. It has waited so
-    /// long that the queue is taken to last as long again. Who has hardly any time
-    /// left is not asked to come again.
+    /// Returns the refusal for a request that got no slot in time. The queue is assumed
+    /// to last as long as the request has already waited. A caller with little time left
+    /// is not asked to retry.
     pub(super) fn too_late_refusal(&self, now: Time, job: &Job) -> Refusal {
         let left = job.deadline.since(now);
         let waited = now.since(job.arrived);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Says why a newcomer is refused at once, if it is.
+    /// Returns the refusal for a new request that must not be queued.
     fn admission_refusal(&self, now: Time, job: &Job) -> Option<Refusal> {
         let left = job.deadline.since(now);
         let waiting: usize = self.pools.values().map(|pool| pool.queue.len()).sum();
@@ -131,7 +131,7 @@
                 owner: None,
             });
         }
-        // For one that was refused before, late is better than never.
+        // A caller that was refused before accepts a late answer rather than none.
         let most = match job.is_returning() {
             true => job.patience.0 as f64,
             false => job.objective.0 as f64 * self.options.policy.refuse_beyond,
@@ -146,11 +146,11 @@
         })
     }
 
-    /// The time until a newcomer of this rank would start, if those before it
-    /// went on starting as fast as lately. Starts count only since something has
-    /// waited: before, they tell how many requests came, not how many could
-    /// begin. Where none has started, as long again for each as the first has
-    /// waited.
+    /// Returns the time until a new request of this rank would start if those ahead of it
+    /// kept starting at the recent rate. Starts are counted only since the queue became
+    /// non-empty, because before that their rate shows the arrivals and not the capacity.
+    /// If none has started since, every request is assumed to take as long as the first
+    /// one has waited.
     pub(super) fn expected_wait(&self, now: Time, job: &Job) -> Span {
         let Some(pool) = self.pools.get(&job.target) else {
             return Span::ZERO;
@@ -170,8 +170,9 @@
         by_rate.map_or(Span(now.since(since).0 * (waiting + 1)), Span)
     }
 
-    /// The time in which the slots of all usable endpoints would take up what
-    /// waits now, here and on other nodes, and does not go behind this rank.
+    /// Returns the time in which the slots of all usable endpoints would absorb the
+    /// requests that wait now, on this node and others, and that do not rank behind this
+    /// one.
     fn expected_wait_by_slots(&self, now: Time, pool: &Pool, rank: Rank) -> Span {
         let goes_before = |other: Rank| other <= rank;
         let here = pool.queue.counts().filter(|(other, _)| goes_before(*other));
@@ -184,7 +185,8 @@
         Span((waiting as f64 * pool.call / f64::from(slots)) as u64)
     }
 
-    /// What waits for a service on other nodes of this cell, as heard lately.
+    /// Returns the requests that wait for a service on other nodes of this cell,
+    /// according to recent statuses.
     pub(super) fn waiting_elsewhere(
         &self,
         now: Time,
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -1,5 +1,5 @@
-//! Endpoints name in their answers how many requests a second they take: what is known of
-//! it, and who is told.
+//! Rate limits that endpoints state in their answers: recording them and announcing them
+//! to other nodes.
 
 use std::net::SocketAddrV4;
 
@@ -17,8 +17,8 @@
 use crate::worker::Worker;
 
 impl Dispatcher {
-    /// Takes the limit that the head of an answer names, or that it names none. Gives
-    /// the change that this brought, if any.
+    /// Records the limit stated in the head of an answer, or that it states none. Returns
+    /// the change, if there is one.
     pub(super) fn note_rate_limit(
         &mut self,
         now: Time,
@@ -42,8 +42,8 @@
         })
     }
 
-    /// Tells the owner of a slot what its endpoint said. It may be in another cell, and
-    /// would hear of it seconds later.
+    /// Reports an endpoint's limit to the owner of the slot, which may be in another cell
+    /// and would otherwise learn of it seconds later.
     fn report_rate_limit(&mut self, lease: Lease, limit: Option<Limit>) {
         if self.members.keeps_rate_limits(lease.owner) {
             let event = lease::Event::RateLimit { limit };
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Sees to it that others soon hear of a change: all of them where a limit begins or
-    /// ends, and those of the cell, which send requests there, where it moves.
+    /// Schedules the announcement of a change: to all nodes if a limit begins or ends,
+    /// and only to those of the cell, which send requests there, if it moves.
     fn announce_limit_change(&mut self, before: Option<Limit>, after: Option<Limit>) {
         self.urgent = true;
         self.news |= before.is_none() || after.is_none();
     }
 
-    /// Keeps what another node tells until it is looked at together with its load.
+    /// Stores limits announced by another node until its load is processed.
     pub(super) fn receive_rate_limits(&mut self, now: Time, told: &[Announcement]) {
         for one in told {
             let report = one.to_report(now);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes what other nodes told.
+    /// Applies the limits announced by other nodes.
     pub(super) fn apply_received_rate_limits(&mut self, now: Time) {
         if self.rate_limits_heard.is_empty() {
             return;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Rate limits to tell others of, in the order of their endpoints.
+    /// Returns the rate limits to announce, ordered by endpoint.
     pub(super) fn rate_limits_to_announce(&self, now: Time) -> Vec<Announcement> {
         let workers = self.pools.values().flat_map(|pool| &pool.workers);
         let listed = workers.filter(|worker| worker.listed);
@@ -101,8 +101,8 @@
         told
     }
 
-    /// Lets the time until this node's first request begin anew at each endpoint whose
-    /// limit another keeps.
+    /// Restarts the interval before this node's first request at each endpoint whose
+    /// limit another node enforces.
     pub(super) fn restart_limit_intervals(&mut self, now: Time) {
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
         for target in targets {
@@ -116,7 +116,8 @@
         }
     }
 
-    /// The places of a service's endpoints whose rate limits other nodes keep.
+    /// Returns the indices of a service's endpoints whose rate limits other nodes
+    /// enforce.
     fn limits_kept_elsewhere(&self, now: Time, target: &id::Target) -> Vec<usize> {
         let pool = self.pools.get(target);
         let permit = pool.and_then(|pool| self.permit_opt(now, pool));
@@ -129,14 +130,16 @@
         others.map(|(at, _)| at).collect()
     }
 
-    /// The time between two requests of this node to an endpoint that names a limit.
+    /// Returns the minimum interval between two requests of this node to an endpoint with
+    /// a rate limit.
     pub(super) fn spacing_opt(&self, now: Time, worker: &Worker) -> Option<Span> {
         let limit = worker.rate_limit.limit_opt()?;
         Some(self.members.reach(now).stretch(limit.to_interval()))
     }
 
-    /// True unless an owner that keeps no rate limits gave a slot of an endpoint that
-    /// names one: how much it lets through to other nodes nobody knows.
+    /// Whether a slot may be used: not if the endpoint has a rate limit and the slot's
+    /// owner does not enforce rate limits, because the rate that such an owner grants to
+    /// other nodes is unknown.
     pub(super) fn may_use_slot(&self, owner: SocketAddrV4, worker: &Worker) -> bool {
         !worker.is_rate_limited() || self.members.keeps_rate_limits(owner)
     }
--- a/crates/dispatch/src/dispatcher/retry.rs
+++ b/crates/dispatch/src/dispatcher/retry.rs
@@ -1,9 +1,9 @@
-//! When a caller that is refused is told to come back.
+//! When a refused caller is told to retry.
 //!
-//! The time is a forecast of when there is room for its request, and no part of
-//! its objective. Callers come back once, and heed a time only up to a part of
-//! what they have left ([`Policy::come_back_within`](super::Policy)), so a later
-//! forecast is cut to that.
+//! The time predicts when there will be room for the request; it does not depend on the
+//! request's objective. Callers retry once, and only honour a delay up to a fraction of
+//! their remaining time ([`Policy::come_back_within`](super::Policy)), so longer
+//! predictions are capped to that.
 
 use woadstage_types::hash;
 use woadstage_types::id;
@@ -12,23 +12,23 @@
 
 use super::Dispatcher;
 
-/// Shortest time after which a refused caller comes back: some ways there and
-/// back within a region.
+/// The minimum delay before a retry: a few round trips within a region.
 const MIN_RETRY_AFTER: Span = Span::from_millis(100);
 
-/// When a caller may come back whom no endpoint had room for, and none asked for rest.
+/// The delay when no endpoint had room and none asked for a rest.
 const UNAVAILABLE_RETRY_AFTER: Span = Span::from_millis(200);
 
-/// The part of a known wait over which the callers that wait for it are spread,
-/// so that they do not all come at one moment.
+/// The fraction of a known wait over which retries are spread, so that they do not arrive
+/// all at once.
 const JITTER: f64 = 0.25;
 
-/// Steps in which a span is divided to spread callers over it.
+/// The resolution of the jitter.
 const JITTER_STEPS: u64 = 1_000;
 
 impl Dispatcher {
-    /// When a refused caller with so much time `left` is to come back, where it is
-    /// known that its request fits after `wait`: a bucket fills, or a node starts.
+    /// Returns the delay for a refused caller with `left` remaining, when its request is
+    /// known to fit after `wait`: when a quota bucket has refilled, or a node has
+    /// started.
     pub fn retry_after(&self, now: Time, wait: Span, left: Span) -> Span {
         let wait = wait.max(MIN_RETRY_AFTER);
         let spread = wait.0 as f64 * JITTER * self.jitter_fraction(now);
@@ -36,11 +36,10 @@
         at.min(self.max_retry_after(left))
     }
 
-    /// The same where `wait` is an estimate: of a queue that others go on to join,
-    /// or of an outage, which is taken to last as long again as it has lasted.
-    /// Callers are spread from then on over all the time that they would wait. Over a
-    /// quarter of the estimate instead, worth was 0.002 lower (18 plays of days under
-    /// load, sd of a pair 0.017): 0.007 lower on two fleets, 0.009 higher on a third.
+    /// Like [`Dispatcher::retry_after`], but `wait` is an estimate: of a queue that
+    /// others keep joining, or of an outage, which is assumed to last as long again as it
+    /// has lasted. Retries are spread from then on over all the time that callers are
+    /// willing to wait.
     pub fn retry_after_estimate(&self, now: Time, wait: Span, left: Span) -> Span {
         let most = self.max_retry_after(left);
         let wait = wait.min(most);
@@ -48,8 +47,8 @@
         (wait + Span(spread as u64)).max(MIN_RETRY_AFTER)
     }
 
-    /// When a caller with so much time `left` is to come back whose request endpoints
-    /// turned away: at once, or where all rest once the first of them has rested.
+    /// Returns the delay for a caller with `left` remaining whose request was rejected by
+    /// endpoints: short, or if all endpoints rest, until the first of them has rested.
     pub fn retry_after_refusal(&self, now: Time, target: &id::Target, left: Span) -> Span {
         let pool = self.pools.get(target);
         let open = pool.into_iter().flat_map(|pool| &pool.workers);
@@ -60,12 +59,12 @@
         self.retry_after(now, soonest.max(UNAVAILABLE_RETRY_AFTER), left)
     }
 
-    /// The longest time that a caller heeds which has so much `left`.
+    /// Returns the longest delay that a caller with `left` remaining honours.
     fn max_retry_after(&self, left: Span) -> Span {
         Span((left.0 as f64 * self.options.policy.come_back_within) as u64)
     }
 
-    /// A number from 0 to 1, as if at random: another for each node and moment.
+    /// Returns a pseudo-random number from 0 to 1 that differs between nodes and moments.
     fn jitter_fraction(&self, now: Time) -> f64 {
         let mixed = hash::chain(self.options.incarnation, &now.0.to_le_bytes());
         let mixed = hash::chain(mixed, &self.next_job.to_le_bytes());
--- a/crates/dispatch/src/dispatcher/start_cold.rs
+++ b/crates/dispatch/src/dispatcher/start_cold.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are cold: what they bear, and how far apart requests go there.
+//! Cold endpoints: their capacity and the interval between requests to them.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -8,14 +8,14 @@
 use crate::worker::Worker;
 
 impl Pool {
-    /// True while an endpoint is cold and there is a bound on what it bears then.
+    /// Whether an endpoint is cold and its service limits starts at cold endpoints.
     pub(super) fn is_cold(&self, now: Time, worker: &Worker) -> bool {
         self.cold.is_some() && worker.cold.is_cold(now)
     }
 
-    /// Slots of an endpoint that may be counted on. A cold one takes its requests
-    /// one after the other, and one that names a rate limit runs no more at once than
-    /// come within the time of a call.
+    /// Returns the number of slots of an endpoint that can be used. A cold endpoint runs
+    /// its requests one after the other, and one with a rate limit runs no more at once
+    /// than it accepts within the duration of a call.
     pub(super) fn slots_of(&self, now: Time, worker: &Worker) -> u32 {
         let slots = worker.endpoint.slots;
         if self.is_cold(now, worker) {
@@ -30,9 +30,9 @@
 }
 
 impl Dispatcher {
-    /// The time between two starts of this node at a cold endpoint of a service:
-    /// longer than what the endpoint bears by the part of the fleet that is not
-    /// heard. Nothing where the service has no bound.
+    /// Returns the interval between two requests of this node to a cold endpoint of a
+    /// service. It is lengthened in proportion to the part of the fleet that is not
+    /// heard. `None` if the service has no limit.
     pub(super) fn cold_interval_opt(&self, now: Time, pool: &Pool) -> Option<Span> {
         let interval = pool.cold?.interval;
         Some(self.members.reach(now).stretch(interval))
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints ended: charged, barred, and tried once more.
+//! Requests during which endpoints crashed: charging, barring and trials.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -19,57 +19,59 @@
 use crate::quarantine::Record;
 use crate::quarantine::Registry;
 
-/// What a suspect is taken to cost, in microseconds, for each request that runs at an
-/// endpoint and would end with it.
+/// The assumed cost in microseconds of placing a suspect beside one running request,
+/// which would be lost if the endpoint crashed.
 const NEIGHBOUR_COST_US: f64 = 50_000.0;
 
-/// What it is taken to cost, in microseconds, that two suspects begin at one endpoint:
-/// were it to end, nobody could tell under which.
+/// The assumed cost in microseconds of two suspects starting at one endpoint: if it
+/// crashed, the cause could not be told.
 const SUSPECT_NEIGHBOUR_COST_US: f64 = 300_000.0;
 
-/// How long after its beginning a request may still end its endpoint: those that do so
-/// did within 0.75 s in logs of fourteen such ends.
+/// How long after its start a request may still crash its endpoint. In the logs of
+/// fourteen crashes it took at most 0.75 s.
 const CRASH_WINDOW: Span = Span::from_secs(1);
 
-/// When the caller of a request comes back that is not tried again: by then its
-/// endpoints may be mended and the fleet restarted.
+/// The retry delay for a request that gets no further trial: by then the endpoints may be
+/// fixed and the fleet restarted.
 const FINAL_RETRY_AFTER: Span = Span::from_secs(3_600);
 
-/// Nodes beyond its cell, about, from which a node that knows less is sent findings. Were
-/// it all of 414, one that starts would be sent each finding 413 times (worked out).
+/// The approximate number of nodes outside a node's cell that send it missing findings.
+/// If all 414 nodes of a fleet did, a node that starts would receive each finding 413
+/// times.
 const REMOTE_RESPONDERS: u64 = 16;
 
-/// How far the part of nodes that may begin a trial is doubled at the most.
+/// The maximum number of times that the share of nodes allowed to begin a trial is
+/// doubled.
 const MAX_TURN_DOUBLINGS: u64 = 16;
 
-/// What became known of a request, for logs and metrics.
+/// A change in what is known of a request, for logs and metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// How.
+    /// What caused the change.
     pub what: Evidence,
-    /// Endpoints that ended under it since it was last sound.
+    /// The number of endpoints that crashed while running it since it was last cleared.
     pub ends: usize,
-    /// True where it is not run any more.
+    /// Whether the request is no longer run.
     pub barred: bool,
 }
 
-/// How something became known of a request.
+/// What changed the knowledge of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// An endpoint ended while this node had the request there.
+    /// An endpoint crashed while it ran the request for this node.
     Charged,
-    /// Another node knew more.
+    /// Another node had further findings.
     Heard,
-    /// Its whole answer came.
+    /// The request was answered completely.
     Cleared,
-    /// It is barred, and is tried once more.
+    /// The request is barred and gets a trial.
     Trial,
 }
 
 impl Evidence {
-    /// The word for logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Evidence::Charged => "charged",
@@ -80,16 +82,17 @@
     }
 }
 
-/// How a suspect is kept apart from others.
+/// Constraints that keep a suspect away from other suspects.
 pub(super) struct Isolation {
-    /// True while the same request begins elsewhere: one at a time is enough to tell.
+    /// Whether the same request is starting elsewhere: one at a time is enough to learn
+    /// whether it crashes endpoints.
     pub is_starting: bool,
-    /// Endpoints, by their place, at which another suspect begins.
+    /// The indices of endpoints at which another suspect is starting.
     suspect_starts: HashSet<usize>,
 }
 
 impl Isolation {
-    /// What it counts that a suspect runs at an endpoint that has so many requests.
+    /// Returns the cost of running a suspect at an endpoint with `busy` running requests.
     pub fn risk(&self, place: usize, busy: u32) -> f64 {
         let suspect = match self.suspect_starts.contains(&place) {
             true => SUSPECT_NEIGHBOUR_COST_US,
@@ -100,25 +103,25 @@
 }
 
 impl Dispatcher {
-    /// All that is known of requests that endpoints ended under.
+    /// Returns the records of all requests during which endpoints crashed.
     pub fn quarantine(&self) -> &Registry {
         &self.quarantine
     }
 
-    /// Takes what became known since the last call.
+    /// Returns and clears the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// True where a request is not run any more.
+    /// Whether a request is no longer run.
     pub fn is_barred(&self, now: Time, fingerprint: Fingerprint) -> bool {
         let record = self.quarantine.get(fingerprint);
         record.is_some_and(|record| record.ends.len() >= self.bar_threshold(now, record))
     }
 
-    /// Ends of endpoints from which on a request is barred. A node that hears less than
-    /// half of the fleet may be one of several parts, of which each would go through as
-    /// many as the whole.
+    /// Returns the number of endpoint crashes that bars a request. A node that hears less
+    /// than half of the fleet may be in one of several partitions, each of which would
+    /// lose as many endpoints as an undivided fleet.
     fn bar_threshold(&self, now: Time, record: &Record) -> usize {
         let options = self.quarantine.options();
         let reach = self.members.reach(now);
@@ -130,27 +133,27 @@
         }
     }
 
-    /// An endpoint is known to have ended: nothing listens at its address, or the
-    /// platform lists it no more although it was not leaving.
+    /// Records that an endpoint crashed: nothing listens at its address, or the platform
+    /// no longer lists it although it was not leaving.
     pub fn note_endpoint_ended(&mut self, now: Time, endpoint: u32) {
         for fingerprint in self.quarantine.note_ended(now, endpoint) {
             self.note_change(now, fingerprint, Evidence::Charged);
         }
     }
 
-    /// An endpoint lives at which an attempt broke.
+    /// Records that an endpoint at which an attempt broke is alive.
     pub fn note_endpoint_alive(&mut self, endpoint: u32) {
         self.quarantine.note_alive(endpoint);
     }
 
-    /// The whole answer to a request came.
+    /// Records that a request was answered completely.
     pub(super) fn note_whole(&mut self, now: Time, fingerprint: Fingerprint) {
         if self.quarantine.note_whole(now, fingerprint) {
             self.note_change(now, fingerprint, Evidence::Cleared);
         }
     }
 
-    /// Takes what another node knows.
+    /// Merges the findings of another node.
     pub fn take_findings(&mut self, now: Time, findings: &[Finding]) {
         for finding in findings {
             if self.quarantine.merge(now, finding) {
@@ -168,7 +171,7 @@
             ends: record.map_or(0, |record| record.ends.len()),
             barred,
         });
-        // Others are to know before the request comes to them.
+        // Other nodes should know before the request reaches them.
         self.urgent = true;
         self.news = true;
         if barred {
@@ -176,8 +179,8 @@
         }
     }
 
-    /// Refuses what waits of a request that is barred from now on. What waits for
-    /// other nodes, these withdraw.
+    /// Refuses the waiting requests that are barred from now on. Those that wait on
+    /// behalf of other nodes are withdrawn by these.
     fn refuse_barred(&mut self, now: Time, fingerprint: Fingerprint) {
         let is_it = |job: &Job| job.fingerprint == fingerprint && !job.trial;
         let queues = self.pools.values().map(|pool| &pool.queue);
@@ -200,8 +203,8 @@
         }
     }
 
-    /// Says why a request of this node's callers is not run, if it is barred; or begins
-    /// the one more trial that it may have.
+    /// Returns the refusal if a request of this node's callers is barred. If a trial is
+    /// allowed, begins it instead.
     pub(super) fn check_barred(&mut self, now: Time, job: &mut Job) -> Option<Refusal> {
         if job.trial || !self.is_barred(now, job.fingerprint) {
             return None;
@@ -223,9 +226,9 @@
         None
     }
 
-    /// What the caller of a barred request is told: to come back when it may be tried
-    /// once more, but not at once, since many may come; and where it is not tried again,
-    /// after [`MENDED_AFTER`].
+    /// Returns the refusal of a barred request. The caller may retry when a trial is due,
+    /// but not immediately, since many callers may retry; if no trial remains, after
+    /// [`FINAL_RETRY_AFTER`].
     fn barred_refusal(&self, now: Time, fingerprint: Fingerprint) -> Refusal {
         let options = self.quarantine.options();
         let record = self.quarantine.get(fingerprint);
@@ -242,10 +245,10 @@
         }
     }
 
-    /// True where this node may try a barred request once more: its time has come, no
-    /// node is silent, which might do the same, and it is this node's turn. The turn is
-    /// that of the request's owner among the nodes at first, and then of twice as many
-    /// for each while that nothing is heard of a trial.
+    /// Whether this node may start a trial of a barred request: the trial is due, no node
+    /// is silent that might start one as well, and it is this node's turn. Nodes are
+    /// ordered by a hash of the request and their address. The first one starts, and as
+    /// long as no trial is heard of, the number of nodes allowed doubles with each turn.
     fn may_start_trial(&self, now: Time, fingerprint: Fingerprint) -> bool {
         let Some(record) = self.quarantine.get(fingerprint) else {
             return false;
@@ -265,8 +268,8 @@
         before < 1 << turn.min(MAX_TURN_DOUBLINGS)
     }
 
-    /// How a request is kept apart from suspects, where it is one itself. One that was
-    /// sound before need not wait for another of its kind.
+    /// Returns the constraints on placing a request, if it is a suspect. One that was
+    /// cleared before need not wait for other copies of itself.
     pub(super) fn isolation_opt(
         &self,
         now: Time,
@@ -294,7 +297,7 @@
         Some(apart)
     }
 
-    /// Sends what this node knows to one that knows other things.
+    /// Sends this node's findings to a node whose digest differs.
     pub(super) fn answer_digest(&mut self, now: Time, to: SocketAddrV4, theirs: u32) {
         let ours = self.quarantine.digest();
         if ours == theirs || ours == 0 || !self.should_answer_digest(now, to) {
@@ -308,7 +311,8 @@
         self.outbox.push((to, Message::Findings(findings)));
     }
 
-    /// True for the nodes of the cell of another, and some beyond it.
+    /// Whether this node sends findings to another one: to all nodes of its own cell, and
+    /// to a few outside it.
     fn should_answer_digest(&self, now: Time, to: SocketAddrV4) -> bool {
         if self.members.is_near(to) {
             return true;
--- a/crates/dispatch/src/first_try.rs
+++ b/crates/dispatch/src/first_try.rs
@@ -1,41 +1,42 @@
-//! How much of a route's timeout callers have left at their first try, from which it
-//! shows who has tried before: nothing else of a request says so.
+//! Distribution of the time that callers have left at their first attempt, relative to
+//! the route's timeout. Less time left marks a retry; nothing else in a request does.
 //!
-//! At some deployments all callers wait for as long as the route's timeout; at
-//! others each has a deadline of its own. With a fixed part of the timeout (97 in 100)
-//! and deadlines from 85 to 100 in 100 of it, 80 in 100 first tries were taken for
-//! callers who return: they were thought to be late as they came, were sent to slow
-//! engines, and were held beyond their objective where a refusal at once would have
-//! cost them less.
+//! In some deployments all callers wait for the route's timeout, in others each has a
+//! deadline of its own. A fixed threshold fails there: with 97 % of the timeout, and
+//! deadlines from 85 % to 100 % of it, 80 % of the first attempts were taken for retries.
+//! They were considered late on arrival, sent to slow engines, and held beyond their
+//! objective although an immediate refusal would have cost them less.
 //!
-//! It is learnt from what comes while nobody is refused, since then nobody returns.
+//! The distribution is learnt only while nobody is refused, since there are no retries
+//! then.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// The part of a timeout from which a caller counts as on its first try until
-/// enough of them were seen: a little is lost on the way.
+/// The fraction of a timeout above which a caller counts as on its first attempt until
+/// there are enough samples. A little time is lost in transit.
 const DEFAULT_FIRST_TRY_FRACTION: f64 = 0.97;
 
-/// Requests from which on what was seen is believed: some two seconds of a node's
-/// share of a fleet's load.
+/// The minimum number of samples to rely on: about two seconds of a node's share of a
+/// fleet's load.
 const MIN_SAMPLES: u32 = 20;
 
-/// Requests after which what was seen counts half: some forty seconds of that load.
+/// The number of samples at which all counts are halved: about forty seconds of that
+/// load.
 const MAX_SAMPLES: u32 = 400;
 
-/// Steps in which the part that is left is told apart.
+/// The resolution of the remaining fraction.
 const BUCKETS: usize = 50;
 
-/// The part of first tries that may be taken for returns: some callers have far less
-/// time than all others, which says nothing of those.
+/// The fraction of first attempts that may be mistaken for retries: some callers have far
+/// less time than all others, which says nothing about the others.
 const MAX_MISTAKEN_FRACTION: f64 = 0.1;
 
-/// How long after a refusal nothing is learnt: callers come back within a third of
-/// what they have left, and of the longest timeouts (15 s) that is this.
+/// How long nothing is learnt after a refusal. Callers retry within a third of their
+/// remaining time, which is 5 s for the longest timeouts (15 s).
 const LEARNING_PAUSE: Span = Span::from_secs(5);
 
-/// What was seen of callers' time left.
+/// A histogram of the time that callers have left.
 #[derive(Debug)]
 pub struct Histogram {
     counts: [u32; BUCKETS],
@@ -54,13 +55,13 @@
 }
 
 impl Histogram {
-    /// Notes that a caller was told to come back.
+    /// Records that a caller was told to retry.
     pub fn note_refused(&mut self, now: Time) {
         self.last_refusal = Some(now);
     }
 
-    /// Learns from a caller with so much `left` of a route's `timeout`, unless it may
-    /// be one that returns. One that waits for longer than the route says nothing.
+    /// Adds a sample of a caller with `left` remaining of a route's `timeout`, unless it
+    /// may be a retry. A deadline beyond the timeout is ignored.
     pub fn learn(&mut self, now: Time, left: Span, timeout: Span) {
         let may_return = self
             .last_refusal
@@ -78,8 +79,8 @@
         }
     }
 
-    /// The time for which a caller has tried, at the least, that has so much `left`
-    /// of a route's `timeout`; none where it may be on its first try.
+    /// Returns the minimum time that a caller has spent on earlier attempts, given that
+    /// `left` remains of a route's `timeout`; zero if it may be its first attempt.
     pub fn tried_for(&self, left: Span, timeout: Span) -> Span {
         let least = Span((timeout.0 as f64 * self.first_try_fraction()) as u64);
         match left < least {
@@ -88,7 +89,8 @@
         }
     }
 
-    /// The part of a timeout that nearly all callers have left at their first try.
+    /// Returns the fraction of a timeout that nearly all callers have left at their first
+    /// attempt.
     fn first_try_fraction(&self) -> f64 {
         if self.samples < MIN_SAMPLES {
             return DEFAULT_FIRST_TRY_FRACTION;
--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -1,26 +1,27 @@
-//! Endpoints that said in an answer that they leave.
+//! Endpoints that stated in an answer that they are leaving.
 //!
-//! Nothing but another start takes that back: no list that still says that they are ready,
-//! and no time without a word. So it is kept apart from what lists say, by the number of
-//! the endpoint's start, also while no list has the endpoint.
+//! Only a new start of the endpoint revokes that; neither a list that still shows it as
+//! ready nor the passing of time does. The statement is therefore kept separately from
+//! the lists, by the number of the endpoint's start, even while no list contains the
+//! endpoint.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
 
-/// Starts of endpoints that are remembered: more than are replaced in the time in which an
-/// older list may come back.
+/// The maximum number of starts kept: more than are replaced within the time in which an
+/// older list may reappear.
 const MAX_STARTS: usize = 8_192;
 
-/// The numbers of starts that leave.
+/// The numbers of the starts that are leaving.
 #[derive(Debug, Default)]
 pub struct Registry {
     numbers: HashSet<u32>,
-    /// The same, oldest first.
+    /// The same numbers, oldest first.
     order: VecDeque<u32>,
 }
 
 impl Registry {
-    /// Notes that an endpoint leaves. True where that was not known.
+    /// Records that an endpoint is leaving. Returns true if that was not known.
     pub fn insert(&mut self, endpoint: u32) -> bool {
         if !self.numbers.insert(endpoint) {
             return false;
@@ -34,7 +35,7 @@
         true
     }
 
-    /// True where an endpoint said that it leaves.
+    /// Whether an endpoint stated that it is leaving.
     pub fn contains(&self, endpoint: u32) -> bool {
         self.numbers.contains(&endpoint)
     }
--- a/crates/dispatch/src/notice.rs
+++ b/crates/dispatch/src/notice.rs
@@ -1,7 +1,7 @@
-//! What an endpoint says of itself in the head of an answer.
+//! What an endpoint states about itself in the head of an answer.
 //!
-//! The adapter reads a head once, into a [`Notice`], and all of it reaches the decisions by
-//! one command ([`Dispatcher::apply_notice`](crate::dispatcher::Dispatcher::apply_notice)).
+//! The adapter parses a head once into a [`Notice`], which reaches the dispatcher by one
+//! command ([`Dispatcher::apply_notice`](crate::dispatcher::Dispatcher::apply_notice)).
 
 use std::fmt;
 
@@ -13,81 +13,82 @@
 use crate::rate_limit::Limit;
 use crate::worker::Worker;
 
-/// What one head says of its endpoint.
+/// The contents of one answer head about its endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// How much longer the endpoint is cold; none where it does not say that it is.
+    /// How much longer the endpoint is cold, if it says so.
     pub cold_for: Option<Span>,
-    /// How many requests a second it takes from all nodes together.
+    /// The number of requests a second that the endpoint accepts from all nodes together.
     pub rate_limit: Field<Limit>,
-    /// True where it leaves: it wants no further request.
+    /// Whether the endpoint is leaving and wants no further requests.
     pub leaving: bool,
-    /// For how long it wants nothing from this node; none where it does not say so.
+    /// How long the endpoint wants no requests from this node, if it says so.
     pub rest: Option<Span>,
 }
 
-/// A field whose absence says something too.
+/// A field whose absence is significant.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Field<T> {
-    /// Nothing is known: it could not be read, or the head does not count for it.
+    /// Unknown: the field could not be parsed, or this head does not count for it.
     #[default]
     Unknown,
-    /// The head does not have it.
+    /// The head does not have the field.
     Absent,
-    /// The head has it.
+    /// The head has the field.
     Given(T),
 }
 
-/// What is believed of an endpoint otherwise than before.
+/// A change in what is known of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It is cold, which it was not.
+    /// The endpoint became cold.
     Cold {
-        /// For how long.
+        /// How long it stays cold.
         duration: Span,
     },
-    /// It takes another number of requests a second; none where it names no limit.
+    /// The endpoint's rate limit changed.
     RateLimit {
-        /// The limit before.
+        /// The previous limit, if there was one.
         before: Option<Limit>,
-        /// The limit now.
+        /// The new limit, if there is one.
         after: Option<Limit>,
     },
-    /// It leaves.
+    /// The endpoint is leaving.
     Leaving,
-    /// The start of it that was leaving is not listed any more.
+    /// The endpoint that was leaving is no longer listed.
     Left,
-    /// It wants nothing for so long from now on.
+    /// The endpoint wants no requests for a while.
     Rest {
-        /// For how long.
+        /// How long it rests.
         duration: Span,
     },
-    /// The time for which it wanted nothing is over.
+    /// The rest has ended.
     Rested,
 }
 
-/// What nodes tell each other of an endpoint, by its answer to one of them.
+/// What one node announces to others of an endpoint, from an answer that it received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The number of the endpoint's start.
     pub endpoint: u32,
-    /// What it said.
+    /// What the endpoint stated.
     pub condition: Condition,
 }
 
-/// One thing that an endpoint said.
+/// A condition that an endpoint stated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Condition {
-    /// It leaves.
+    /// The endpoint is leaving.
     Leaving,
-    /// It turned the node away that tells, and wants nothing from it for a while.
+    /// The endpoint rejected a request of the announcing node and wants none from it for
+    /// a while.
     Rest {
-        /// How much longer, in milliseconds.
+        /// The remaining time in milliseconds.
         left_ms: u32,
     },
 }
 
-/// A change that no answer to a request of this node's brought.
+/// A change that was not caused by an answer to a request of this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Update {
     /// The endpoint.
@@ -97,7 +98,7 @@
 }
 
 impl Update {
-    /// A change of what is believed of an endpoint.
+    /// Creates an update for an endpoint.
     pub fn new(worker: &Worker, change: Change) -> Update {
         Update {
             endpoint: worker.endpoint.name.clone(),
@@ -107,7 +108,7 @@
 }
 
 impl Change {
-    /// What it is about, as logs and metrics name it.
+    /// Returns the name of the kind of change in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Change::Cold { .. } => "cold",
@@ -117,7 +118,7 @@
         }
     }
 
-    /// What was believed before, for logs.
+    /// Returns the previous value for logs.
     pub fn describe_before(self) -> String {
         match self {
             Change::Cold { .. } | Change::Leaving | Change::Rest { .. } => NONE.to_owned(),
@@ -127,7 +128,7 @@
         }
     }
 
-    /// What is believed now, for logs.
+    /// Returns the new value for logs.
     pub fn describe_after(self) -> String {
         match self {
             Change::Cold { duration } | Change::Rest { duration } => duration.to_string(),
@@ -138,10 +139,10 @@
     }
 }
 
-/// How logs name that an endpoint says nothing of a kind.
+/// The log value for an absent statement.
 const NONE: &str = "none";
 
-/// How logs name that it leaves, and that it has rested.
+/// The log values for an endpoint that is leaving and for one that has rested.
 const YES: &str = "yes";
 const OVER: &str = "over";
 
--- a/crates/dispatch/src/quarantine/mod.rs
+++ b/crates/dispatch/src/quarantine/mod.rs
@@ -1,19 +1,19 @@
-//! Requests that are not run any more, since the endpoints that ran them ended (queries
+//! Requests that are no longer run because endpoints crashed while running them (queries
 //! of death).
 //!
-//! An endpoint that ends takes with it all that it runs, and nobody tells which of those
-//! requests crashed it. Each of them is charged with that end. Two things tell them
-//! apart afterwards: a request that crashes endpoints does so each time, and one whose
-//! whole answer came is sound, which clears it of all that it was charged with before. A
-//! request that was charged often enough without that is barred.
+//! A crashing endpoint takes down everything that it runs, and nothing tells which of
+//! those requests caused the crash. Each of them is charged with it. Two facts tell them
+//! apart afterwards: a request that crashes endpoints does so every time, while a
+//! complete answer shows that a request is harmless and clears it of all charges. A
+//! request that accumulates enough charges without being cleared is barred.
 //!
-//! What nodes know of a request is joined (a join semilattice, as in state-based CRDTs):
-//! however findings are lost, doubled or overtaken, nodes that hear each other come to
-//! know the same. Nothing ends because time has passed, but for the memory of one that
-//! was charged and not barred: after [`Options::forget_after`].
+//! The nodes' knowledge of a request is joined (a join semilattice, as in state-based
+//! CRDTs): even if findings are lost, duplicated or reordered, nodes that hear each other
+//! converge. Nothing expires with time except the record of a request that was charged
+//! but not barred, after [`Options::forget_after`].
 //!
-//! * [`record`]: what is known of one request, and how it is joined.
-//! * [`registry`]: all that is known, in bounded memory.
+//! * [`record`]: the knowledge of one request, and how it is joined.
+//! * [`registry`]: all records, in bounded memory.
 
 pub mod record;
 pub mod registry;
@@ -24,50 +24,51 @@
 
 use woadstage_types::unit::Span;
 
-/// Bounds of what is barred and remembered.
+/// Thresholds and bounds of the quarantine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Ends of endpoints from which on a request is barred. From two, 99.8 of 100 other
-    /// requests are served beside eight that crash endpoints, from one 98.9 and from three
-    /// 99.4 (seven nodes in virtual time; `docs/design/quarantine.md`).
+    /// The number of endpoint crashes that bars a request. One also bars harmless
+    /// requests that ran beside a crash; three lets each crashing request take down
+    /// another endpoint and what runs there.
     pub bar_threshold: usize,
-    /// The same of a request that was sound before: many endpoints that end at once for
-    /// another reason may all have run it.
+    /// The same for a request that was cleared before: many endpoints that crash at once
+    /// for another reason may all have run it.
     pub cleared_bar_threshold: usize,
-    /// The same while this node hears less than half of the nodes that it knows: each
-    /// part of a fleet that is cut in pieces goes through its own. With two there, each of
-    /// seven nodes alone, 62 endpoints ended under those eight, and with one 39.
+    /// The same while this node hears less than half of the nodes that it knows. Each
+    /// partition of a fleet loses endpoints of its own, so a higher threshold costs it
+    /// many more of them.
     pub partitioned_bar_threshold: usize,
-    /// The time from the last end until a barred request is tried once more, in case it
-    /// is free of blame.
+    /// The time from the last crash until a barred request gets a trial, in case it is
+    /// harmless.
     pub trial_delay: Span,
-    /// Trials of a request that was never sound: one that crashes endpoints takes
-    /// another with each.
+    /// The number of trials of a request that was never cleared. One that crashes
+    /// endpoints costs another endpoint with each trial.
     pub max_trials: u8,
-    /// The time until the first trial of one that was sound before; it doubles with each.
+    /// The time until the first trial of a request that was cleared before. Doubles with
+    /// each trial.
     pub cleared_trial_delay: Span,
-    /// How long the nodes whose turn it is have for beginning a trial, before twice as
-    /// many may: the request need not come to the first ones.
+    /// How long the nodes whose turn it is may begin a trial before twice as many may.
+    /// The request may never reach the first ones.
     pub trial_turn_duration: Span,
-    /// How long a request that is not barred is remembered after the last end.
+    /// How long a request that is not barred is remembered after the last crash.
     pub forget_after: Span,
-    /// Requests that are remembered.
+    /// The maximum number of records.
     pub max_records: usize,
-    /// Requests whose whole answer came that are remembered.
+    /// The maximum number of completely answered requests that are remembered.
     pub max_known_good: usize,
-    /// How long a broken attempt waits to hear whether its endpoint has ended: longer
-    /// than the platform takes to list it no more.
+    /// How long a broken attempt waits for the news that its endpoint crashed: longer
+    /// than the platform takes to stop listing the endpoint.
     pub unconfirmed_timeout: Span,
-    /// Broken attempts that wait for that.
+    /// The maximum number of broken attempts that wait for that.
     pub max_unconfirmed: usize,
-    /// How long a change is told in each status.
+    /// How long a change is included in each status.
     pub announce_for: Span,
-    /// Findings in one status.
+    /// The maximum number of findings in one status.
     pub max_findings_per_status: usize,
-    /// Findings in one message to a node that knows others.
+    /// The maximum number of findings in one message to a node with a different digest.
     pub max_findings_per_message: usize,
-    /// Shortest time between two such messages to one node, unless what either knows
-    /// has changed.
+    /// The minimum time between two such messages to one node, unless the digest of
+    /// either has changed.
     pub min_send_interval: Span,
 }
 
--- a/crates/dispatch/src/quarantine/record.rs
+++ b/crates/dispatch/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request, and how what two nodes know is joined.
+//! The knowledge of one request, and how the knowledge of two nodes is joined.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,19 +8,21 @@
 
 use crate::job::Fingerprint;
 
-/// Ends that are kept of one request: more than any bound from which it is barred.
+/// The maximum number of crashes kept of one request: above every threshold that bars it.
 pub const MAX_ENDS: usize = 8;
 
-/// What is known of one request.
+/// The knowledge of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Record {
-    /// How often it was cleared: its whole answer came, so that it was charged wrongly.
+    /// How often the request was cleared by a complete answer, which shows that the charges
+    /// were wrong. At least 1 if a complete answer preceded the first charge.
     pub cleared: u32,
-    /// Numbers of endpoints that ended under it since then, in order.
+    /// The numbers of the endpoints that crashed while running it since it was last
+    /// cleared, sorted.
     pub ends: Vec<u32>,
-    /// How often it was tried again since it was barred.
+    /// The number of trials since it was barred.
     pub trials: u8,
-    /// When the last of them ended or was tried.
+    /// The time of the last crash or trial.
     pub last: Time,
 }
 
@@ -35,12 +37,13 @@
     pub ends: Vec<u32>,
     /// As in [`Record::trials`].
     pub trials: u8,
-    /// Whole seconds since [`Record::last`]: clocks of nodes do not agree.
+    /// Whole seconds since [`Record::last`]. An age is sent because the nodes' clocks
+    /// differ.
     pub age_s: u32,
 }
 
 impl Record {
-    /// Charges it with the end of an endpoint.
+    /// Charges the request with the crash of an endpoint.
     pub fn charge(&mut self, now: Time, endpoint: u32) {
         self.last = now;
         if let Err(at) = self.ends.binary_search(&endpoint) {
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Clears it of all it was charged with.
+    /// Clears the request of all charges.
     pub fn clear(&mut self, now: Time) {
         *self = Record {
             cleared: self.cleared.saturating_add(1),
@@ -58,13 +61,13 @@
         };
     }
 
-    /// True where it was sound at some time.
+    /// Whether a complete answer to the request is known of, also before its last charge.
     pub fn was_cleared(&self) -> bool {
         self.cleared > 0
     }
 
-    /// Joins what another node knows. Who has seen it cleared more often knows better;
-    /// else both know a part.
+    /// Joins the knowledge of another node. The side that has seen the request cleared
+    /// more often replaces the other; otherwise the two are combined.
     pub fn join(&mut self, other: &Record) {
         if other.cleared < self.cleared {
             return;
@@ -83,7 +86,7 @@
         self.last = self.last.max(other.last);
     }
 
-    /// What is told of it.
+    /// Returns the finding to send to other nodes.
     pub fn to_finding(&self, now: Time, fingerprint: Fingerprint) -> Finding {
         let age = now.since(self.last).0 / Span::from_secs(1).0;
         Finding {
@@ -95,7 +98,7 @@
         }
     }
 
-    /// A hash of all but the time, which is no part of what nodes must agree on.
+    /// Returns a hash of everything but the time, on which nodes need not agree.
     pub fn digest(&self, fingerprint: Fingerprint) -> u32 {
         let seed = hash::chain(fingerprint.0, &self.cleared.to_le_bytes());
         let seed = hash::chain(seed, &[self.trials]);
@@ -105,7 +108,7 @@
 }
 
 impl Finding {
-    /// What it says, by this node's clock.
+    /// Converts the finding to a record by this node's clock.
     pub fn to_record(&self, now: Time) -> Record {
         let mut ends = self.ends.clone();
         ends.sort_unstable();
--- a/crates/dispatch/src/quarantine/registry.rs
+++ b/crates/dispatch/src/quarantine/registry.rs
@@ -1,4 +1,4 @@
-//! All requests under which endpoints ended, in bounded memory.
+//! All requests during which endpoints crashed, in bounded memory.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -11,7 +11,7 @@
 use super::Record;
 use crate::job::Fingerprint;
 
-/// A broken attempt of which it is not known yet whether its endpoint has ended.
+/// A broken attempt whose endpoint may have crashed.
 #[derive(Debug)]
 struct BrokenAttempt {
     fingerprint: Fingerprint,
@@ -19,25 +19,26 @@
     at: Time,
 }
 
-/// All that one node knows.
+/// The quarantine knowledge of one node.
 #[derive(Debug)]
 pub struct Registry {
     options: Options,
     records: HashMap<Fingerprint, Record>,
-    /// The digests of all records, joined.
+    /// The digests of all records, combined by XOR.
     digest: u32,
-    /// What changed lately, oldest first.
+    /// Recent changes, oldest first.
     recent_changes: VecDeque<(Time, Fingerprint)>,
     broken_attempts: VecDeque<BrokenAttempt>,
-    /// Requests whose whole answer came, each in a place of its own; a later one takes
-    /// the place.
+    /// Requests that were answered completely, in a table indexed by hash. A later
+    /// request replaces an earlier one in the same slot.
     known_good: Vec<Option<Fingerprint>>,
-    /// Turns what is sent, so that all of it is sent in time.
+    /// The offset of the next message's findings, so that all of them are sent
+    /// eventually.
     rotation: usize,
 }
 
 impl Registry {
-    /// Nothing known yet.
+    /// Creates an empty registry.
     pub fn new(options: Options) -> Registry {
         Registry {
             known_good: vec![None; options.max_known_good.max(1)],
@@ -50,34 +51,34 @@
         }
     }
 
-    /// The bounds.
+    /// Returns the options.
     pub fn options(&self) -> &Options {
         &self.options
     }
 
-    /// What is known of a request, where endpoints ended under it.
+    /// Returns the record of a request, if endpoints crashed while running it.
     pub fn get(&self, fingerprint: Fingerprint) -> Option<&Record> {
         self.records.get(&fingerprint)
     }
 
-    /// True where an endpoint ended under a request since it was last sound.
+    /// Whether an endpoint crashed while running a request since it was last cleared.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         let record = self.records.get(&fingerprint);
         record.is_some_and(|record| !record.ends.is_empty())
     }
 
-    /// Names all that is known: nodes that know the same have the same.
+    /// Returns a digest that is equal on nodes with the same knowledge.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// Everything that is known.
+    /// Iterates over all records.
     pub fn iter(&self) -> impl Iterator<Item = (Fingerprint, &Record)> + '_ {
         let records = self.records.iter();
         records.map(|(fingerprint, record)| (*fingerprint, record))
     }
 
-    /// A whole answer came. True where the request had been charged.
+    /// Records a complete answer. Returns true if the request had been charged.
     pub fn note_whole(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let slot = self.known_good_slot(fingerprint);
         self.known_good[slot] = Some(fingerprint);
@@ -88,7 +89,7 @@
         true
     }
 
-    /// An attempt broke: its endpoint may have ended.
+    /// Records that an attempt broke and its endpoint may have crashed.
     pub fn note_broken(&mut self, now: Time, fingerprint: Fingerprint, endpoint: u32) {
         if self.broken_attempts.len() >= self.options.max_unconfirmed {
             self.broken_attempts.pop_front();
@@ -100,13 +101,14 @@
         });
     }
 
-    /// An endpoint has not ended: what broke there broke for another reason.
+    /// Records that an endpoint is alive, so attempts broke there for another reason.
     pub fn note_alive(&mut self, endpoint: u32) {
         self.broken_attempts
             .retain(|attempt| attempt.endpoint != endpoint);
     }
 
-    /// An endpoint has ended. Charges what broke there, and says what that was.
+    /// Records that an endpoint crashed. Charges the requests that broke there and
+    /// returns them.
     pub fn note_ended(&mut self, now: Time, endpoint: u32) -> Vec<Fingerprint> {
         let under = self.broken_attempts.iter();
         let under = under.filter(|attempt| attempt.endpoint == endpoint);
@@ -124,7 +126,7 @@
         charged
     }
 
-    /// A barred request is tried once more.
+    /// Records the trial of a barred request.
     pub fn note_trial(&mut self, now: Time, fingerprint: Fingerprint) {
         self.change(now, fingerprint, |record| {
             record.trials = record.trials.saturating_add(1);
@@ -132,7 +134,7 @@
         });
     }
 
-    /// Takes what another node knows; true where that was news.
+    /// Merges the finding of another node. Returns true if it changed the record.
     pub fn merge(&mut self, now: Time, finding: &Finding) -> bool {
         let mut record = finding.to_record(now);
         let old = now.since(record.last) > self.options.forget_after;
@@ -145,7 +147,7 @@
         self.change(now, finding.fingerprint, |known| known.join(&record))
     }
 
-    /// What is told in a status: what changed lately, the newest first.
+    /// Returns the findings to include in a status: recent changes, newest first.
     pub fn recent_findings(&self, now: Time) -> Vec<Finding> {
         let mut told: Vec<Finding> = Vec::new();
         for (at, fingerprint) in self.recent_changes.iter().rev() {
@@ -162,8 +164,8 @@
         told
     }
 
-    /// What is sent to a node that knows others: what is barred first, and with each
-    /// call others of the rest.
+    /// Returns the findings to send to a node with a different digest: barred requests
+    /// first, and the rest in rotation over successive calls.
     pub fn findings(&mut self, now: Time) -> Vec<Finding> {
         let most = self.options.max_findings_per_message;
         let mut all: Vec<(Fingerprint, &Record)> = self.iter().collect();
@@ -182,8 +184,8 @@
         findings
     }
 
-    /// Forgets what is old: attempts that nothing was heard of, and requests that are
-    /// not barred.
+    /// Removes broken attempts that were not confirmed in time, and old records of
+    /// requests that are not barred.
     pub fn expire(&mut self, now: Time) {
         let most = self.options.unconfirmed_timeout;
         while let Some(attempt) = self.broken_attempts.front() {
@@ -208,8 +210,8 @@
         }
     }
 
-    /// The time after which a barred request may be tried once more; nothing where it
-    /// is not.
+    /// Returns the time after which a barred request may get a trial; `None` if it may
+    /// not.
     pub fn trial_delay_opt(&self, record: &Record) -> Option<Span> {
         if record.was_cleared() {
             let doubled =
@@ -219,7 +221,7 @@
         (record.trials < self.options.max_trials).then_some(self.options.trial_delay)
     }
 
-    /// Changes what is known of a request; true where that is other than before.
+    /// Changes a record. Returns true if the result differs.
     fn change(
         &mut self,
         now: Time,
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Forgets the oldest of those that are not barred, or the oldest of all.
+    /// Makes room by removing the oldest record that is not barred, or the oldest of all.
     fn evict_if_full(&mut self) {
         if self.records.len() < self.options.max_records {
             return;
@@ -276,5 +278,6 @@
     }
 }
 
-/// How often the time until the next trial doubles: up to 17 minutes from a second.
+/// The maximum number of times that the delay of a trial doubles: from a second up to 17
+/// minutes.
 const MAX_TRIAL_DOUBLINGS: u8 = 10;
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -1,12 +1,13 @@
-//! Endpoints that name a rate limit: how many requests a second they take from all
-//! nodes together, for as long as their answers say so.
+//! Endpoints with a rate limit: the number of requests a second that they accept from all
+//! nodes together, for as long as their answers state it.
 //!
-//! One node keeps the limit of an endpoint: the owner of its slots, which alone sends
-//! requests there or gives others leave to. It spaces them evenly, the next no sooner than
-//! the limit says, and saves nothing up while none come: with a saved start at each of many
-//! nodes, or at each of several owners that follow each other, a low limit would be
-//! exceeded at once. What an answer said goes to all nodes by their statuses, newest first,
-//! so that an owner which got no such answer, or follows another, keeps the limit too.
+//! One node enforces the limit of an endpoint: the owner of its slots, which alone sends
+//! requests there or grants slots to others. It spaces requests evenly, at least the
+//! limit's interval apart, and accumulates no credit while idle: with a saved start at
+//! each of many nodes, or at each of several successive owners, a low limit would be
+//! exceeded at once. Stated limits reach all nodes in statuses, and the newest one
+//! counts, so that an owner which received no such answer, or follows another owner,
+//! enforces the limit too.
 
 use std::fmt;
 use std::str::FromStr;
@@ -18,41 +19,41 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// Steps of a limit in one request a second.
+/// The resolution of a limit: steps in one request a second.
 const STEPS_PER_REQUEST: f64 = 1_000.0;
 
-/// The longest time between two requests to an endpoint, however low its limit. Only
-/// answers say that a limit has ended, so an endpoint that is sent nothing would stay
-/// limited for good.
+/// The maximum interval between two requests to an endpoint, however low its limit. Only
+/// answers show that a limit has ended, so an endpoint that receives no requests would
+/// stay limited for good.
 const MAX_INTERVAL: Span = Span::from_secs(10);
 
-/// How much sooner the next request may follow where one was later than its time: what
-/// waits is looked at a few dozen times a second.
+/// The maximum time by which the next request may follow sooner after a delayed one.
+/// Queues are examined only a few dozen times a second.
 const MAX_CATCH_UP: Span = Span::from_millis(40);
 
-/// How much later than a limit an answer without one must have come, by what other nodes
-/// say, to end it: their reports are on their way for some milliseconds, which would make
-/// an older answer look newer.
+/// How much newer another node's report of an answer without a limit must be to end a
+/// known limit. Reports are in transit for some milliseconds, which could make an older
+/// answer look newer.
 const END_MIN_NEWER_BY: Span = Span::from_millis(100);
 
-/// How much newer a report of the limit that is known already must be to be taken.
+/// How much newer a report of the same limit must be to replace the known one.
 const REFRESH_MIN_NEWER_BY: Span = Span::from_secs(1);
 
-/// How long others are told that a limit has ended.
+/// How long the end of a limit is announced.
 const ANNOUNCE_END_FOR: Span = Span::from_secs(5);
 
-/// Requests a second that an endpoint takes, in thousandths. Text form: `2.75`.
+/// A rate limit in thousandths of a request a second. Text form: `2.75`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Limit(u32);
 
 impl Limit {
-    /// Requests a second.
+    /// Returns the limit in requests a second.
     pub fn per_second(self) -> f64 {
         f64::from(self.0) / STEPS_PER_REQUEST
     }
 
-    /// The time from one request to the next.
+    /// Returns the interval between two requests.
     pub fn to_interval(self) -> Span {
         let micros = MICROS_PER_SECOND as f64 / self.per_second();
         Span(micros as u64).min(MAX_INTERVAL)
@@ -71,33 +72,33 @@
     fn from_str(text: &str) -> Result<Limit, unit::Error> {
         let expected = "requests a second such as \"2.75\"";
         let per_second = unit::parse_from_zero(text, expected)?;
-        // What is too large to be held bounds nothing.
+        // A value that cannot be represented saturates, which limits nothing.
         Ok(Limit((per_second * STEPS_PER_REQUEST) as u32))
     }
 }
 
-/// What an endpoint last said of its limit.
+/// The most recent statement of an endpoint about its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Report {
-    /// The limit; none where it named none.
+    /// The limit; `None` if it stated none.
     pub limit: Option<Limit>,
     /// When that became known.
     pub at: Time,
 }
 
-/// What one node tells others of an endpoint's limit.
+/// An endpoint's limit as one node announces it to others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The endpoint's number.
     pub endpoint: u32,
-    /// The limit; none where it named one and does so no more.
+    /// The limit; `None` if the endpoint stated one before and no longer does.
     pub limit: Option<Limit>,
-    /// Milliseconds since the answer that said so.
+    /// Milliseconds since the answer that stated it.
     pub age_ms: u32,
 }
 
 impl Announcement {
-    /// The same as a report of a node that heard it now.
+    /// Converts this to a report, as seen by a node that receives it now.
     pub fn to_report(self, now: Time) -> Report {
         Report {
             limit: self.limit,
@@ -106,25 +107,25 @@
     }
 }
 
-/// What is known of one endpoint's limit.
+/// The limit of one endpoint, and when the next request may be sent to it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct State {
     report: Option<Report>,
-    /// From when on the time until the next request counts.
+    /// The start of the interval before the next request.
     interval_start: Time,
 }
 
 impl State {
-    /// The limit in force; none where there is none.
+    /// Returns the limit in force, if any.
     pub fn limit_opt(&self) -> Option<Limit> {
         self.report?.limit
     }
 
-    /// Takes what an answer said that came now, to a request sent at `sent`. An answer
-    /// that names no limit ends one only where the request was sent since the limit
-    /// became known: the heads of others may be older than it.
+    /// Records what an answer stated that arrived now, to a request sent at `sent`. An
+    /// answer without a limit ends the known limit only if the request was sent after the
+    /// limit became known, because heads of earlier requests may be older.
     ///
-    /// True where the limit is another than before.
+    /// Returns true if the limit changed.
     pub fn note_answer(&mut self, now: Time, sent: Time, limit: Option<Limit>) -> bool {
         let is_older = |report: Report| report.limit.is_some() && sent <= report.at;
         if limit.is_none() && self.report.is_none_or(is_older) {
@@ -133,7 +134,7 @@
         self.replace(now, Report { limit, at: now })
     }
 
-    /// Takes what another node reports. True where the limit is another than before.
+    /// Records a report of another node. Returns true if the limit changed.
     pub fn note_report(&mut self, now: Time, report: Report) -> bool {
         let Some(known) = self.report else {
             return report.limit.is_some() && self.replace(now, report);
@@ -149,14 +150,14 @@
     fn replace(&mut self, now: Time, report: Report) -> bool {
         let before = self.limit_opt();
         if before.is_none() {
-            // A request was sent there a moment ago, since it answered.
+            // The endpoint has just answered, so a request was sent there recently.
             self.interval_start = now;
         }
         self.report = Some(report);
         before != report.limit
     }
 
-    /// What others are told of the endpoint with this number, if anything.
+    /// Returns the announcement about the endpoint with this number, if there is one.
     pub fn to_announcement_opt(&self, now: Time, endpoint: u32) -> Option<Announcement> {
         let report = self.report?;
         let age = now.since(report.at);
@@ -168,19 +169,19 @@
         })
     }
 
-    /// True where a request may follow the one before, with `spacing` between two.
+    /// Whether a request may follow the previous one, at an interval of `spacing`.
     pub fn may_start(&self, now: Time, spacing: Span) -> bool {
         now >= self.interval_start + spacing
     }
 
-    /// Notes that a request is sent, with `spacing` between two.
+    /// Records that a request is sent, at an interval of `spacing`.
     pub fn note_start(&mut self, now: Time, spacing: Span) {
         let due = self.interval_start + spacing;
         self.interval_start = due.clamp(now - MAX_CATCH_UP, now);
     }
 
-    /// Notes that another node keeps the limit. Once this one does, its first request is
-    /// as far from what the other sent as any two are.
+    /// Records that another node enforces the limit. If this node takes over, its first
+    /// request keeps the full interval to the other node's last one.
     pub fn restart_interval(&mut self, now: Time) {
         self.interval_start = now;
     }
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/rest.rs
@@ -1,70 +1,71 @@
-//! Endpoints that turned a request away and asked this node for rest: they want nothing
-//! from it for so long.
+//! Endpoints that rejected a request and asked this node for a rest: a time without
+//! requests.
 //!
-//! An endpoint asks each node for itself, so its word binds the node that it told. Other
-//! nodes hear of it and turn to other endpoints first: one that rests for one node may
-//! serve another.
+//! An endpoint asks each node separately, so its answer binds the node that received it.
+//! Other nodes learn of it and prefer other endpoints, but may still use this one, since
+//! it may serve one node while it rests for another.
 //!
-//! An endpoint that turns away at once runs nothing, so that it looks free. After its rest
-//! it is therefore in doubt until it has taken a request: one at a time is sent there, and
-//! another endpoint that has room goes before it.
+//! An endpoint that rejects requests immediately runs nothing and so looks idle. After
+//! its rest it is therefore unconfirmed until it has accepted a request: one probe
+//! request is sent at a time, and other endpoints with room are preferred.
 
 use woadstage_types::unit;
 use woadstage_types::unit::MICROS_PER_SECOND;
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// The longest rest that is kept; who asks for more is asked again after it.
+/// The maximum rest. An endpoint that asks for more is asked again after it.
 const MAX_REST: Span = Span::from_secs(24 * 3_600);
 
-/// By how much a rest must become longer for that to be told.
+/// The minimum extension of a rest that is reported.
 const MIN_REPORTED_EXTENSION: Span = Span::from_millis(500);
 
-/// How long after a second rest in a row the endpoint is tried again while others have
-/// room; doubles with each further one.
+/// How long after a second consecutive rest the endpoint is probed although others have
+/// room. Doubles with each further rest.
 const FIRST_PROBE_DELAY: Span = Span::from_secs(1);
 
-/// How long an endpoint stays in doubt that nobody tries; doubles with each rest in a row.
+/// How long an endpoint without probes stays unconfirmed. Doubles with each consecutive
+/// rest.
 const UNCONFIRMED_FOR: Span = Span::from_secs(4);
 
-/// How often both double at the most.
+/// The maximum number of doublings of both.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// The part of a rest over which nodes that rest until the same moment come back, and the
-/// longest time that this takes.
+/// The fraction of a rest (one part in this many), and the maximum time, over which the
+/// nodes that rest until the same moment come back.
 const JITTER_DIVISOR: u64 = 8;
 const MAX_JITTER: Span = Span::from_millis(250);
 
-/// Reads a rest: seconds, with a fraction or without.
+/// Parses a rest in seconds, with or without a fraction.
 ///
 /// # Errors
-/// Where the text is no number from 0 on, such as a date.
+/// Fails if the text is not a non-negative number, such as a date.
 pub fn parse(text: &str) -> Result<Span, unit::Error> {
     let seconds = unit::parse_from_zero(text, "seconds such as \"2.5\"")?;
     let micros = seconds * MICROS_PER_SECOND as f64;
-    // What is too large to be held is cut to the longest.
+    // Caps values that cannot be represented.
     Ok(Span(micros as u64).min(MAX_REST))
 }
 
-/// What is known of one endpoint's rest.
+/// The rest of one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct State {
     until: Time,
-    /// True until its end was taken ([`State::take_end`]).
+    /// Whether the end of the rest has yet to be reported by [`State::take_end`].
     is_end_pending: bool,
-    /// Rests that it asked for since it last took a request.
+    /// The number of rests requested since the endpoint last accepted a request.
     consecutive_rests: u32,
-    /// When the request was sent of which nothing is known yet, after the rest.
+    /// When the probe in flight was sent, if there is one.
     probe: Option<Time>,
-    /// Until when it wants nothing from another node, as far as heard.
+    /// Until when the endpoint rests for another node, as far as heard.
     remote_until: Time,
 }
 
 impl State {
-    /// Notes that the endpoint asked for rest. What was promised before is not cut.
-    /// `drawn` spreads the nodes that come back.
+    /// Records that the endpoint asked for a rest. An earlier, longer rest is not
+    /// shortened. `drawn` is a random number that spreads the nodes' return.
     ///
-    /// True where the rest is new, or ends noticeably later than before.
+    /// Returns true if the rest is new, or ends noticeably later than before.
     pub fn extend(&mut self, now: Time, rest: Span, drawn: u64) -> bool {
         let spread = (rest.0 / JITTER_DIVISOR).min(MAX_JITTER.0);
         let until = now + rest + Span(drawn.checked_rem(spread).unwrap_or(0));
@@ -77,38 +78,38 @@
         changed
     }
 
-    /// True while the endpoint wants nothing.
+    /// Whether the endpoint wants no requests from this node.
     pub fn is_resting(&self, now: Time) -> bool {
         now < self.until
     }
 
-    /// How much longer it wants nothing; zero where it does not rest.
+    /// Returns the remaining rest; zero if the endpoint does not rest.
     pub fn left(&self, now: Time) -> Span {
         self.until.since(now)
     }
 
-    /// Takes until when the endpoint rests for another node.
+    /// Records until when the endpoint rests for another node.
     pub fn extend_remote(&mut self, until: Time) {
         self.remote_until = self.remote_until.max(until);
     }
 
-    /// True while it is not known whether the endpoint takes requests again.
+    /// Whether it is unknown if the endpoint accepts requests again.
     pub fn is_unconfirmed(&self, now: Time) -> bool {
         self.consecutive_rests > 0
             && now < self.until + doubled(UNCONFIRMED_FOR, self.consecutive_rests)
     }
 
-    /// The same by what was heard from others.
+    /// Like [`State::is_unconfirmed`], from what other nodes announced.
     pub fn is_unconfirmed_elsewhere(&self, now: Time) -> bool {
         now < self.remote_until + UNCONFIRMED_FOR
     }
 
-    /// True while a request is on its way that will show whether it takes requests.
+    /// Whether a probe is in flight.
     pub fn is_probing(&self) -> bool {
         self.probe.is_some()
     }
 
-    /// True where it is time to try the endpoint though others have room.
+    /// Whether the endpoint is to be probed although others have room.
     pub fn is_probe_due(&self, now: Time) -> bool {
         let after = match self.consecutive_rests {
             0 | 1 => Span::ZERO,
@@ -117,12 +118,12 @@
         self.probe.is_none() && now >= self.remote_until && now >= self.until + after
     }
 
-    /// Notes that a request was sent there while it is in doubt.
+    /// Records that a request was sent while the endpoint is unconfirmed.
     pub fn start_probe(&mut self, now: Time) {
         self.probe = Some(now);
     }
 
-    /// Notes that the endpoint took a request that was sent at `sent`.
+    /// Records that the endpoint accepted a request that was sent at `sent`.
     pub fn note_served(&mut self, sent: Time) {
         if sent >= self.until {
             self.consecutive_rests = 0;
@@ -131,14 +132,15 @@
         }
     }
 
-    /// Notes that a request sent at `sent` ended and showed nothing.
+    /// Records that a request sent at `sent` ended without showing whether the endpoint
+    /// accepts requests.
     pub fn end_probe(&mut self, sent: Time) {
         if self.probe == Some(sent) {
             self.probe = None;
         }
     }
 
-    /// True where the rest is over, once for each rest.
+    /// Returns true once for each rest that has ended.
     pub fn take_end(&mut self, now: Time) -> bool {
         let ends = self.is_end_pending && !self.is_resting(now);
         self.is_end_pending &= !ends;
