--- a/crates/dispatch/tests/dispatch/budget.rs
+++ b/crates/dispatch/tests/dispatch/budget.rs
@@ -1,4 +1,4 @@
-//! What may be sent again.
+//! The retry budget.
 
 use rstest::rstest;
 use woadstage_dispatch::budget::Budget;
@@ -18,10 +18,10 @@
 }
 
 #[rstest]
-#[case::alone_all_of_it(1, 29)]
-#[case::of_three_a_third_of_the_fixed_part(3, 23)]
-#[case::of_nine_a_ninth(9, 21)]
-fn a_node_keeps_to_its_part(#[case] nodes: usize, #[case] allowed: usize) {
+#[case::single_node(1, 29)]
+#[case::one_of_three_nodes(3, 23)]
+#[case::one_of_nine_nodes(9, 21)]
+fn a_node_uses_its_own_share_only(#[case] nodes: usize, #[case] allowed: usize) {
     let target = id::Target::new("service");
     let mut budget = budget();
     for millis in 0..100 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn both_counts_are_those_of_one_window() {
+fn requests_and_retries_expire_with_the_window() {
     let target = id::Target::new("service");
     let mut budget = budget();
     budget.note_request(at(0), &target);
@@ -47,6 +47,6 @@
 }
 
 #[test]
-fn a_service_that_nobody_asked_for_has_none() {
+fn a_service_without_requests_has_no_budget() {
     assert_eq!(budget().remaining(at(0), &id::Target::new("other"), 1), 0);
 }
--- a/crates/dispatch/tests/dispatch/cold.rs
+++ b/crates/dispatch/tests/dispatch/cold.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are cold, as one node sees them.
+//! Cold endpoints, as seen by one node.
 
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// A node that has run for a second, with a bound on what is cold or none.
+/// Returns a node that has run for a second, with or without a limit on cold starts.
 fn node(bound: Option<Bound>, endpoints: &[Endpoint]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(options(1));
     let mut published = (*configuration(1)).clone();
@@ -45,7 +45,7 @@
     dispatcher
 }
 
-/// Ten requests at once, and how many were sent by each of some moments.
+/// Enters ten requests at once and returns how many were sent by each of some moments.
 fn sent_by(dispatcher: &mut Dispatcher, moments: &[u64]) -> Vec<usize> {
     for _ in 0..10 {
         dispatcher.enter(at(1_000), job(SERVICE, 2, at(1_000)));
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn without_a_bound_it_takes_what_its_slots_hold() {
+fn without_a_bound_all_slots_are_used() {
     let mut dispatcher = node(None, &[cold("e", 700)]);
     assert_eq!(sent_by(&mut dispatcher, &[1_000]), [8]);
 }
 
 #[test]
-fn a_warm_one_is_used_meanwhile() {
+fn a_warm_endpoint_is_used_meanwhile() {
     let mut dispatcher = node(
         Some(BOUND),
         &[cold("cold", 700), endpoint("warm", SERVICE, 4)],
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_longest_word_holds_and_the_same_word_is_not_taken_twice() {
+fn the_longest_report_applies_and_a_repeated_one_extends_nothing() {
     let mut dispatcher = node(Some(BOUND), &[cold("e", 700)]);
     dispatcher.set_endpoints(at(1_600), list(3, &[cold("e", 700)]));
     dispatcher.set_endpoints(at(1_650), list(4, &[cold("e", 10)]));
@@ -93,14 +93,14 @@
 }
 
 #[test]
-fn it_may_turn_cold_at_any_moment() {
+fn an_endpoint_may_become_cold_at_any_moment() {
     let mut dispatcher = node(Some(BOUND), &[endpoint("e", SERVICE, 8)]);
     dispatcher.set_endpoints(at(1_000), list(3, &[cold("e", 500)]));
     assert_eq!(sent_by(&mut dispatcher, &[1_100, 1_499, 1_500]), [1, 2, 8]);
 }
 
 #[test]
-fn an_answer_says_that_it_is_cold() {
+fn an_answer_reports_that_its_endpoint_is_cold() {
     let mut dispatcher = node(Some(BOUND), &[endpoint("e", SERVICE, 8)]);
     let first = dispatcher.enter(at(1_000), job(SERVICE, 2, at(1_000)));
     starts(&mut dispatcher);
@@ -109,16 +109,16 @@
         ..Notice::default()
     };
     dispatcher.apply_notice(at(1_000), first, &notice);
-    // The one that brought the word counts as well.
+    // The request whose answer stated it counts as well.
     assert_eq!(
         sent_by(&mut dispatcher, &[1_000, 1_199, 1_200, 1_600]),
         [0, 0, 1, 7]
     );
 }
 
-/// A node that has just started does not know yet who else may send requests.
+/// A node that has just started does not know yet which other nodes may send requests.
 #[test]
-fn a_node_that_has_just_started_sends_nothing_there() {
+fn a_node_that_has_just_started_sends_nothing_to_cold_endpoints() {
     let mut dispatcher = Dispatcher::new(options(1));
     let mut published = (*configuration(1)).clone();
     for service in &mut published.services {
--- a/crates/dispatch/tests/dispatch/fleet/cold.rs
+++ b/crates/dispatch/tests/dispatch/fleet/cold.rs
@@ -1,5 +1,5 @@
-//! Endpoints that are cold in a large fleet: they bear few requests a second, over
-//! all nodes together.
+//! Cold endpoints in a large fleet: they take few requests a second from all nodes
+//! together.
 
 use woadstage_dispatch::cold;
 use woadstage_dispatch::endpoint::Endpoint;
@@ -7,18 +7,18 @@
 
 use super::*;
 
-/// What an endpoint bears while it is cold: 6.9 requests a second for three.
+/// The load that a cold endpoint tolerates: 6.9 requests a second for three seconds.
 const BOUND: cold::Bound = cold::Bound {
     interval: Span::from_millis(145),
     duration: Span::from_secs(3),
 };
 
-/// Arrivals in one second above which an endpoint falls over: one and a half times
-/// what it bears, and five.
+/// The number of arrivals in one second above which an endpoint fails: one and a half
+/// times what it tolerates, and five.
 pub(super) const FALLS_ABOVE: usize = 15;
 
-/// Three data centres of 26 nodes with two cells each, whose engines answer so
-/// fast that a free one would take 25 requests a second.
+/// Returns three data centres of 26 nodes in two cells each, whose engines answer so fast
+/// that an idle one would accept 25 requests a second.
 pub(super) fn shape() -> Shape {
     Shape {
         nodes: 26,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The most arrivals at one endpoint in any second since a moment.
+/// Returns the most arrivals at one endpoint in any second since a moment.
 pub(super) fn most_in_a_second(world: &World, endpoint: &Endpoint, since: Time) -> usize {
     let Some(arrivals) = world.arrivals.get(&endpoint.name) else {
         return 0;
@@ -44,7 +44,7 @@
     windows.max().unwrap_or(0)
 }
 
-/// A list in which some endpoints were replaced by others that start cold.
+/// Returns a list in which some endpoints are replaced by others that start cold.
 fn restarted(world: &World, is: impl Fn(usize) -> bool) -> (List, Vec<Endpoint>) {
     let mut list = (*world.list).clone();
     list.revision += 1;
@@ -70,26 +70,27 @@
     }
 }
 
-/// Six tenths of all endpoints are replaced while twice the usual load comes.
+/// Six tenths of all endpoints are replaced at twice the usual load.
 #[test]
-fn replaced_endpoints_are_not_overrun() {
+fn replaced_endpoints_are_not_overloaded() {
     let mut world = under_load(shape(), MODEL, 900, Span::from_secs(6));
     let from = world.now;
     let (list, cold) = restarted(&world, |at| at % 5 < 3);
     world.publish_to_readers(list);
     world.run_for(Span::from_millis(2_900));
-    // Two more than fit evenly: nodes hear of a change of owners one after the other.
+    // Two more than with even spacing: nodes learn of a change of owners at different
+    // times.
     assert_bounded(&world, &cold, from, 9);
     let used = cold.iter().map(|one| most_in_a_second(&world, one, from));
     let used: usize = used.sum();
     assert!(used >= cold.len() * 5, "{used} at {}", cold.len());
 }
 
-/// Nodes are killed while endpoints are cold, the owners of their slots among them.
+/// Nodes are killed while endpoints are cold, including the owners of their slots.
 #[rstest]
 #[case::one_in_six(6)]
 #[case::every_second(2)]
-fn a_new_owner_does_not_overrun_what_is_cold(#[case] one_of: u16) {
+fn a_new_owner_does_not_overload_cold_endpoints(#[case] one_of: u16) {
     let mut world = World::start(shape());
     let nodes = all_nodes(&world);
     let (killed, left): (Vec<u16>, Vec<u16>) = nodes
@@ -106,16 +107,16 @@
     assert_bounded(&world, &cold, from, FALLS_ABOVE);
 }
 
-/// Nodes that are cut off together decide alone, and start nothing there.
+/// Nodes that are isolated together decide alone, and start nothing at cold endpoints.
 #[rstest]
 #[case::a_few(6)]
 #[case::half(2)]
-fn nodes_that_are_cut_off_add_little(#[case] one_of: u16) {
+fn isolated_nodes_add_little_load(#[case] one_of: u16) {
     let mut world = under_load(shape(), MODEL, 700, Span::from_secs(6));
     let nodes = all_nodes(&world);
     let from = world.now;
     let (list, cold) = restarted(&world, |at| at % 2 == 0);
-    // All nodes read the platform, those that are cut off from each other too.
+    // All nodes read the platform, including those that are isolated from each other.
     world.publish(list, &nodes);
     let cut = nodes.iter().copied();
     world.cut_off = cut
--- a/crates/dispatch/tests/dispatch/fleet/crash.rs
+++ b/crates/dispatch/tests/dispatch/fleet/crash.rs
@@ -1,30 +1,30 @@
-//! Requests that crash the endpoints that run them, and come again under other ids at
+//! Requests that crash the endpoints that run them, and are repeated under other ids on
 //! other nodes.
 //!
-//! What users saw: for ten seconds over a tenth of one route's requests failed, as twelve
-//! engines and those that replaced them ended one after the other, 24 in all. The order of
-//! events: an engine began to run a request of one customer and ended 0.1 s later, with
-//! all that ran beside it; the same request came again within a second, with another id,
-//! on another host, and was sent to the next engine. The cause: nodes know a request by
-//! the id of one attempt, and only endpoints were learnt about from how attempts end.
-//! The evidence: in the hosts' logs 16 requests of one customer, route and sizes, under 16
-//! ids, on six of seven hosts, and 14 engines that broke off the answer to one of them.
+//! Guards against a chain of crashes: a request crashes an engine 0.1 s after its start,
+//! with all that runs there; the caller repeats it within a second under another id on
+//! another host, and it is sent to the next engine. Nodes that know a request only by the
+//! id of one attempt, and learn only about endpoints from how attempts end, cannot stop
+//! this. It ended 24 engines in ten seconds, twelve and their replacements, and failed
+//! over a tenth of one route's requests. The logs showed 16 requests with the same
+//! customer, route and sizes under 16 ids on six of seven hosts, and 14 engines that
+//! broke off the answer to one of them.
 
 use woadstage_dispatch::job::Fingerprint;
 
 use super::*;
 
-/// How long after an event a node that hears the others must act on it.
-const IN_TOUCH_AFTER: Span = Span::from_secs(3);
+/// The time after an event within which a node that hears the others must act on it.
+const LEARNT_WITHIN: Span = Span::from_secs(3);
 
-/// Times that a request may reach endpoints after that, over all nodes.
-const REACHES_MOST: usize = 3;
+/// The number of times that a request may reach endpoints after that, over all nodes.
+const MAX_LATE_ARRIVALS: usize = 3;
 
-/// What crashes the endpoints.
+/// A request that crashes endpoints.
 const CRASHING: Fingerprint = Fingerprint(0xc4a5);
 
-/// Sends requests that each ask for something of their own, so many a second.
-fn load_others(world: &mut World, per_second: u64, span: Span, nodes: &[u16]) {
+/// Sends distinct requests at a rate of `per_second`.
+fn load_distinct(world: &mut World, per_second: u64, span: Span, nodes: &[u16]) {
     for number in 0..per_second * span.0 / SECOND.0 {
         let drawn = hash::chain(world.now.0, &number.to_le_bytes());
         let node = nodes[(drawn >> 32) as usize % nodes.len()];
@@ -35,7 +35,7 @@
     }
 }
 
-/// Sends the same request to nodes by chance, at even pauses.
+/// Sends the same request to random nodes at even intervals.
 fn load_same(world: &mut World, what: Fingerprint, every: Span, span: Span, nodes: &[u16]) {
     for number in 1..span.0 / every.0 {
         let drawn = hash::chain(what.0, &number.to_le_bytes());
@@ -47,21 +47,22 @@
     }
 }
 
-/// How often a request reached endpoints although nodes had had time to know that three
-/// had ended under it.
+/// Returns how often a request reached endpoints after nodes had time to learn that three
+/// of them had crashed while running it.
 fn reached_too_late(world: &World, what: Fingerprint) -> usize {
     let mut crashes = world.crashes.iter().filter(|one| one.fingerprint == what);
     let Some(third) = crashes.nth(2) else {
         return 0;
     };
-    let known = third.when + IN_TOUCH_AFTER;
+    let known = third.when + LEARNT_WITHIN;
     let reached = world.reached.iter();
     reached
         .filter(|(when, _, of)| *when > known && *of == what)
         .count()
 }
 
-/// The share of what else came that had its whole answer, at the first try or the second.
+/// Returns the share of the other requests that were answered completely, at the first
+/// attempt or the second.
 fn share_served(world: &World) -> f64 {
     let others = world.seen.values();
     let others = others.filter(|one| !world.crashing.contains(&one.fingerprint));
@@ -86,18 +87,18 @@
     let nodes = all_nodes(&world);
     world.crashing.insert(CRASHING);
     let span = Span::from_secs(seconds);
-    load_others(&mut world, per_second, span, &nodes);
+    load_distinct(&mut world, per_second, span, &nodes);
     load_same(&mut world, CRASHING, Span(span.0 / 20), span, &nodes);
     world.run_for(span + Span::from_secs(2));
-    assert!(reached_too_late(&world, CRASHING) <= REACHES_MOST);
+    assert!(reached_too_late(&world, CRASHING) <= MAX_LATE_ARRIVALS);
     let served = share_served(&world);
     assert!(served >= 0.99, "{served}");
 }
 
-/// A request that many callers send, and that no endpoint ends under: endpoints end by
-/// themselves, two a second, and after four seconds half of them at once.
+/// A harmless request that many callers send, while endpoints crash for other reasons:
+/// two a second, and half of them at once after four seconds.
 #[test]
-fn a_request_that_comes_often_is_served_while_endpoints_end_by_themselves() {
+fn a_frequent_request_is_served_while_endpoints_crash_for_other_reasons() {
     let mut world = World::start(small());
     let nodes = all_nodes(&world);
     let often = Fingerprint(0x0f7e);
@@ -118,16 +119,18 @@
     assert!(whole >= 0.8, "{whole}");
 }
 
-/// What a fleet does with a request that crashes endpoints and what comes beside it.
+/// How a fleet copes with requests that crash endpoints, and with the requests beside
+/// them.
 #[derive(Debug)]
 struct Figures {
-    /// Endpoints that ended under the request.
+    /// Endpoints crashed by the requests.
     ends: usize,
-    /// How often it reached endpoints too late.
+    /// The most times that one of the requests reached endpoints too late.
     late: usize,
-    /// The share of others that were served, at the first try or the second.
+    /// The share of the other requests that were served, at the first attempt or the
+    /// second.
     served: f64,
-    /// Others that were refused as it should be.
+    /// Other requests that were refused as barred.
     barred: usize,
 }
 
@@ -147,9 +150,9 @@
     }
 }
 
-/// A fleet of seven hosts, cut into parts from the start or not, through eight requests
-/// that each crash endpoints, and as many others as its endpoints bear.
-fn through_eight(options: quarantine::Options, part: Option<fn(u16) -> u16>) -> Figures {
+/// Runs a fleet of seven hosts, partitioned from the start or not, with eight requests
+/// that each crash endpoints and as many others as its endpoints can take.
+fn run_with_eight_crashing(options: quarantine::Options, part: Option<fn(u16) -> u16>) -> Figures {
     let mut world = World::start(Shape {
         quarantine: options,
         ..small()
@@ -158,7 +161,7 @@
     world.run_for(Span::from_secs(2));
     let nodes = all_nodes(&world);
     let span = Span::from_secs(24);
-    load_others(&mut world, 90, span, &nodes);
+    load_distinct(&mut world, 90, span, &nodes);
     for number in 0..8 {
         let what = Fingerprint(CRASHING.0 + number);
         world.crashing.insert(what);
@@ -177,8 +180,8 @@
     figures(&world)
 }
 
-/// Parts of a fleet that do not hear each other: so many, or each node alone.
-fn to_part(parts: u16) -> Option<fn(u16) -> u16> {
+/// Returns a partition of the fleet into so many parts, or into single nodes.
+fn partition_opt(parts: u16) -> Option<fn(u16) -> u16> {
     match parts {
         1 => None,
         2 => Some(|node| node % 2),
@@ -187,53 +190,47 @@
     }
 }
 
-/// Figures of seven hosts, eight such requests and 2,160 others of which each caller tries
-/// twice at the most; ends of endpoints from which a request is barred, in a whole fleet
-/// and where less than half of it is heard:
-///
-/// | | 1, 1 | 2, 1 | 2, 2 | 3, 3 |
-/// | --- | --- | --- | --- | --- |
-/// | whole: ends, too late, served in 100, barred | 8, 0, 98.9, 24 | 16, 0, 99.8, 0 | as 2, 1 | 24, 0, 99.4, 0 |
-/// | halves | 16, 0, 98.5, 27 | 24, 0, 98.9, 17 | 31, 1, 99.4, 0 | 44, 2, 98.2, 0 |
-/// | thirds | 24, 0, 97.9, 45 | as 1, 1 | 45, 0, 98.0, 0 | 57, 1, 95.2, 0 |
-/// | each alone | 39, 0, 98.0, 33 | as 1, 1 | 62, 2, 92.4, 0 | 69, 6, 89.4, 0 |
+/// Partitions do not share findings, so each of them loses endpoints of its own to the
+/// eight requests. A higher threshold while less than half of the fleet is heard costs
+/// more endpoints; a lower one in a whole fleet bars more of the other requests.
 #[rstest]
 #[case::whole(1, 16, 0.995, 0)]
 #[case::in_halves(2, 26, 0.985, 20)]
 #[case::in_thirds(3, 26, 0.975, 50)]
 #[case::each_alone(7, 42, 0.975, 40)]
-fn a_fleet_that_is_cut_in_parts_goes_on_serving_others(
+fn a_partitioned_fleet_keeps_serving_other_requests(
     #[case] parts: u16,
     #[case] ends: usize,
     #[case] served: f64,
     #[case] barred: usize,
 ) {
-    let figures = through_eight(quarantine::Options::default(), to_part(parts));
+    let figures = run_with_eight_crashing(quarantine::Options::default(), partition_opt(parts));
     assert!(figures.late <= 1, "{figures:?}");
     assert!(figures.ends <= ends, "{figures:?}");
     assert!(figures.served >= served, "{figures:?}");
     assert!(figures.barred <= barred, "{figures:?}");
 }
 
-/// Whoever comes beside such a request pays for each end more and for each end less.
+/// A threshold of one bars harmless requests beside a crash; one of three costs an
+/// endpoint more for each crashing request.
 #[test]
-fn two_ends_cost_others_least() {
+fn a_threshold_of_two_serves_most_other_requests() {
     let served = |bar_threshold| {
         let options = quarantine::Options {
             bar_threshold,
             ..quarantine::Options::default()
         };
-        through_eight(options, None).served
+        run_with_eight_crashing(options, None).served
     };
     let two = served(2);
     assert!(two > served(1) && two > served(3), "{two}");
 }
 
-/// Half of the nodes die, and two seconds after they are back the other half.
+/// Half of the nodes are killed, and two seconds after their restart the other half.
 #[rstest]
 #[case::of_seven_hosts(small())]
 #[case::of_72_hosts(shape())]
-fn nodes_that_start_again_are_told_by_the_others(#[case] shape: Shape) {
+fn restarted_nodes_learn_findings_from_the_others(#[case] shape: Shape) {
     let mut world = World::start(shape);
     let nodes = all_nodes(&world);
     world.crashing.insert(CRASHING);
@@ -255,9 +252,10 @@
     assert_eq!(reached_too_late(&world, CRASHING), 0);
 }
 
-/// Nothing outlives a fleet that dies as a whole: it learns again, from two more ends.
+/// Nothing survives the loss of the whole fleet, so it learns again, from two more
+/// crashes.
 #[test]
-fn a_fleet_that_dies_as_a_whole_learns_again() {
+fn a_fleet_that_restarts_as_a_whole_learns_again() {
     let mut world = World::start(small());
     let nodes = all_nodes(&world);
     world.crashing.insert(CRASHING);
@@ -268,12 +266,12 @@
     kill_for(&mut world, &nodes, SECOND);
     world.run_for(Span::from_secs(9));
     assert_eq!((before, world.crashes.len()), (2, 4));
-    assert!(reached_too_late(&world, CRASHING) <= REACHES_MOST);
+    assert!(reached_too_late(&world, CRASHING) <= MAX_LATE_ARRIVALS);
 }
 
-/// One trial more, ten seconds after the last end, and none after that.
+/// One trial follows ten seconds after the last crash, and none after that.
 #[test]
-fn a_request_that_is_barred_rightly_is_tried_once_more_and_never_again() {
+fn a_rightly_barred_request_gets_one_trial_only() {
     let mut world = World::start(small());
     let nodes = all_nodes(&world);
     world.crashing.insert(CRASHING);
@@ -284,29 +282,17 @@
     assert_eq!(reached_too_late(&world, CRASHING), 0);
 }
 
-/// Two endpoints end by themselves under a request that had no answer before.
+/// Two endpoints crash for other reasons while running a request that was never answered.
 #[test]
-fn a_request_that_is_barred_wrongly_is_served_again_after_its_trial() {
+fn a_wrongly_barred_request_is_served_again_after_its_trial() {
     let mut world = World::start(small());
     let nodes = all_nodes(&world);
-    let free_of_blame = Fingerprint(0x600d);
-    world.crashing.insert(free_of_blame);
-    load_same(
-        &mut world,
-        free_of_blame,
-        SECOND,
-        Span::from_secs(4),
-        &nodes,
-    );
+    let harmless = Fingerprint(0x600d);
+    world.crashing.insert(harmless);
+    load_same(&mut world, harmless, SECOND, Span::from_secs(4), &nodes);
     world.run_for(Span::from_secs(4));
     world.crashing.clear();
-    load_same(
-        &mut world,
-        free_of_blame,
-        SECOND,
-        Span::from_secs(30),
-        &nodes,
-    );
+    load_same(&mut world, harmless, SECOND, Span::from_secs(30), &nodes);
     let from = world.now;
     world.run_for(Span::from_secs(14));
     let (barred, later) = (from, world.now);
@@ -317,16 +303,16 @@
     assert!(served >= 0.9, "{served}");
 }
 
-/// What is said of a request that crashes two endpoints, and of those that ran beside it,
-/// in the 3 s after: each node of a fleet of 414 sends 4.7 kB a second, and all
-/// know it at the end.
+/// Findings about a request that crashes two endpoints, and about those that ran beside
+/// it: in the 3 s after, each node of a fleet of 414 sends 4.7 kB a second, and all nodes
+/// know them at the end.
 #[test]
 fn findings_cost_a_large_fleet_little() {
     let mut world = World::start(large());
     let nodes = all_nodes(&world);
     world.crashing.insert(CRASHING);
     let span = Span::from_secs(3);
-    load_others(&mut world, 400, span, &nodes);
+    load_distinct(&mut world, 400, span, &nodes);
     load_same(&mut world, CRASHING, Span::from_millis(400), span, &nodes);
     let before = world.findings;
     world.run_for(span);
@@ -337,8 +323,8 @@
     assert!(each <= 6_000.0, "{each}");
 }
 
-/// What is said of requests that crash endpoints costs a large fleet little: a finding of
-/// 20 to 30 bytes in the statuses of a moment, and the whole to nodes that know less.
+/// A finding takes 20 to 30 bytes in the statuses of a short time; only nodes that know
+/// less are sent all of them.
 #[test]
 fn findings_are_short() {
     let mut world = World::start(small());
--- a/crates/dispatch/tests/dispatch/fleet/leaving.rs
+++ b/crates/dispatch/tests/dispatch/fleet/leaving.rs
@@ -1,4 +1,5 @@
-//! Endpoints that say in their answers that they leave, while lists say that they are ready.
+//! Endpoints that state in their answers that they are leaving, while the lists show them
+//! as ready.
 
 use woadstage_dispatch::edition::Era;
 use woadstage_dispatch::endpoint::List;
@@ -6,20 +7,20 @@
 
 use super::*;
 
-/// Every so-manieth endpoint says in its answers that it leaves from now on.
+/// Makes every `one_of`th endpoint state in its answers that it is leaving from now on.
 fn leave(world: &mut World, one_of: usize) {
     let endpoints = world.endpoints();
     let names = endpoints.iter().step_by(one_of);
     world.notices.leaving = names.map(|endpoint| endpoint.name.clone()).collect();
 }
 
-/// The platform says nothing of it: no list is published.
+/// The platform does not report it: no list is published.
 #[rstest]
 #[case::seven_hosts(small(), 72, 6)]
 #[case::seven_hosts_half_of_all(small(), 40, 2)]
 #[case::cells(middle(), 500, 6)]
-#[case::the_fleet_two_years_on(large(), 700, 6)]
-fn an_endpoint_that_says_it_leaves_is_sent_nothing_more(
+#[case::large_fleet(large(), 700, 6)]
+fn a_leaving_endpoint_gets_no_more_requests(
     #[case] shape: Shape,
     #[case] per_second: u64,
     #[case] one_of: usize,
@@ -34,8 +35,8 @@
     assert_all_over_within(&mut world, Span::from_secs(3));
 }
 
-/// Publishes the same list once more, which still says that all are ready.
-fn list_again(world: &mut World) {
+/// Publishes the same list once more, which still shows all endpoints as ready.
+fn republish_list(world: &mut World) {
     let list = List {
         revision: world.list.revision + 1,
         ..(*world.list).clone()
@@ -43,8 +44,8 @@
     world.publish_to_readers(list);
 }
 
-/// Publishes a list without the endpoints that leave, and then the older one again.
-fn come_back_older(world: &mut World) {
+/// Publishes a list without the leaving endpoints, and then the older list again.
+fn restore_older_list(world: &mut World) {
     let copy = (*world.list).clone();
     let mut without = copy.clone();
     without.revision += 10;
@@ -61,14 +62,14 @@
     world.publish_to_readers(older);
 }
 
-/// Nodes are cut off from each other, each alone, and hear each other again.
-fn cut_off_some(world: &mut World) {
+/// Isolates some nodes, each on its own, and reconnects them.
+fn isolate_some(world: &mut World) {
     world.cut_off = [0, 3, 4].into();
     world.run_for(Span::from_secs(4));
     world.cut_off.clear();
 }
 
-/// One node after the other dies, and comes back with nothing known.
+/// Kills and restarts one node after the other, without any state.
 fn kill_in_turn(world: &mut World) {
     for node in all_nodes(world).into_iter().take(7) {
         kill_for(world, &[node], Span::from_millis(100));
@@ -77,13 +78,13 @@
 }
 
 #[rstest]
-#[case::lists_that_say_it_is_ready(list_again, 0)]
-#[case::an_older_copy_of_the_platform(come_back_older, 0)]
-#[case::nodes_cut_off(cut_off_some, 0)]
-#[case::nodes_that_die(kill_in_turn, 0)]
-#[case::messages_lost(list_again, 20)]
-fn nothing_takes_back_that_an_endpoint_leaves(
-    #[case] happens: fn(&mut World),
+#[case::lists_that_show_it_as_ready(republish_list, 0)]
+#[case::an_older_copy_of_the_platform(restore_older_list, 0)]
+#[case::isolated_nodes(isolate_some, 0)]
+#[case::killed_nodes(kill_in_turn, 0)]
+#[case::messages_lost(republish_list, 20)]
+fn nothing_revokes_that_an_endpoint_is_leaving(
+    #[case] disruption: fn(&mut World),
     #[case] lost: u64,
     #[values(false, true)] with_cells: bool,
 ) {
@@ -97,15 +98,15 @@
     );
     leave(&mut world, 6);
     world.run_for(Span::from_secs(2));
-    happens(&mut world);
-    // Longer than anything is kept that is known of older lists.
+    disruption(&mut world);
+    // Longer than anything that is known of older lists is kept.
     world.run_for(Span::from_secs(12));
     world.notices.assert_left();
 }
 
-/// A later start under the same name has said nothing.
+/// A later start under the same name has not stated that it is leaving.
 #[test]
-fn a_later_start_under_its_name_is_used() {
+fn a_later_start_under_the_same_name_is_used() {
     let mut world = under_load(small(), MODEL, 72, Span::from_secs(9));
     leave(&mut world, 6);
     world.run_for(Span::from_secs(3));
@@ -124,10 +125,10 @@
     }
 }
 
-/// Where all of a service leave, callers hear at once that nothing serves them, and when
-/// to come back.
+/// If all endpoints of a service are leaving, callers are refused immediately and told
+/// when to retry.
 #[test]
-fn callers_are_refused_at_once_where_all_endpoints_leave() {
+fn callers_are_refused_at_once_if_all_endpoints_leave() {
     let mut world = under_load(small(), MODEL, 40, Span::from_secs(4));
     leave(&mut world, 1);
     world.run_for(SECOND);
@@ -138,18 +139,19 @@
     assert!(seen.iter().all(|one| one.refused), "{seen:?}");
 }
 
-/// The names of endpoints in a data centre.
-fn of_centre(world: &World, centre: &str) -> Vec<id::Endpoint> {
+/// Returns the names of the endpoints in a data centre.
+fn endpoints_in(world: &World, centre: &str) -> Vec<id::Endpoint> {
     let endpoints = world.endpoints().into_iter();
     let near = endpoints.filter(|one| one.data_centre.as_str() == centre);
     near.map(|one| one.name).collect()
 }
 
-/// Callers of a data centre whose endpoints all leave are served by the others.
+/// Callers in a data centre whose endpoints are all leaving are served by the other data
+/// centres.
 #[test]
 fn a_data_centre_whose_endpoints_all_leave_uses_others() {
     let mut world = under_load(middle(), MODEL, 300, Span::from_secs(7));
-    world.notices.leaving = of_centre(&world, "dc0");
+    world.notices.leaving = endpoints_in(&world, "dc0");
     let from = world.now;
     world.run_for(Span::from_secs(6));
     world.notices.assert_left();
--- a/crates/dispatch/tests/dispatch/fleet/rate_limited.rs
+++ b/crates/dispatch/tests/dispatch/fleet/rate_limited.rs
@@ -1,35 +1,33 @@
-//! Endpoints in need, which name in their answers how many requests a second they take
-//! from all nodes together.
+//! Endpoints that state in their answers how many requests a second they accept from all
+//! nodes together.
 //!
-//! What users saw: an endpoint that had named 2.7 requests a second got 36 in 4 s where
-//! 21 were allowed, and it went on so until it named no limit any more. The order of
-//! events: it began to name the limit in its answers; each of seven hosts passed such
-//! answers on; requests went there as often as before. The cause: nobody read the limit,
-//! and nothing in the decisions bounds how often an endpoint is sent requests.
-//! The evidence: the endpoint's arrivals, second by second, before and after it named the
-//! limit (6 to 11 either way, from six hosts), and no line of the source with the name.
+//! Guards against a limit that is passed on to callers but not enforced. An endpoint that
+//! had stated 2.7 requests a second got 36 in 4 s, where 21 were allowed, until it stated
+//! no limit any more: each of seven hosts forwarded its answers, none read the limit, and
+//! nothing bounded how often an endpoint was sent requests. It got 6 to 11 requests a
+//! second from six hosts, before and after it stated the limit.
 
 use woadstage_dispatch::rate_limit::Limit;
 use woadstage_types::id;
 
 use super::*;
 
-/// How long after an endpoint first named its limit that holds.
-const HOLDS_AFTER: Span = Span::from_secs(3);
+/// The time after an endpoint first states its limit from which it must be respected.
+const ENFORCED_AFTER: Span = Span::from_secs(3);
 
-/// The span in which arrivals are counted.
+/// The time window in which arrivals are counted.
 const WINDOW: Span = Span::from_secs(4);
 
-/// Arrivals in a span by which a limit may be exceeded: half of it, and some more.
+/// The tolerated excess over a limit in a window: half of it, and a few more.
 const MARGIN: f64 = 1.5;
-const MORE: f64 = 5.0;
+const EXTRA: f64 = 5.0;
 
 fn limit(text: &str) -> Limit {
     text.parse().expect("a limit")
 }
 
-/// Every so-manieth endpoint names a limit from now on. Gives their names.
-fn name_limits(world: &mut World, one_of: usize, text: &str) -> Vec<id::Endpoint> {
+/// Makes every `one_of`th endpoint state a limit from now on. Returns their names.
+fn set_limits(world: &mut World, one_of: usize, text: &str) -> Vec<id::Endpoint> {
     let endpoints = world.endpoints();
     let named = endpoints.iter().step_by(one_of);
     let named: Vec<id::Endpoint> = named.map(|endpoint| endpoint.name.clone()).collect();
@@ -39,8 +37,8 @@
     named
 }
 
-/// The most arrivals at an endpoint in a window that ends when its limit holds, or later.
-/// Only those count that came since it named the limit.
+/// Returns the most arrivals at an endpoint in any window that ends after its limit must
+/// be respected. Only arrivals since it stated the limit count.
 fn most_in_a_window(world: &World, endpoint: &id::Endpoint, named_at: Time) -> usize {
     let arrivals = world.arrivals.get(endpoint);
     let arrivals = arrivals.map_or(&[][..], |arrivals| &arrivals[..]);
@@ -49,7 +47,7 @@
         .copied()
         .filter(|at| *at >= named_at)
         .collect();
-    let ends = since.iter().filter(|at| **at >= named_at + HOLDS_AFTER);
+    let ends = since.iter().filter(|at| **at >= named_at + ENFORCED_AFTER);
     let windows = ends.map(|end| {
         let within = |at: &&Time| **at <= *end && end.since(**at) < WINDOW;
         since.iter().filter(within).count()
@@ -57,10 +55,10 @@
     windows.max().unwrap_or(0)
 }
 
-/// None of these endpoints got more in a window than the limit that it named at a moment
-/// allows.
-fn assert_kept(world: &World, named: &[id::Endpoint], text: &str, named_at: Time) {
-    let allowed = limit(text).per_second() * WINDOW.as_secs_f64() * MARGIN + MORE;
+/// Asserts that none of these endpoints got more in any window than its limit allows,
+/// which it stated at `named_at`.
+fn assert_limits_respected(world: &World, named: &[id::Endpoint], text: &str, named_at: Time) {
+    let allowed = limit(text).per_second() * WINDOW.as_secs_f64() * MARGIN + EXTRA;
     for endpoint in named {
         let most = most_in_a_window(world, endpoint, named_at);
         assert!(most as f64 <= allowed, "{most} at {endpoint} of {allowed}");
@@ -72,8 +70,8 @@
 #[case::seven_hosts_slowly(small(), 72, 6, "0.4")]
 #[case::cells(middle(), 700, 6, "2.7")]
 #[case::cells_slowly(middle(), 400, 2, "0.4")]
-#[case::the_fleet_two_years_on(large(), 700, 6, "2.7")]
-fn an_endpoint_gets_no_more_than_it_says_it_takes(
+#[case::large_fleet(large(), 700, 6, "2.7")]
+fn an_endpoint_gets_no_more_than_its_limit(
     #[case] shape: Shape,
     #[case] per_second: u64,
     #[case] one_of: usize,
@@ -81,33 +79,33 @@
 ) {
     let mut world = under_load(shape, MODEL, per_second, Span::from_secs(9));
     let from = world.now;
-    let named = name_limits(&mut world, one_of, text);
+    let named = set_limits(&mut world, one_of, text);
     world.run_for(Span::from_secs(7));
-    assert_kept(&world, &named, text, from);
-    let seen = world.between(from + HOLDS_AFTER, world.now - SECOND);
+    assert_limits_respected(&world, &named, text, from);
+    let seen = world.between(from + ENFORCED_AFTER, world.now - SECOND);
     assert_in_time(&seen, 95.0);
 }
 
-/// All endpoints name a limit, and callers ask for a part of what all limits allow
-/// together, or for more: nothing is exceeded, and nearly all of it is used.
+/// All endpoints state limits, and callers request less than these allow together, or
+/// more: no limit is exceeded, and nearly all of it is used.
 #[rstest]
-#[case::less_than_they_take(24, 90.0)]
-#[case::twice_as_much(58, 42.0)]
-fn all_endpoints_name_limits(#[case] per_second: u64, #[case] in_time: f64) {
+#[case::below_the_limits(24, 90.0)]
+#[case::twice_the_limits(58, 42.0)]
+fn all_endpoints_state_limits(#[case] per_second: u64, #[case] in_time: f64) {
     let mut world = under_load(small(), MODEL, per_second, Span::from_secs(16));
     let from = world.now;
-    // 28.8 requests a second together.
-    let named = name_limits(&mut world, 1, "2.4");
+    // 28.8 requests a second in total.
+    let named = set_limits(&mut world, 1, "2.4");
     world.run_for(Span::from_secs(15));
-    assert_kept(&world, &named, "2.4", from);
-    let seen = world.between(from + HOLDS_AFTER, world.now - SECOND);
+    assert_limits_respected(&world, &named, "2.4", from);
+    let seen = world.between(from + ENFORCED_AFTER, world.now - SECOND);
     assert_in_time(&seen, in_time);
 }
 
-/// Trouble that comes while endpoints name limits.
-type Trouble = fn(&mut World, Span);
+/// A disruption of the fleet while endpoints state limits.
+type Disruption = fn(&mut World, Span);
 
-/// The owners of limits die one after the other, and come back.
+/// Kills and restarts the owners of limits one after the other.
 fn kill_in_turn(world: &mut World, span: Span) {
     let pause = Span(span.0 / 20);
     for turn in 0..20 {
@@ -117,7 +115,7 @@
     }
 }
 
-/// Half of the nodes die at once, and come back.
+/// Kills half of the nodes at once, and restarts them.
 fn kill_half(world: &mut World, span: Span) {
     let all = all_nodes(world);
     let half: Vec<u16> = all.into_iter().filter(|node| node % 2 == 0).collect();
@@ -125,23 +123,23 @@
     world.run_for(Span(span.0 - 700_000));
 }
 
-/// Nodes are cut off from each other, each alone, and hear each other again.
-fn cut_off_some(world: &mut World, span: Span) {
+/// Isolates some nodes, each on its own, and reconnects them.
+fn isolate_some(world: &mut World, span: Span) {
     world.cut_off = [0, 3, 4].into();
     world.run_for(Span(span.0 * 2 / 3));
     world.cut_off.clear();
     world.run_for(Span(span.0 / 3));
 }
 
-/// The fleet falls apart in two.
-fn part(world: &mut World, span: Span) {
+/// Splits the fleet into two partitions for a while.
+fn split_in_two(world: &mut World, span: Span) {
     world.part = Some(|node| u16::from(node < 3));
     world.run_for(Span(span.0 * 2 / 3));
     world.part = None;
     world.run_for(Span(span.0 / 3));
 }
 
-/// One node after the other is stopped as planned, and starts again.
+/// Stops and restarts the nodes one after the other, as in a planned rollout.
 fn stop_in_turn(world: &mut World, span: Span) {
     for node in 0..7 {
         if let Some(dispatcher) = world.nodes.get_mut(&node) {
@@ -152,7 +150,7 @@
     }
 }
 
-fn nothing(world: &mut World, span: Span) {
+fn no_disruption(world: &mut World, span: Span) {
     world.run_for(span);
 }
 
@@ -160,41 +158,45 @@
 #[case::owners_die_in_turn(kill_in_turn, 0, "2.7")]
 #[case::owners_die_in_turn_slowly(kill_in_turn, 0, "0.4")]
 #[case::half_die(kill_half, 0, "2.7")]
-#[case::some_are_cut_off(cut_off_some, 0, "2.7")]
-#[case::some_are_cut_off_slowly(cut_off_some, 0, "0.4")]
-#[case::two_parts(part, 0, "2.7")]
-#[case::two_parts_slowly(part, 0, "0.4")]
+#[case::some_are_isolated(isolate_some, 0, "2.7")]
+#[case::some_are_isolated_slowly(isolate_some, 0, "0.4")]
+#[case::two_partitions(split_in_two, 0, "2.7")]
+#[case::two_partitions_slowly(split_in_two, 0, "0.4")]
 #[case::planned_stops(stop_in_turn, 0, "2.7")]
-#[case::messages_are_lost(nothing, 20, "2.7")]
-fn limits_hold_through_trouble(
-    #[case] trouble: Trouble,
+#[case::messages_are_lost(no_disruption, 20, "2.7")]
+fn limits_are_respected_during_disruptions(
+    #[case] disruption: Disruption,
     #[case] lost: u64,
     #[case] text: &str,
     #[values(1, 3)] one_of: usize,
 ) {
     let mut world = under_load(Shape { lost, ..small() }, MODEL, 50, Span::from_secs(16));
     let from = world.now;
-    let named = name_limits(&mut world, one_of, text);
+    let named = set_limits(&mut world, one_of, text);
     world.run_for(Span::from_secs(2));
-    trouble(&mut world, Span::from_secs(10));
+    disruption(&mut world, Span::from_secs(10));
     world.run_for(Span::from_secs(2));
-    assert_kept(&world, &named, text, from);
+    assert_limits_respected(&world, &named, text, from);
 }
 
-/// A limit that moves is kept as it is now, and one that has ended binds nobody.
+/// A changed limit is enforced at its new value, and a withdrawn one no longer applies.
 #[rstest]
 #[case::lowered("5", Some("0.5"), 0.9)]
 #[case::raised("0.5", Some("5"), 0.9)]
 #[case::ended("0.5", None, 8.0)]
-#[case::nothing_taken("0", Some("0"), 0.01)]
-#[case::then_all("0", None, 8.0)]
-fn a_limit_moves(#[case] before: &str, #[case] after: Option<&str>, #[case] used: f64) {
-    // More than the other endpoints can do.
+#[case::zero("0", Some("0"), 0.01)]
+#[case::zero_then_none("0", None, 8.0)]
+fn a_changed_limit_is_enforced(
+    #[case] before: &str,
+    #[case] after: Option<&str>,
+    #[case] used: f64,
+) {
+    // More than the other endpoints can serve.
     let mut world = under_load(small(), MODEL, 200, Span::from_secs(40));
     let from = world.now;
-    let named = name_limits(&mut world, 3, before);
+    let named = set_limits(&mut world, 3, before);
     world.run_for(Span::from_secs(8));
-    assert_kept(&world, &named, before, from);
+    assert_limits_respected(&world, &named, before, from);
     let moved = world.now;
     for name in &named {
         match after {
@@ -202,12 +204,12 @@
             None => world.limits.remove(name),
         };
     }
-    // An endpoint that is sent one request in ten seconds is heard as seldom.
+    // An endpoint that gets one request in ten seconds can report a change only as often.
     world.run_for(Span::from_secs(15));
     let settled = world.now;
     world.run_for(Span::from_secs(10));
     if let Some(text) = after {
-        assert_kept(&world, &named, text, moved + HOLDS_AFTER);
+        assert_limits_respected(&world, &named, text, moved + ENFORCED_AFTER);
     }
     let wanted = after.map_or(used, |text| limit(text).per_second() * used);
     for name in &named {
@@ -218,12 +220,12 @@
     }
 }
 
-/// A limit ends while nobody sends anything. Once requests come again, that is learnt.
+/// Limits end while no requests are sent. Once requests arrive again, that is noticed.
 #[test]
 fn a_limit_ends_while_nothing_is_sent() {
     let mut world = under_load(small(), MODEL, 60, Span::from_secs(3));
     let nodes = all_nodes(&world);
-    let named = name_limits(&mut world, 1, "0.5");
+    let named = set_limits(&mut world, 1, "0.5");
     world.run_for(Span::from_secs(2));
     world.limits.clear();
     world.run_for(Span::from_secs(60));
@@ -234,9 +236,9 @@
     assert_eq!(named.len(), 12);
 }
 
-/// Nodes of the build before send as they did; those of this build keep what they can.
-/// With cells the former own slots too: what they give out at an endpoint that names a
-/// limit is given back.
+/// Nodes of the previous build ignore limits; those of this build enforce what they can.
+/// With several cells the former own slots too: slots of a limited endpoint that they
+/// grant are returned.
 #[rstest]
 #[case::one_cell(small(), 40)]
 #[case::cells(middle(), 300)]
@@ -251,20 +253,21 @@
     world.run_for(SECOND);
     load(&mut world, MODEL, per_second, Span::from_secs(10), &own);
     let from = world.now;
-    let named = name_limits(&mut world, 6, "2.7");
+    let named = set_limits(&mut world, 6, "2.7");
     world.run_for(Span::from_secs(10));
-    assert_kept(&world, &named, "2.7", from);
-    let seen = world.between(from + HOLDS_AFTER, world.now - SECOND);
+    assert_limits_respected(&world, &named, "2.7", from);
+    let seen = world.between(from + ENFORCED_AFTER, world.now - SECOND);
     assert_in_time(&seen, 95.0);
 }
 
-/// With cells, nodes that see different fleets for a while take different nodes for the
-/// owner of the same slots. Each restart of a node moves others to other cells.
+/// With several cells, nodes that see different fleets for a while consider different
+/// nodes to be the owner of the same slots. Each restart of a node moves others to other
+/// cells.
 #[rstest]
 #[case::one_after_the_other(1, "2.7")]
 #[case::one_after_the_other_fast(1, "8")]
 #[case::six_at_a_time_fast(6, "8")]
-fn limits_hold_while_cells_change(#[case] at_once: usize, #[case] text: &str) {
+fn limits_are_respected_while_cells_change(#[case] at_once: usize, #[case] text: &str) {
     let mut world = under_load(
         Shape {
             nodes: 36,
@@ -277,11 +280,11 @@
     );
     let nodes = all_nodes(&world);
     let from = world.now;
-    let named = name_limits(&mut world, 2, text);
+    let named = set_limits(&mut world, 2, text);
     world.run_for(Span::from_secs(2));
     for turn in nodes.chunks(at_once).take(20) {
         kill_for(&mut world, turn, Span::from_millis(200));
         world.run_for(Span::from_millis(300));
     }
-    assert_kept(&world, &named, text, from);
+    assert_limits_respected(&world, &named, text, from);
 }
--- a/crates/dispatch/tests/dispatch/fleet/resting.rs
+++ b/crates/dispatch/tests/dispatch/fleet/resting.rs
@@ -1,12 +1,12 @@
-//! Endpoints that turn requests away and ask each node that they turn away for rest.
+//! Endpoints that reject requests and ask each node that they reject for a rest.
 
 use woadstage_types::id;
 
 use super::world::notices::Refusing;
 use super::*;
 
-/// Some endpoints turn requests away from now on, one of so many.
-fn refuse(world: &mut World, count: usize, refusing: Refusing) -> Vec<id::Endpoint> {
+/// Makes `count` endpoints reject requests from now on, one in so many.
+fn reject(world: &mut World, count: usize, refusing: Refusing) -> Vec<id::Endpoint> {
     let endpoints = world.endpoints().into_iter().take(count);
     let names: Vec<id::Endpoint> = endpoints.map(|one| one.name).collect();
     for name in &names {
@@ -15,12 +15,12 @@
     names
 }
 
-fn all(rest: Span) -> Refusing {
+fn reject_all(rest: Span) -> Refusing {
     Refusing { rest, one_of: 1 }
 }
 
-/// So many nodes before so many endpoints of a plain service.
-fn before(nodes: u16, endpoints: u16) -> Shape {
+/// Returns a fleet of so many nodes and so many endpoints of a plain service.
+fn plain_service(nodes: u16, endpoints: u16) -> Shape {
     Shape {
         nodes,
         centres: 1,
@@ -33,27 +33,28 @@
 
 #[rstest]
 #[case::seven_hosts(small(), MODEL, 72, 2)]
-#[case::sixteen_hosts(before(16, 8), SERVICE, 200, 4)]
+#[case::sixteen_hosts(plain_service(16, 8), SERVICE, 200, 4)]
 #[case::cells(middle(), MODEL, 400, 12)]
-#[case::the_fleet_two_years_on(large(), MODEL, 700, 60)]
-fn an_endpoint_that_asks_for_rest_gets_it(
+#[case::large_fleet(large(), MODEL, 700, 60)]
+fn an_endpoint_that_asks_for_a_rest_gets_no_requests(
     #[case] shape: Shape,
     #[case] service: &'static str,
     #[case] per_second: u64,
     #[case] count: usize,
 ) {
     let mut world = under_load(shape, service, per_second, Span::from_secs(9));
-    refuse(&mut world, count, all(Span::from_secs(3)));
+    reject(&mut world, count, reject_all(Span::from_secs(3)));
     world.run_for(Span::from_secs(8));
     world.notices.assert_rested();
 }
 
-/// Others have room, so no caller is to notice once the endpoints have said so.
+/// Other endpoints have room, so no caller is affected once the endpoints have asked for
+/// a rest.
 #[rstest]
-#[case::sixteen_hosts_half_of_eight(before(16, 8), 4, 3_000, 200)]
-#[case::seven_hosts_half_of_six(before(7, 6), 3, 1_000, 120)]
-#[case::five_hosts_two_of_six(before(5, 6), 2, 3_000, 80)]
-#[case::five_hosts_short_rests(before(5, 6), 2, 400, 80)]
+#[case::sixteen_hosts_half_of_eight(plain_service(16, 8), 4, 3_000, 200)]
+#[case::seven_hosts_half_of_six(plain_service(7, 6), 3, 1_000, 120)]
+#[case::five_hosts_two_of_six(plain_service(5, 6), 2, 3_000, 80)]
+#[case::five_hosts_short_rests(plain_service(5, 6), 2, 400, 80)]
 fn nobody_is_refused_while_other_endpoints_have_room(
     #[case] shape: Shape,
     #[case] count: usize,
@@ -61,7 +62,7 @@
     #[case] per_second: u64,
 ) {
     let mut world = under_load(shape, SERVICE, per_second, Span::from_secs(21));
-    refuse(&mut world, count, all(Span::from_millis(rest_ms)));
+    reject(&mut world, count, reject_all(Span::from_millis(rest_ms)));
     let from = world.now;
     world.run_for(Span::from_secs(20));
     let seen = world.between(from + SECOND, world.now - SECOND);
@@ -71,13 +72,13 @@
     world.notices.assert_rested();
 }
 
-/// What serves again is used again, all of it.
+/// An endpoint that accepts requests again gets a full share of them.
 #[rstest]
 #[case::seven_hosts(small(), 200)]
 #[case::cells(middle(), 800)]
 fn an_endpoint_that_has_rested_is_used_again(#[case] shape: Shape, #[case] per_second: u64) {
     let mut world = under_load(shape, MODEL, per_second, Span::from_secs(16));
-    let names = refuse(&mut world, 4, all(SECOND));
+    let names = reject(&mut world, 4, reject_all(SECOND));
     world.run_for(Span::from_secs(4));
     world.notices.refusing.clear();
     world.run_for(Span::from_secs(5));
@@ -99,15 +100,15 @@
     }
 }
 
-/// A worker that turns away one request in three is neither starved nor flooded.
+/// An endpoint that rejects one request in three is neither starved nor flooded.
 #[test]
-fn an_endpoint_that_turns_some_away_goes_on_serving() {
+fn an_endpoint_that_rejects_some_requests_keeps_serving() {
     let mut world = under_load(small(), MODEL, 120, Span::from_secs(11));
     let some = Refusing {
         rest: SECOND,
         one_of: 3,
     };
-    let names = refuse(&mut world, 1, some);
+    let names = reject(&mut world, 1, some);
     let from = world.now;
     world.run_for(Span::from_secs(10));
     world.notices.assert_rested();
@@ -118,12 +119,12 @@
     assert_in_time(&seen, 97.0);
 }
 
-/// Where all rest, requests wait and are served as soon as one may be sent.
+/// If all endpoints rest, requests wait and are served as soon as one may be sent.
 #[test]
-fn requests_wait_where_all_endpoints_rest() {
+fn requests_wait_while_all_endpoints_rest() {
     let mut world = under_load(small(), MODEL, 40, Span::from_secs(6));
     let from = world.now;
-    refuse(&mut world, 12, all(Span::from_millis(400)));
+    reject(&mut world, 12, reject_all(Span::from_millis(400)));
     world.run_for(Span::from_millis(300));
     world.notices.refusing.clear();
     world.run_for(Span::from_secs(5));
--- a/crates/dispatch/tests/dispatch/quarantine.rs
+++ b/crates/dispatch/tests/dispatch/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is known of requests under which endpoints ended: joined, bounded, forgotten.
+//! Records of requests during which endpoints crashed: joining, bounds and expiry.
 
 use proptest::prelude::prop;
 use proptest::prop_assert_eq;
@@ -34,27 +34,28 @@
     joined
 }
 
-/// All but the time: of two that were cleared alike often it is the later.
-fn known(record: &Record) -> (u32, Vec<u32>, u8) {
+/// Returns everything but the time: of two records that were cleared equally often the
+/// later one counts.
+fn without_time(record: &Record) -> (u32, Vec<u32>, u8) {
     (record.cleared, record.ends.clone(), record.trials)
 }
 
 proptest! {
     #[test]
-    fn nodes_come_to_know_the_same_in_whichever_order(
+    fn join_is_commutative_associative_and_idempotent(
         a in record(),
         b in record(),
         c in record(),
     ) {
-        prop_assert_eq!(known(&joined(&a, &b)), known(&joined(&b, &a)));
+        prop_assert_eq!(without_time(&joined(&a, &b)), without_time(&joined(&b, &a)));
         let left = joined(&joined(&a, &b), &c);
         let right = joined(&a, &joined(&b, &c));
-        prop_assert_eq!(known(&left), known(&right));
+        prop_assert_eq!(without_time(&left), without_time(&right));
         prop_assert_eq!(joined(&a, &a), a);
     }
 }
 
-/// Charges a request with the ends of endpoints.
+/// Charges a request with the crashes of endpoints.
 fn charge(registry: &mut Registry, now: Time, what: Fingerprint, endpoints: &[u32]) {
     for endpoint in endpoints {
         registry.note_broken(now, what, *endpoint);
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn what_breaks_at_an_endpoint_that_lives_is_not_charged() {
+fn attempts_broken_at_a_live_endpoint_are_not_charged() {
     let mut registry = Registry::new(Options::default());
     registry.note_broken(at(0), ONE, 7);
     registry.note_alive(7);
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn all_that_broke_at_an_endpoint_is_charged_once() {
+fn each_request_that_broke_at_a_crashed_endpoint_is_charged_once() {
     let mut registry = Registry::new(Options::default());
     registry.note_broken(at(0), ONE, 7);
     registry.note_broken(at(0), OTHER, 7);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_broken_attempt_is_not_charged_with_an_end_long_after() {
+fn a_broken_attempt_is_not_charged_with_a_much_later_crash() {
     let mut registry = Registry::new(Options::default());
     registry.note_broken(at(0), ONE, 7);
     registry.expire(at(10_001));
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn a_whole_answer_clears_it_here_and_elsewhere() {
+fn a_complete_answer_clears_a_request_on_all_nodes() {
     let mut one = Registry::new(Options::default());
     let mut other = Registry::new(Options::default());
     charge(&mut one, at(0), ONE, &[1, 2]);
@@ -108,7 +109,7 @@
     }
     assert!(!one.is_suspect(ONE));
     assert_eq!(one.digest(), other.digest());
-    // What is overtaken on its way brings nothing back.
+    // A finding that arrives late restores nothing.
     let late = Finding {
         fingerprint: ONE,
         cleared: 0,
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn who_was_sound_here_lately_is_taken_for_one_that_was_sound_before() {
+fn a_request_answered_recently_counts_as_cleared() {
     let mut registry = Registry::new(Options::default());
     registry.note_whole(at(0), ONE);
     charge(&mut registry, at(1), ONE, &[1]);
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_what_is_barred_is_kept() {
+fn memory_is_bounded_and_barred_requests_are_kept() {
     let options = Options {
         max_records: 64,
         ..Options::default()
@@ -150,7 +151,7 @@
     assert_eq!(registry.iter().count(), 64);
     assert_eq!(ends(&registry, ONE), 2);
     assert!(registry.findings(at(2_000)).len() <= Options::default().max_findings_per_message);
-    // Of many ends of one request a few are kept.
+    // Only a few of many crashes of one request are kept.
     charge(
         &mut registry,
         at(3_000),
@@ -161,9 +162,9 @@
 }
 
 #[rstest]
-#[case::one_that_is_not_barred(&[1], 0)]
-#[case::never_one_that_is(&[1, 2], 2)]
-fn who_is_forgotten(#[case] endpoints: &[u32], #[case] left: usize) {
+#[case::not_barred(&[1], 0)]
+#[case::barred(&[1, 2], 2)]
+fn only_requests_that_are_not_barred_expire(#[case] endpoints: &[u32], #[case] left: usize) {
     let mut registry = Registry::new(Options::default());
     charge(&mut registry, at(0), ONE, endpoints);
     let later = at(0) + Span::from_secs(3_601);
@@ -171,7 +172,7 @@
     assert_eq!(ends(&registry, ONE), left);
     if left == 0 {
         assert_eq!(registry.digest(), 0);
-        // Another node that forgets a moment later does not bring it back.
+        // Another node that forgets a moment later does not restore the record.
         let finding = Finding {
             fingerprint: ONE,
             cleared: 0,
@@ -183,9 +184,9 @@
     }
 }
 
-/// All of it reaches a node that knows nothing, however much it is.
+/// All findings reach a node that knows nothing, however many there are.
 #[test]
-fn a_node_that_knows_nothing_is_sent_all_in_turns() {
+fn repeated_messages_send_all_findings_to_an_empty_node() {
     let mut one = Registry::new(Options::default());
     for number in 0..300_u32 {
         let what = Fingerprint(u64::from(number) + 10);
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn findings_of_a_message_fit_a_datagram() {
+fn findings_in_a_message_fit_a_datagram() {
     let mut registry = Registry::new(Options::default());
     for number in 0..100_u64 {
         let endpoints: Vec<u32> = (0..8).map(|end| u32::MAX - end - number as u32).collect();
@@ -216,6 +217,6 @@
     }
     let written = postcard::to_extend(&registry.findings(at(1)), Vec::new());
     let bytes = written.expect("it can be written").len();
-    // What a node reads of a datagram.
+    // The largest datagram that a node reads.
     assert!(bytes <= 8 << 10, "{bytes}");
 }
--- a/crates/dispatch/tests/dispatch/rate_limit.rs
+++ b/crates/dispatch/tests/dispatch/rate_limit.rs
@@ -1,4 +1,4 @@
-//! What one node knows of one endpoint's rate limit.
+//! One node's knowledge of an endpoint's rate limit.
 
 use rstest::rstest;
 use woadstage_dispatch::dispatcher::Next;
@@ -22,7 +22,7 @@
     Some(text.parse().expect("a limit"))
 }
 
-/// A state that knows a limit of two a second since a moment.
+/// Returns a state with a limit of two requests a second, known since `when`.
 fn limited(when: Time) -> State {
     let mut state = State::default();
     assert!(state.note_answer(when, when, limit("2")));
@@ -40,10 +40,10 @@
 #[case::whole("3", 3.0, 333_333)]
 #[case::a_fraction(" 2.75 ", 2.75, 363_636)]
 #[case::below_one("0.4", 0.4, 2_500_000)]
-#[case::next_to_nothing("0.0001", 0.0, 10_000_000)]
-#[case::nothing("0", 0.0, 10_000_000)]
-#[case::more_than_can_be_held("1e30", 4_294_967.295, 0)]
-fn a_limit_is_read(#[case] text: &str, #[case] per_second: f64, #[case] micros: u64) {
+#[case::tiny("0.0001", 0.0, 10_000_000)]
+#[case::zero("0", 0.0, 10_000_000)]
+#[case::saturating("1e30", 4_294_967.295, 0)]
+fn a_limit_is_parsed(#[case] text: &str, #[case] per_second: f64, #[case] micros: u64) {
     let read: Limit = text.parse().expect("a limit");
     assert_eq!(read.per_second(), per_second);
     assert_eq!(read.to_interval(), Span(micros));
@@ -52,15 +52,15 @@
 #[rstest]
 #[case::negative("-1")]
 #[case::not_a_number("NaN")]
-#[case::without_end("inf")]
+#[case::infinite("inf")]
 #[case::words("a few")]
 #[case::empty("")]
-fn what_is_no_limit_is_told(#[case] text: &str) {
+fn an_invalid_limit_is_an_error(#[case] text: &str) {
     assert!(text.parse::<Limit>().is_err());
 }
 
 /// Heads of answers to requests that were sent before the limit was known may be older
-/// than it.
+/// than the limit.
 #[rstest]
 #[case::sent_before(500, true)]
 #[case::sent_at_once(1_000, true)]
@@ -74,8 +74,8 @@
 #[rstest]
 #[case::a_newer_limit(Some("5"), 1_001, Some("5"))]
 #[case::an_older_limit(Some("5"), 900, Some("2"))]
-#[case::its_end(None, 1_200, None)]
-#[case::an_end_that_may_be_older(None, 1_050, Some("2"))]
+#[case::end_of_the_limit(None, 1_200, None)]
+#[case::end_that_may_be_older(None, 1_050, Some("2"))]
 fn the_newest_report_counts(
     #[case] text: Option<&str>,
     #[case] when: u64,
@@ -87,15 +87,15 @@
 }
 
 #[test]
-fn the_end_of_an_unknown_limit_says_nothing() {
+fn the_end_of_an_unknown_limit_is_ignored() {
     let mut state = State::default();
     assert!(!state.note_report(at(2_000), report(None, at(1_000))));
     assert_eq!(state.to_announcement_opt(at(2_000), 7), None);
 }
 
-/// Who follows another as the keeper of a limit waits as long as between any two requests.
+/// A node that starts to enforce a limit first waits for a full interval.
 #[test]
-fn requests_are_spaced_and_none_are_saved_up() {
+fn requests_are_spaced_and_no_credit_accumulates() {
     let spacing = Span::from_millis(500);
     let mut state = limited(at(1_000));
     assert!(!state.may_start(at(1_499), spacing));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn others_are_told_of_an_end_for_a_while() {
+fn the_end_of_a_limit_is_announced_for_a_while() {
     let mut state = limited(at(1_000));
     state.note_answer(at(2_000), at(1_500), None);
     let told = state.to_announcement_opt(at(2_300), 7).expect("told");
@@ -121,7 +121,7 @@
 #[test]
 fn a_further_attempt_counts_for_the_limit() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4), endpoint("f", SERVICE, 4)]);
-    // It has met the others long before the requests come.
+    // The node finishes discovering the others long before the requests arrive.
     dispatcher.tick(at(1));
     let first = dispatcher.enter(at(400), job(SERVICE, 1, at(400)));
     let (_, needy) = starts(&mut dispatcher)[0].clone();
--- a/crates/dispatch/tests/dispatch/rest.rs
+++ b/crates/dispatch/tests/dispatch/rest.rs
@@ -1,4 +1,4 @@
-//! What one node knows of an endpoint that asked for rest, and of one that leaves.
+//! One node's knowledge of an endpoint that asked for a rest, and of one that is leaving.
 
 use rstest::rstest;
 use woadstage_dispatch::dispatcher::Next;
@@ -21,9 +21,9 @@
 #[rstest]
 #[case::whole("3", Span::from_secs(3))]
 #[case::fraction(" 0.4 ", Span::from_millis(400))]
-#[case::nothing("0", Span::ZERO)]
-#[case::more_than_can_be_held("1e300", Span::from_secs(86_400))]
-fn a_rest_is_read(#[case] text: &str, #[case] expected: Span) {
+#[case::zero("0", Span::ZERO)]
+#[case::saturating("1e300", Span::from_secs(86_400))]
+fn a_rest_is_parsed(#[case] text: &str, #[case] expected: Span) {
     assert_eq!(rest::parse(text), Ok(expected));
 }
 
@@ -31,13 +31,13 @@
 #[case::negative("-1")]
 #[case::date("Wed, 21 Oct 2026 07:28:00 GMT")]
 #[case::empty("")]
-#[case::without_end("inf")]
+#[case::infinite("inf")]
 #[case::not_a_number("nan")]
-fn what_is_no_rest_is_told(#[case] text: &str) {
+fn an_invalid_rest_is_an_error(#[case] text: &str) {
     assert!(rest::parse(text).is_err());
 }
 
-/// A state that was asked for a second of rest.
+/// Returns a state after a request for a rest of one second.
 fn rested() -> State {
     let mut state = State::default();
     assert!(state.extend(at(1_000), SECOND, 0));
@@ -45,10 +45,10 @@
 }
 
 #[rstest]
-#[case::more(5_000, true, 6_100)]
-#[case::less(100, false, 2_000)]
-#[case::hardly_more(1_000, false, 2_100)]
-fn a_later_answer_cuts_no_rest(#[case] millis: u64, #[case] changed: bool, #[case] until: u64) {
+#[case::longer(5_000, true, 6_100)]
+#[case::shorter(100, false, 2_000)]
+#[case::slightly_longer(1_000, false, 2_100)]
+fn a_later_answer_shortens_no_rest(#[case] millis: u64, #[case] changed: bool, #[case] until: u64) {
     let mut state = rested();
     assert_eq!(
         state.extend(at(1_100), Span::from_millis(millis), 0),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn nodes_that_rest_until_the_same_moment_come_back_apart() {
+fn nodes_that_rest_until_the_same_moment_return_at_different_times() {
     let left = |drawn| {
         let mut state = State::default();
         state.extend(at(0), Span::from_secs(4), drawn);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_endpoint_is_in_doubt_until_it_takes_a_request_sent_since() {
+fn an_endpoint_is_unconfirmed_until_it_accepts_a_later_request() {
     let mut state = rested();
     state.note_served(at(900));
     assert!(state.is_unconfirmed(at(2_000)));
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn an_endpoint_that_nobody_tries_is_used_again_in_the_end() {
+fn an_endpoint_without_probes_is_used_again_eventually() {
     let state = rested();
     assert!(state.is_unconfirmed(at(9_999)));
     assert!(!state.is_unconfirmed(at(10_000)));
 }
 
 #[test]
-fn one_request_at_a_time_tries_an_endpoint() {
+fn one_probe_is_in_flight_at_a_time() {
     let mut state = rested();
     assert!(state.is_probe_due(at(2_000)));
     state.start_probe(at(2_000));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_endpoint_that_goes_on_turning_away_is_tried_less_often() {
+fn an_endpoint_that_keeps_rejecting_is_probed_less_often() {
     let mut state = rested();
     state.extend(at(3_000), SECOND, 0);
     assert!(!state.is_probe_due(at(4_999)));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_endpoint_that_rests_for_others_is_tried_by_none() {
+fn an_endpoint_that_rests_for_another_node_is_not_probed() {
     let mut state = State::default();
     state.extend_remote(at(3_000));
     assert!(!state.is_resting(at(1_000)));
@@ -122,18 +122,19 @@
 }
 
 #[test]
-fn the_end_of_a_rest_is_told_once() {
+fn the_end_of_a_rest_is_reported_once() {
     let mut state = rested();
     assert!(!state.take_end(at(1_999)));
     assert!(state.take_end(at(2_000)));
     assert!(!state.take_end(at(2_001)));
 }
 
-/// A request that may be sent to one endpoint alone waits a while rather than be refused.
+/// A request that may be sent to only one endpoint waits for a while rather than risk a
+/// rejection.
 #[rstest]
-#[case::may_be_sent_again(2, 0)]
-#[case::may_not(1, 250)]
-fn a_request_that_cannot_be_sent_again_waits_first(#[case] attempts: u32, #[case] wait: u64) {
+#[case::retryable(2, 0)]
+#[case::not_retryable(1, 250)]
+fn a_request_that_cannot_be_retried_waits_first(#[case] attempts: u32, #[case] wait: u64) {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4)]);
     let first = dispatcher.enter(at(0), job(SERVICE, 1, at(0)));
     let notice = Notice {
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn starts_that_leave_are_remembered_up_to_a_bound() {
+fn the_number_of_leaving_starts_is_bounded() {
     let mut registry = Registry::default();
     assert!(registry.insert(0));
     assert!(!registry.insert(0));
--- a/crates/dispatch/tests/dispatch/retry.rs
+++ b/crates/dispatch/tests/dispatch/retry.rs
@@ -1,5 +1,5 @@
-//! Callers that are refused: when they are to come back, and their place in the
-//! queue when they do.
+//! Refused callers: when they are told to retry, and their place in the queue when they
+//! do.
 
 use rstest::rstest;
 use woadstage_dispatch::dispatcher::Decision;
@@ -18,8 +18,8 @@
 use crate::support::options;
 use crate::support::starts;
 
-/// What a caller heeds of so much time left.
-fn heeded(left: Span) -> Span {
+/// Returns the longest delay that a caller with `left` remaining honours.
+fn honoured(left: Span) -> Span {
     Span((left.0 as f64 * options(1).policy.come_back_within) as u64)
 }
 
@@ -32,12 +32,12 @@
     refused.collect()
 }
 
-/// A caller comes back at one millisecond, another comes at two; the engine is
-/// free at three.
+/// A caller retries at one millisecond, a new one arrives at two, and the engine is free
+/// at three.
 #[rstest]
-#[case::who_is_still_in_time_goes_first(500, true)]
-#[case::who_can_only_be_late_goes_behind(3_000, false)]
-fn the_place_of_one_that_comes_back(#[case] tried_for: u64, #[case] goes_first: bool) {
+#[case::still_in_time_goes_first(500, true)]
+#[case::already_late_goes_last(3_000, false)]
+fn the_queue_position_of_a_retry(#[case] tried_for: u64, #[case] goes_first: bool) {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     let back = Job {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn among_those_that_can_only_be_late_who_tried_first_goes_first() {
+fn late_requests_are_ordered_by_their_first_attempt() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     let tried_for = |millis, seconds| Job {
@@ -68,9 +68,10 @@
 }
 
 #[test]
-fn nobody_is_to_come_back_before_the_queue_has_gone() {
+fn no_caller_is_told_to_retry_before_the_queue_has_drained() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
-    // Let in for a wait of two seconds; a third of eight is a little more.
+    // These are admitted up to a wait of two seconds; a third of eight seconds is a
+    // little more.
     let patient = Job {
         objective: Span::from_secs(2),
         ..job(SERVICE, 2, at(0))
@@ -80,7 +81,7 @@
     }
     let refused = refused(&mut dispatcher);
     assert!(!refused.is_empty());
-    let most = heeded(Span::from_secs(8));
+    let most = honoured(Span::from_secs(8));
     for refusal in refused {
         let wait = refusal.wait.expect("the wait decided it");
         let retry_after = refusal.retry_after.expect("there is time to come back");
@@ -92,21 +93,21 @@
 #[rstest]
 #[case::soon_after_the_start(50, 6_000)]
 #[case::after_a_while(1_000, 6_000)]
-#[case::after_longer_than_callers_heed(4_000, 6_000)]
+#[case::longer_than_callers_honour(4_000, 6_000)]
 #[case::with_little_left(200, 500)]
-fn an_outage_is_taken_to_last_as_long_again(#[case] lasted: u64, #[case] left: u64) {
+fn an_outage_is_assumed_to_last_as_long_again(#[case] lasted: u64, #[case] left: u64) {
     let lasted = Span::from_millis(lasted);
     let left = Span::from_millis(left);
     let dispatcher = Dispatcher::new(options(1));
     for millis in 0..100 {
         let retry_after = dispatcher.retry_after_estimate(at(millis), lasted, left);
-        assert!(retry_after >= lasted.min(heeded(left)));
-        assert!(retry_after <= heeded(left));
+        assert!(retry_after >= lasted.min(honoured(left)));
+        assert!(retry_after <= honoured(left));
     }
 }
 
 #[test]
-fn nodes_that_start_together_do_not_send_their_callers_back_together() {
+fn nodes_that_start_together_spread_their_retries() {
     let left = Span::from_secs(6);
     let times = (1..=20).map(|number| {
         let dispatcher = Dispatcher::new(options(number));
@@ -115,5 +116,5 @@
     let mut times: Vec<Span> = times.collect();
     times.sort();
     let apart = Span(times[19].0 - times[0].0);
-    assert!(apart >= Span(heeded(left).0 / 2), "{apart}");
+    assert!(apart >= Span(honoured(left).0 / 2), "{apart}");
 }
--- a/crates/dispatch/tests/dispatch/suspect.rs
+++ b/crates/dispatch/tests/dispatch/suspect.rs
@@ -1,4 +1,5 @@
-//! One node and requests under which endpoints ended: where they run, what is refused.
+//! One node and requests during which endpoints crashed: where they run, and what is
+//! refused.
 
 use woadstage_dispatch::dispatcher::Cause;
 use woadstage_dispatch::dispatcher::Change;
@@ -30,7 +31,7 @@
     names.map(|name| endpoint(name, MODEL, 4)).to_vec()
 }
 
-fn asking(what: Fingerprint, arrived: Time) -> Job {
+fn request(what: Fingerprint, arrived: Time) -> Job {
     Job {
         fingerprint: what,
         repeatable: true,
@@ -39,30 +40,30 @@
     }
 }
 
-/// Enters a request and says where it was sent.
+/// Enters a request and returns its id and the endpoint that it was sent to.
 fn send(dispatcher: &mut Dispatcher, now: Time, what: Fingerprint) -> (job::Id, String) {
-    dispatcher.enter(now, asking(what, now));
+    dispatcher.enter(now, request(what, now));
     starts(dispatcher).remove(0)
 }
 
-/// An endpoint ends under a request.
-fn end_under(dispatcher: &mut Dispatcher, now: Time, id: job::Id, name: &str) -> Next {
+/// Crashes an endpoint while it runs a request.
+fn crash_during(dispatcher: &mut Dispatcher, now: Time, id: job::Id, name: &str) -> Next {
     let next = dispatcher.end(now, id, End::Lost);
     dispatcher.note_endpoint_ended(now, endpoint(name, MODEL, 4).to_number());
     next
 }
 
 #[test]
-fn a_barred_request_is_refused_with_a_time_far_off() {
+fn a_barred_request_is_refused_with_a_long_retry_delay() {
     let mut dispatcher = dispatcher(&endpoints());
     for millis in [0, 1_000] {
         let once = Job {
             attempts: 1,
-            ..asking(SUSPECT, at(millis))
+            ..request(SUSPECT, at(millis))
         };
         dispatcher.enter(at(millis), once);
         let (id, name) = starts(&mut dispatcher).remove(0);
-        end_under(&mut dispatcher, at(millis + 100), id, &name);
+        crash_during(&mut dispatcher, at(millis + 100), id, &name);
     }
     let change = |ends, barred| Change {
         fingerprint: SUSPECT,
@@ -74,7 +75,7 @@
         dispatcher.take_changes(),
         [change(1, false), change(2, true)]
     );
-    dispatcher.enter(at(2_000), asking(SUSPECT, at(2_000)));
+    dispatcher.enter(at(2_000), request(SUSPECT, at(2_000)));
     let refused = refusals(&mut dispatcher);
     let (_, code, retry_after) = refused[0];
     assert_eq!(code, Code::Barred);
@@ -84,16 +85,20 @@
 }
 
 #[test]
-fn a_suspect_is_not_sent_again_within_one_attempt() {
+fn a_suspect_is_not_retried_by_the_node() {
     let mut dispatcher = dispatcher(&endpoints());
     let (id, name) = send(&mut dispatcher, at(0), SUSPECT);
-    // Nobody knows yet that the endpoint has ended.
-    assert_eq!(end_under(&mut dispatcher, at(100), id, &name), Next::Again);
+    // The node does not know yet that the endpoint has crashed.
+    assert_eq!(
+        crash_during(&mut dispatcher, at(100), id, &name),
+        Next::Again
+    );
     let (again, other) = starts(&mut dispatcher).remove(0);
     assert_eq!(again, id);
-    let next = end_under(&mut dispatcher, at(200), id, &other);
+    let next = crash_during(&mut dispatcher, at(200), id, &other);
     assert_eq!(next, Next::Final(Cause::Suspect));
-    // One attempt is charged once, whichever endpoints end at one moment.
+    // One request in one attempt is charged once, whichever endpoints crash at the same
+    // moment.
     assert!(!dispatcher.is_barred(at(200), SUSPECT));
 }
 
@@ -104,32 +109,32 @@
     for what in suspects {
         let once = Job {
             attempts: 1,
-            ..asking(what, at(0))
+            ..request(what, at(0))
         };
         dispatcher.enter(at(0), once);
         let (id, name) = starts(&mut dispatcher).remove(0);
-        end_under(&mut dispatcher, at(10), id, &name);
+        crash_during(&mut dispatcher, at(10), id, &name);
     }
-    // Rests of endpoints that broke a call are over.
+    // The endpoints' back-off after a broken call is over.
     let now = at(20_000);
     let (first, one) = send(&mut dispatcher, now, SUSPECT);
     let (_, other) = send(&mut dispatcher, now, Fingerprint(8));
     assert_ne!(one, other);
-    dispatcher.enter(now, asking(SUSPECT, now));
+    dispatcher.enter(now, request(SUSPECT, now));
     assert_eq!(starts(&mut dispatcher), []);
-    // Once it is known to be sound all of it runs.
+    // Once the request is known to be harmless, all copies run.
     dispatcher.end(at(20_100), first, End::Whole);
     assert_eq!(starts(&mut dispatcher).len(), 1);
     send(&mut dispatcher, at(20_101), SUSPECT);
 }
 
 #[test]
-fn what_waits_is_refused_as_soon_as_it_is_barred() {
+fn waiting_requests_are_refused_as_soon_as_they_are_barred() {
     let mut dispatcher = dispatcher(&[endpoint("e1", MODEL, 1), endpoint("e2", MODEL, 1)]);
     for millis in [0, 1] {
         send(&mut dispatcher, at(millis), Fingerprint(20 + millis));
     }
-    dispatcher.enter(at(2), asking(SUSPECT, at(2)));
+    dispatcher.enter(at(2), request(SUSPECT, at(2)));
     assert_eq!(starts(&mut dispatcher), []);
     let finding = woadstage_dispatch::quarantine::Finding {
         fingerprint: SUSPECT,
@@ -144,15 +149,15 @@
 }
 
 #[test]
-fn an_answer_that_says_the_request_is_wrong_clears_nothing() {
+fn a_rejection_of_the_request_clears_nothing() {
     let mut dispatcher = dispatcher(&endpoints());
     let once = Job {
         attempts: 1,
-        ..asking(SUSPECT, at(0))
+        ..request(SUSPECT, at(0))
     };
     dispatcher.enter(at(0), once);
     let (id, name) = starts(&mut dispatcher).remove(0);
-    end_under(&mut dispatcher, at(10), id, &name);
+    crash_during(&mut dispatcher, at(10), id, &name);
     let (id, _) = send(&mut dispatcher, at(1_000), SUSPECT);
     dispatcher.end(at(1_010), id, End::Rejected);
     assert!(dispatcher.quarantine().is_suspect(SUSPECT));
@@ -161,14 +166,15 @@
     assert!(!dispatcher.quarantine().is_suspect(SUSPECT));
 }
 
-/// A host that says nothing more: only the platform tells that its endpoint has ended.
+/// A host falls silent, so that only the platform's list shows that its endpoint has
+/// crashed.
 #[test]
-fn a_request_whose_time_ran_out_is_charged_when_its_endpoint_is_listed_no_more() {
+fn a_timed_out_request_is_charged_once_its_endpoint_is_unlisted() {
     let all = endpoints();
     let mut dispatcher = dispatcher(&all);
     let once = Job {
         attempts: 1,
-        ..asking(SUSPECT, at(0))
+        ..request(SUSPECT, at(0))
     };
     dispatcher.enter(at(0), once);
     let (id, name) = starts(&mut dispatcher).remove(0);
