--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,7 +1,7 @@
-//! What may be sent again. All nodes together may repeat a share of what came
-//! plus a fixed number in each window. Each node keeps to the share of its own
-//! requests and to its even part of the fixed number, so that no cut between
-//! nodes can break the whole (after the retry budget of Finagle).
+//! Retry budget. All nodes together may retry a ratio of the incoming requests plus a
+//! fixed number in each window. Each node only uses the ratio of its own requests and an
+//! equal part of the fixed number, so the total bound holds during any network partition
+//! (after the retry budget of Finagle).
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -10,17 +10,18 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// Bounds on what is sent again, over all nodes together.
+/// Bounds on retries, over all nodes together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Repeats allowed for each request.
+    /// The number of retries allowed for each request.
     pub ratio: f64,
-    /// Repeats allowed beyond that in each window.
+    /// The number of further retries allowed in each window.
     pub extra: f64,
-    /// The window.
+    /// The time window.
     pub window: Span,
-    /// The part of both that is used, since others count at other moments.
-    pub caution: f64,
+    /// The fraction of both that is used, because the windows of other nodes are not
+    /// aligned.
+    pub safety_factor: f64,
 }
 
 impl Default for Options {
@@ -29,12 +30,12 @@
             ratio: 0.2,
             extra: 10.0,
             window: Span::from_secs(10),
-            caution: 0.8,
+            safety_factor: 0.8,
         }
     }
 }
 
-/// Counts of one service.
+/// The request and retry times of one service within the window.
 #[derive(Debug, Default)]
 struct Counts {
     requests: VecDeque<Time>,
@@ -42,7 +43,7 @@
 }
 
 impl Counts {
-    fn forget(&mut self, before: Time) {
+    fn expire(&mut self, before: Time) {
         for times in [&mut self.requests, &mut self.repeats] {
             while times.front().is_some_and(|time| *time < before) {
                 times.pop_front();
@@ -51,7 +52,7 @@
     }
 }
 
-/// The repeats of one node.
+/// The retry budget of one node.
 #[derive(Debug)]
 pub struct Budget {
     options: Options,
@@ -59,7 +60,7 @@
 }
 
 impl Budget {
-    /// Nothing sent yet.
+    /// Creates a budget without any requests or retries.
     pub fn new(options: Options) -> Budget {
         Budget {
             options,
@@ -67,16 +68,17 @@
         }
     }
 
-    /// Counts a request that came for a service.
-    pub fn earn(&mut self, now: Time, target: &id::Target) {
+    /// Counts an incoming request of a service.
+    pub fn note_request(&mut self, now: Time, target: &id::Target) {
         let window = self.options.window;
         let counts = self.services.entry(target.clone()).or_default();
-        counts.forget(now - window);
+        counts.expire(now - window);
         counts.requests.push_back(now);
     }
 
-    /// Repeats that a node may still make now when `nodes` share the budget.
-    pub fn left(&self, now: Time, target: &id::Target, nodes: usize) -> u64 {
+    /// Returns the number of retries that a node may make now if `nodes` share the
+    /// budget.
+    pub fn remaining(&self, now: Time, target: &id::Target, nodes: usize) -> u64 {
         let Some(counts) = self.services.get(target) else {
             return 0;
         };
@@ -90,13 +92,13 @@
         };
         let own = self.options.ratio * recent(&counts.requests) as f64;
         let part = self.options.extra / nodes.max(1) as f64;
-        let allowed = ((own + part) * self.options.caution) as u64;
+        let allowed = ((own + part) * self.options.safety_factor) as u64;
         allowed.saturating_sub(recent(&counts.repeats) as u64)
     }
 
-    /// True if a repeat may be made now, which is then counted.
+    /// Takes one retry from the budget. Returns false if none is left.
     pub fn try_spend(&mut self, now: Time, target: &id::Target, nodes: usize) -> bool {
-        if self.left(now, target, nodes) == 0 {
+        if self.remaining(now, target, nodes) == 0 {
             return false;
         }
         let counts = self.services.entry(target.clone()).or_default();
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -81,7 +81,7 @@
 impl Dispatcher {
     /// Queues a request on this node, or asks the owner of the slots that it may use.
     pub(super) fn submit(&mut self, now: Time, id: job::Id, mut job: Job) {
-        if let Some(refusal) = self.bar(now, &mut job) {
+        if let Some(refusal) = self.check_barred(now, &mut job) {
             self.refuse(now, id, job.origin, refusal);
             return;
         }
@@ -266,8 +266,7 @@
             return job.avoided.clone();
         }
         let workers = pool.workers.iter().filter(|worker| worker.listed);
-        let resting =
-            workers.filter(|worker| worker.rest.is_resting(now) || worker.rest.is_on_trial());
+        let resting = workers.filter(|worker| worker.rest.is_resting(now) || worker.rest.is_probing());
         resting
             .map(|worker| worker.number)
             .take(MAX_AVOIDED_ENDPOINTS)
@@ -305,7 +304,7 @@
             return;
         };
         if job.latest() <= now + self.options.policy.least_left {
-            let refusal = self.too_late(now, job);
+            let refusal = self.too_late_refusal(now, job);
             self.cancel_open_request(id);
             self.refuse(now, id, None, refusal);
             return;
