--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -49,7 +49,7 @@
 
     /// Puts a request in line. What becomes of it is decided at once or later.
     pub fn enter(&mut self, now: Time, job: Job) -> job::Id {
-        self.accounts.begin(now);
+        self.accounts.note_start(now);
         self.next_job += 1;
         let id = job::Id(self.next_job);
         self.budget.earn(now, &job.target);
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -131,7 +131,7 @@
     /// The time between two requests of this node to an endpoint that names a limit.
     pub(super) fn spacing_opt(&self, now: Time, worker: &Worker) -> Option<Span> {
         let limit = worker.rate_limit.limit_opt()?;
-        Some(self.members.reach(now).stretch(limit.to_interval()))
+        Some(self.members.reach(now).scale_interval(limit.to_interval()))
     }
 
     /// True unless an owner that keeps no rate limits gave a slot of an endpoint that
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -261,7 +261,7 @@
     /// Nodes that share what may be sent again.
     pub(super) fn budget_nodes(&self, now: Time) -> usize {
         let reach = self.members.reach(now);
-        if reach.alone { ALONE } else { reach.nodes }
+        if reach.isolated { ALONE } else { reach.nodes }
     }
 }
 
--- a/crates/dispatch/src/dispatcher/permit.rs
+++ b/crates/dispatch/src/dispatcher/permit.rs
@@ -44,7 +44,7 @@
     }
 
     fn right(&self, now: Time, pool: &Pool) -> Right {
-        if self.accounts.is_meeting(now) {
+        if self.accounts.is_discovering(now) {
             return Right::All(false);
         }
         if pool.shared || self.members.cell().whole {
@@ -81,7 +81,7 @@
         let Some(limit) = worker.rate_limit.limit_opt() else {
             return true;
         };
-        let spacing = permit.reach.stretch(limit.to_interval());
+        let spacing = permit.reach.scale_interval(limit.to_interval());
         worker.rate_limit.may_start(now, spacing) && self.keeps_limit(now, pool, worker, permit)
     }
 
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -121,7 +121,7 @@
             return false;
         }
         match self.members.newest_configuration_opt(now) {
-            None => self.accounts.is_meeting(now),
+            None => self.accounts.is_discovering(now),
             Some(newest) => newest > self.configuration_version(),
         }
     }
--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -27,16 +27,16 @@
 /// all start together are empty, and owners may not know the customers yet. Of 60 answers
 /// of 54 hosts in the first half second after 585 had started together 20 said that a
 /// customer was over its limit, of customers that were far below.
-const STARTS_FOR: Span = Span::from_secs(2);
+const STARTUP_TIME: Span = Span::from_secs(2);
 
 /// Longest and shortest wait for a bucket then, and the part of its time that a request
 /// may wait.
-const WAIT_MOST: Span = Span::from_millis(300);
-const WAIT_LEAST: Span = Span::from_millis(20);
-const LEFT_PARTS: u64 = 4;
+const MAX_STARTUP_WAIT: Span = Span::from_millis(300);
+const MIN_STARTUP_WAIT: Span = Span::from_millis(20);
+const STARTUP_WAIT_DIVISOR: u64 = 4;
 
 /// How long a request waits for an owner that knows its customer.
-const OWNER_AWAITED: Span = Span::from_millis(100);
+const OWNER_WAIT: Span = Span::from_millis(100);
 
 /// What becomes of a request that is to be charged.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -56,11 +56,17 @@
     /// that has just started lets it wait rather than refuse it: of 1,582 requests of
     /// customers within their limits that were refused on a day on which all of 295
     /// nodes were killed three times, 859 came in the first 300 ms of a node.
-    pub fn charge(&mut self, now: Time, customer: &Customer, demand: Demand, left: Span) -> Charge {
+    pub fn charge(
+        &mut self,
+        now: Time,
+        customer: &Customer,
+        demand: Demand,
+        remaining: Span,
+    ) -> Charge {
         let Some(quota) = &customer.quota else {
             return Charge::Admitted;
         };
-        self.accounts.begin(now);
+        self.accounts.note_start(now);
         let number = customer.name.to_number();
         let reach = self.members.reach(now);
         let accounts = &mut self.accounts;
@@ -68,14 +74,14 @@
             self.urgent = true;
             return Charge::Admitted;
         }
-        let admitted = if self.accounts.is_meeting(now) {
+        let admitted = if self.accounts.is_discovering(now) {
             let admitted = self
                 .accounts
-                .admit_unheard(now, number, quota, demand, reach);
-            let met_at = self.accounts.met_at();
+                .admit_without_owner(now, number, quota, demand, reach);
+            let discovery_ends_at = self.accounts.discovery_ends_at();
             // Refused, its caller would come back later than that.
-            if admitted.is_err() && now + left > met_at {
-                return Charge::Wait(met_at);
+            if admitted.is_err() && now + remaining > discovery_ends_at {
+                return Charge::Wait(discovery_ends_at);
             }
             admitted
         } else if reach.one_cell {
@@ -84,14 +90,14 @@
             match self.members.owner(now, Scope::Fleet, number) {
                 Owner::Own => self.grant(now, number, quota, demand),
                 Owner::Other(address) => {
-                    return Charge::Ask(address, self.next_question(number, demand));
+                    return Charge::Ask(address, self.next_reservation(number, demand));
                 }
                 Owner::Unheard => {
                     let admitted = self
                         .accounts
-                        .admit_unheard(now, number, quota, demand, reach);
-                    if admitted.is_err() && self.may_wait(now, OWNER_AWAITED, left) {
-                        return Charge::Wait(now + OWNER_AWAITED);
+                        .admit_without_owner(now, number, quota, demand, reach);
+                    if admitted.is_err() && self.may_wait(now, OWNER_WAIT, remaining) {
+                        return Charge::Wait(now + OWNER_WAIT);
                     }
                     admitted
                 }
@@ -103,11 +109,11 @@
                 self.urgent = true;
                 Charge::Admitted
             }
-            Err(denied) => self.refuse_charge(now, denied, left),
+            Err(denied) => self.refuse_charge(now, denied, remaining),
         }
     }
 
-    fn next_question(&mut self, customer: u64, demand: Demand) -> Reserve {
+    fn next_reservation(&mut self, customer: u64, demand: Demand) -> Reserve {
         self.next_reserve += 1;
         Reserve {
             number: self.next_reserve,
@@ -120,19 +126,19 @@
 
     /// True where a request of a node that has just started is rather to wait so long
     /// than to be refused.
-    fn may_wait(&self, now: Time, wait: Span, left: Span) -> bool {
-        let starts = now.since(self.accounts.started()) < STARTS_FOR;
-        starts && wait <= WAIT_MOST && wait.0 * LEFT_PARTS < left.0
+    fn may_wait(&self, now: Time, wait: Span, remaining: Span) -> bool {
+        let starting = now.since(self.accounts.started()) < STARTUP_TIME;
+        starting && wait <= MAX_STARTUP_WAIT && wait.0 * STARTUP_WAIT_DIVISOR < remaining.0
     }
 
-    fn refuse_charge(&mut self, now: Time, denied: Denied, left: Span) -> Charge {
-        if self.may_wait(now, denied.wait, left) {
-            return Charge::Wait(now + denied.wait.max(WAIT_LEAST));
+    fn refuse_charge(&mut self, now: Time, denied: Denied, remaining: Span) -> Charge {
+        if self.may_wait(now, denied.wait, remaining) {
+            return Charge::Wait(now + denied.wait.max(MIN_STARTUP_WAIT));
         }
         self.first_tries.note_refused(now);
         let refusal = Refusal {
             code: Code::CustomerLimit,
-            retry_after: Some(self.retry_after(now, denied.wait, left)),
+            retry_after: Some(self.retry_after(now, denied.wait, remaining)),
             wait: None,
             owner: None,
         };
@@ -141,7 +147,7 @@
 
     /// Answers another node that takes this one for the owner of a quota.
     pub fn reserve(&mut self, now: Time, reserve: &Reserve) -> Verdict {
-        self.accounts.begin(now);
+        self.accounts.note_start(now);
         let customer = self
             .table
             .as_ref()
@@ -174,20 +180,20 @@
         let reach = self.members.reach(now);
         self.accounts.admit(now, customer, quota, demand, reach)?;
         if !self.members.is_first_owner(now, customer) {
-            self.accounts.set_aside(customer, demand.units);
+            self.accounts.withhold(customer, demand.units);
         }
         Ok(())
     }
 
     /// Takes an owner's answer, or none where `verdict` is nothing; the request
     /// is charged anew where that leaves it open.
-    pub fn reserved(
+    pub fn finish_reservation(
         &mut self,
         now: Time,
         owner: SocketAddrV4,
         customer: &Customer,
         demand: Demand,
-        left: Span,
+        remaining: Span,
         verdict: Option<Verdict>,
     ) -> Charge {
         match verdict {
@@ -196,21 +202,21 @@
                     let number = customer.name.to_number();
                     let reach = self.members.reach(now);
                     let accounts = &mut self.accounts;
-                    accounts.note_even(now, number, quota, demand.units, reach);
+                    accounts.charge_node_share(now, number, quota, demand.units, reach);
                 }
                 Charge::Admitted
             }
-            Some(Verdict::Denied(denied)) => self.refuse_charge(now, denied, left),
+            Some(Verdict::Denied(denied)) => self.refuse_charge(now, denied, remaining),
             Some(Verdict::Unknown) | None => {
                 self.members.note_unanswered(now, owner);
-                self.charge(now, customer, demand, left)
+                self.charge(now, customer, demand, remaining)
             }
         }
     }
 
     /// Gives back what a request was charged that did not run. Where an `owner`
     /// had granted it, that one is to be told what is returned.
-    pub fn give_back(
+    pub fn refund(
         &mut self,
         customer: &Customer,
         units: u64,
@@ -220,7 +226,7 @@
         match owner {
             Some(owner) => Some((owner, Release { customer, units })),
             None => {
-                self.accounts.give_back(customer, units);
+                self.accounts.refund(customer, units);
                 None
             }
         }
@@ -228,6 +234,6 @@
 
     /// Takes back units that another node did not use.
     pub fn release(&mut self, release: &Release) {
-        self.accounts.give_back(release.customer, release.units);
+        self.accounts.refund(release.customer, release.units);
     }
 }
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -22,7 +22,7 @@
 use crate::message::Waiting;
 use crate::parts::Digest;
 use crate::protocol::Protocol;
-use crate::quota::Speaker;
+use crate::quota::Reporter;
 use crate::section;
 use crate::section::Difference;
 use crate::worker::Reports;
@@ -61,7 +61,7 @@
     /// Takes in what another node said. What it runs counts from the next tick
     /// on, so that a word costs little in a large fleet.
     pub fn hear(&mut self, now: Time, from: SocketAddrV4, mut status: Status) -> News {
-        self.accounts.begin(now);
+        self.accounts.note_start(now);
         let findings = std::mem::take(&mut status.findings);
         let rate_limits = std::mem::take(&mut status.rate_limits);
         let notices = std::mem::take(&mut status.notices);
@@ -72,7 +72,7 @@
         if news == News::Old {
             return news;
         }
-        let speaker = Speaker {
+        let speaker = Reporter {
             address: from,
             incarnation,
             known: news == News::Known,
@@ -82,7 +82,8 @@
         for said in usage {
             let customer = table.and_then(|table| table.customer_by_number_opt(said.customer));
             let quota = customer.and_then(|customer| customer.quota.as_ref());
-            self.accounts.hear(now, speaker, said, quota, reach);
+            self.accounts
+                .record_peer_usage(now, speaker, said, quota, reach);
         }
         self.hear_rate_limits(now, &rate_limits);
         self.hear_notices(now, &notices);
@@ -122,7 +123,7 @@
     pub fn statuses(&mut self, now: Time) -> Vec<(Status, Vec<SocketAddrV4>)> {
         let occasion = Occasion {
             urgent: self.urgent,
-            pressed: self.accounts.is_pressed(now),
+            pressed: self.accounts.is_usage_high(now),
             news: self.news,
         };
         let due = self.members.due(now, occasion);
@@ -313,7 +314,9 @@
     /// Who reads the platform, as this node sees it.
     pub fn reading(&self, now: Time) -> Reading {
         match self.list.revision {
-            0 => self.members.first_reading(now, self.accounts.met_at()),
+            0 => self
+                .members
+                .first_reading(now, self.accounts.discovery_ends_at()),
             _ => self.members.reading(now),
         }
     }
--- a/crates/dispatch/src/dispatcher/start_cold.rs
+++ b/crates/dispatch/src/dispatcher/start_cold.rs
@@ -35,6 +35,6 @@
     /// heard. Nothing where the service has no bound.
     pub(super) fn cold_interval_opt(&self, now: Time, pool: &Pool) -> Option<Span> {
         let interval = pool.cold?.interval;
-        Some(self.members.reach(now).stretch(interval))
+        Some(self.members.reach(now).scale_interval(interval))
     }
 }
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -39,7 +39,7 @@
             self.members.forget_statuses();
         }
         self.ticked = now;
-        self.accounts.begin(now);
+        self.accounts.note_start(now);
         self.members.forget(now);
         self.quarantine.forget(now);
         self.stop_correcting(now);
--- a/crates/dispatch/src/member/mod.rs
+++ b/crates/dispatch/src/member/mod.rs
@@ -288,7 +288,7 @@
         Reach {
             nodes,
             silent,
-            alone: self.first_heard.is_none(),
+            isolated: self.first_heard.is_none(),
             one_cell: nodes <= self.options.one_cell,
         }
     }
--- a/crates/dispatch/src/quota/admit.rs
+++ b/crates/dispatch/src/quota/admit.rs
@@ -7,11 +7,11 @@
 use super::Demand;
 use super::Denied;
 use super::Reach;
-use super::initial::MANY;
+use super::initial::ASSUMED_NODES;
 use crate::configuration::Quota;
 
 /// Longest time after which a bucket is said to hold enough, in microseconds.
-const WAIT_MOST: f64 = 6e7;
+const MAX_WAIT_MICROS: f64 = 6e7;
 
 impl Accounts {
     /// Takes a request's units out of the customer's bucket, or says why not.
@@ -31,23 +31,23 @@
             routine,
             pressed,
         } = demand;
-        let most = self.most(quota, reach);
+        let capacity = self.capacity(quota, reach);
         // The last part of what a bucket can hold since this node started, when it was
         // empty, is for what is more protected, and for what is so small that refusing it
         // would save nothing. Of a whole bucket that part alone would take half a second
         // to come in, in which the others would get nothing.
-        let gained = self.rate(quota, reach) * now.since(self.started).as_secs_f64();
-        let small = units as f64 <= most * self.options.small;
-        let kept = if small {
+        let filled = self.fill_rate(quota, reach) * now.since(self.started).as_secs_f64();
+        let small = units as f64 <= capacity * self.options.small_fraction;
+        let reserved = if small {
             0.0
         } else {
-            most.min(gained) * self.options.reserve * routine
+            capacity.min(filled) * self.options.reserved_fraction * routine
         };
         let account = self.account(now, customer, quota, reach);
         // A request larger than the whole bucket passes when that is full.
-        let asked = (units as f64 + kept).min(most);
+        let asked = (units as f64 + reserved).min(capacity);
         let level = match pressed {
-            true => account.level.min(account.plain),
+            true => account.level.min(account.base_level),
             false => account.level,
         };
         if level < asked {
@@ -55,13 +55,13 @@
             return Err(Denied {
                 wait: to_wait(missing / quota.per_second.max(1e-9)),
                 level,
-                most,
-                kept,
+                capacity,
+                reserved,
             });
         }
         account.take(units as f64);
         account.used += units;
-        account.changed = now;
+        account.used_at = now;
         Ok(())
     }
 
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// When this node will have saved up enough.
-    pub fn admit_unheard(
+    pub fn admit_without_owner(
         &mut self,
         now: Time,
         customer: u64,
@@ -80,60 +80,68 @@
         demand: Demand,
         reach: Reach,
     ) -> Result<(), Denied> {
-        let takes = self.even_time(now, quota, demand.units, reach);
-        let saved = now - self.options.saved;
+        let cost = self.share_time(now, quota, demand.units, reach);
+        let accrued_since = now - self.options.accrual_time;
         let account = self.account(now, customer, quota, reach);
-        let paid_at = account.even_at.max(saved) + takes;
-        if paid_at > now {
+        let paid_until = account.share_paid_until.max(accrued_since) + cost;
+        if paid_until > now {
             return Err(Denied {
-                wait: paid_at.since(now),
+                wait: paid_until.since(now),
                 level: account.level,
-                most: account.most,
-                kept: account.most,
+                capacity: account.capacity,
+                reserved: account.capacity,
             });
         }
         self.admit(now, customer, quota, demand, reach)?;
-        self.note_even(now, customer, quota, demand.units, reach);
+        self.charge_node_share(now, customer, quota, demand.units, reach);
         Ok(())
     }
 
     /// Counts what was given out through this node, by whomever, against the
     /// even part that it would have if it were cut off.
-    pub fn note_even(&mut self, now: Time, customer: u64, quota: &Quota, units: u64, reach: Reach) {
-        let takes = self.even_time(now, quota, units, reach);
-        let saved = now - self.options.saved;
+    pub fn charge_node_share(
+        &mut self,
+        now: Time,
+        customer: u64,
+        quota: &Quota,
+        units: u64,
+        reach: Reach,
+    ) {
+        let cost = self.share_time(now, quota, units, reach);
+        let accrued_since = now - self.options.accrual_time;
         let account = self.account(now, customer, quota, reach);
-        account.even_at = account.even_at.max(saved) + takes;
+        account.share_paid_until = account.share_paid_until.max(accrued_since) + cost;
     }
 
     /// The time in which this node's even part grows by `units`.
-    fn even_time(&self, now: Time, quota: &Quota, units: u64, reach: Reach) -> Span {
-        let nodes = match self.is_meeting(now) {
-            true => reach.nodes.max(MANY),
+    fn share_time(&self, now: Time, quota: &Quota, units: u64, reach: Reach) -> Span {
+        let nodes = match self.is_discovering(now) {
+            true => reach.nodes.max(ASSUMED_NODES),
             false => reach.nodes,
         };
-        let even = self.rate(quota, reach) * self.options.alone / nodes.max(1) as f64;
-        to_wait(units as f64 / even.max(1e-9))
+        let node_rate =
+            self.fill_rate(quota, reach) * self.options.isolated_share / nodes.max(1) as f64;
+        to_wait(units as f64 / node_rate.max(1e-9))
     }
 
     /// Takes units out of a bucket that somebody else may be giving out.
-    pub fn set_aside(&mut self, customer: u64, units: u64) {
+    pub fn withhold(&mut self, customer: u64, units: u64) {
         if let Some(account) = self.accounts.get_mut(&customer) {
             account.take(units as f64);
         }
     }
 
     /// Gives back what a request that did not run was charged.
-    pub fn give_back(&mut self, customer: u64, units: u64) {
+    pub fn refund(&mut self, customer: u64, units: u64) {
         // Only this node's bucket: the others' are told of use, which never
         // falls, so that a late message cannot give back twice.
         if let Some(account) = self.accounts.get_mut(&customer) {
             account.level += units as f64;
-            account.plain += units as f64;
+            account.base_level += units as f64;
         }
     }
 }
 
 fn to_wait(seconds: f64) -> Span {
-    Span((seconds * 1e6).min(WAIT_MOST) as u64)
+    Span((seconds * 1e6).min(MAX_WAIT_MICROS) as u64)
 }
--- a/crates/dispatch/src/quota/initial.rs
+++ b/crates/dispatch/src/quota/initial.rs
@@ -23,7 +23,7 @@
 use crate::configuration::Quota;
 
 /// Nodes that share a quota as far as one that has just started can know.
-pub(super) const MANY: usize = 64;
+pub(super) const ASSUMED_NODES: usize = 64;
 
 impl Accounts {
     /// Charges a request to this node's initial credit; false where that does
@@ -42,24 +42,24 @@
         let credit = self.allowance(quota) * self.options.initial;
         let credit = credit * self.initial_share(now, reach);
         let account = self.account(now, customer, quota, reach);
-        if (account.advanced + demand.units) as f64 > credit {
+        if (account.initial_used + demand.units) as f64 > credit {
             return false;
         }
-        account.advanced += demand.units;
+        account.initial_used += demand.units;
         account.used += demand.units;
-        account.changed = now;
+        account.used_at = now;
         true
     }
 
     /// This node's share of the initial credit.
     fn initial_share(&self, now: Time, reach: Reach) -> f64 {
-        let least = 1.0 / MANY as f64;
-        if reach.alone {
+        let least = 1.0 / ASSUMED_NODES as f64;
+        if reach.isolated {
             return least;
         }
         let even = 1.0 / reach.nodes.max(1) as f64;
         let since = now.since(self.started).as_secs_f64();
-        let met = since / self.options.meet_within.as_secs_f64();
+        let met = since / self.options.discovery_time.as_secs_f64();
         (even * met.min(1.0)).max(least.min(even))
     }
 }
--- a/crates/dispatch/src/quota/mod.rs
+++ b/crates/dispatch/src/quota/mod.rs
@@ -11,7 +11,7 @@
 //!
 //! * `admit.rs`: requests are charged.
 //! * `initial.rs`: what a node gives out that has just started.
-//! * `tell.rs`: what nodes tell each other of their customers' use.
+//! * `usage.rs`: what nodes tell each other of their customers' use.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -25,9 +25,9 @@
 
 mod admit;
 mod initial;
-mod tell;
+mod usage;
 
-pub use tell::Speaker;
+pub use usage::Reporter;
 
 /// How far the rules let the whole go beyond a customer's limit.
 #[derive(Debug, Clone, PartialEq)]
@@ -50,19 +50,19 @@
     /// The window in which the rules count a customer's use.
     pub window: Span,
     /// How much of its part a node may have saved up that reaches no owner.
-    pub saved: Span,
+    pub accrual_time: Span,
     /// The share of a limit that a node gives out which has heard no other
     /// node since it started; and of its even part, one that reaches no owner.
-    pub alone: f64,
+    pub isolated_share: f64,
     /// The part of a bucket that the least protected requests leave to others.
-    pub reserve: f64,
+    pub reserved_fraction: f64,
     /// The part of a bucket up to which a request is so small that it may use
     /// all of it.
-    pub small: f64,
+    pub small_fraction: f64,
     /// How long a customer's use is told to others after it last changed.
-    pub tell_for: Span,
+    pub report_for: Span,
     /// Time from its start in which a node meets the others.
-    pub meet_within: Span,
+    pub discovery_time: Span,
 }
 
 impl Default for Options {
@@ -74,12 +74,12 @@
             part_in_cells: 0.4,
             initial: 0.25,
             window: Span::from_secs(8),
-            saved: Span::from_secs(8),
-            alone: 0.25,
-            reserve: 0.35,
-            small: 0.01,
-            tell_for: Span::from_secs(10),
-            meet_within: Span::from_millis(300),
+            accrual_time: Span::from_secs(8),
+            isolated_share: 0.25,
+            reserved_fraction: 0.35,
+            small_fraction: 0.01,
+            report_for: Span::from_secs(10),
+            discovery_time: Span::from_millis(300),
         }
     }
 }
@@ -104,7 +104,7 @@
     /// Of them, those that are silent.
     pub silent: usize,
     /// True where none other was heard since the start.
-    pub alone: bool,
+    pub isolated: bool,
     /// True where the whole fleet is one cell, whose nodes hear each other
     /// many times a second.
     pub one_cell: bool,
@@ -113,7 +113,7 @@
 impl Reach {
     /// A time between two events of this node, for a bound that all nodes keep together:
     /// longer by the part of the fleet that is not heard and has a keeper of its own.
-    pub fn stretch(self, interval: Span) -> Span {
+    pub fn scale_interval(self, interval: Span) -> Span {
         let heard = self.nodes.saturating_sub(self.silent).max(1);
         Span(interval.0 * self.nodes as u64 / heard as u64)
     }
@@ -127,13 +127,13 @@
     /// Units in the bucket now.
     pub level: f64,
     /// Units in a full bucket.
-    pub most: f64,
+    pub capacity: f64,
     /// Units that are kept for more protected requests.
-    pub kept: f64,
+    pub reserved: f64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Told {
+struct PeerUsage {
     incarnation: u64,
     units: u64,
 }
@@ -142,17 +142,17 @@
 struct Account {
     level: f64,
     /// What a bucket of the plain limit would hold.
-    plain: f64,
-    most: f64,
-    at: Time,
+    base_level: f64,
+    capacity: f64,
+    updated_at: Time,
     used: u64,
     /// Units given out of this node's initial credit.
-    advanced: u64,
-    changed: Time,
+    initial_used: u64,
+    used_at: Time,
     /// When this node has kept to its even part of the rate again, whoever gave
     /// it out.
-    even_at: Time,
-    told: HashMap<SocketAddrV4, Told>,
+    share_paid_until: Time,
+    peer_usage: HashMap<SocketAddrV4, PeerUsage>,
 }
 
 impl Account {
@@ -160,7 +160,7 @@
     /// falls below empty: what spare endpoints did is not held against later.
     fn take(&mut self, units: f64) {
         self.level -= units;
-        self.plain = (self.plain - units).max(0.0);
+        self.base_level = (self.base_level - units).max(0.0);
     }
 
     /// A bucket that was empty when this node started, since it cannot know
@@ -168,14 +168,14 @@
     fn new(started: Time) -> Account {
         Account {
             level: 0.0,
-            plain: 0.0,
-            most: 0.0,
-            at: started,
+            base_level: 0.0,
+            capacity: 0.0,
+            updated_at: started,
             used: 0,
-            advanced: 0,
-            changed: Time(0),
-            even_at: Time(0),
-            told: HashMap::new(),
+            initial_used: 0,
+            used_at: Time(0),
+            share_paid_until: Time(0),
+            peer_usage: HashMap::new(),
         }
     }
 }
@@ -189,7 +189,7 @@
 }
 
 /// Accounts kept before those that rest are forgotten.
-const KEPT: usize = 8_192;
+const MAX_ACCOUNTS: usize = 8_192;
 
 impl Accounts {
     /// Nothing used yet, by a node that started long ago.
@@ -203,7 +203,7 @@
 
     /// Says when this node started. Whatever comes first says so: a bucket that
     /// is made before would count as having filled since the beginning of time.
-    pub fn begin(&mut self, now: Time) {
+    pub fn note_start(&mut self, now: Time) {
         if self.started == Time(0) {
             self.started = now;
         }
@@ -215,24 +215,24 @@
     }
 
     /// True until this node can have met the others.
-    pub fn is_meeting(&self, now: Time) -> bool {
-        now < self.met_at()
+    pub fn is_discovering(&self, now: Time) -> bool {
+        now < self.discovery_ends_at()
     }
 
     /// When this node can have met the others.
-    pub fn met_at(&self) -> Time {
-        self.started + self.options.meet_within
+    pub fn discovery_ends_at(&self) -> Time {
+        self.started + self.options.discovery_time
     }
 
-    fn share(&self, reach: Reach) -> f64 {
-        if reach.alone {
-            return self.options.alone;
+    fn visible_share(&self, reach: Reach) -> f64 {
+        if reach.isolated {
+            return self.options.isolated_share;
         }
         let heard = reach.nodes.saturating_sub(reach.silent).max(1);
         heard as f64 / reach.nodes.max(1) as f64
     }
 
-    fn part(&self, reach: Reach) -> f64 {
+    fn usable_part(&self, reach: Reach) -> f64 {
         match reach.one_cell {
             true => self.options.part,
             false => self.options.part_in_cells,
@@ -241,41 +241,41 @@
 
     /// Units by which the rules let use in a window exceed the plain limit.
     fn allowance(&self, quota: &Quota) -> f64 {
-        let plain = quota.per_second * self.options.window.as_secs_f64() + quota.burst;
-        plain * self.options.overrun + self.options.slack
+        let base = quota.per_second * self.options.window.as_secs_f64() + quota.burst;
+        base * self.options.overrun + self.options.slack
     }
 
     /// Units in a full bucket. The burst is shared like the rate, else both
     /// sides of a cut would have a whole one.
-    fn most(&self, quota: &Quota, reach: Reach) -> f64 {
-        quota.burst * self.share(reach)
+    fn capacity(&self, quota: &Quota, reach: Reach) -> f64 {
+        quota.burst * self.visible_share(reach)
     }
 
     /// Units that a bucket gains in a second. All of the allowance that running
     /// nodes use goes here: a larger bucket would help for one burst alone.
-    fn rate(&self, quota: &Quota, reach: Reach) -> f64 {
-        let allowed = self.allowance(quota) * self.part(reach);
+    fn fill_rate(&self, quota: &Quota, reach: Reach) -> f64 {
+        let allowed = self.allowance(quota) * self.usable_part(reach);
         let gained = allowed / self.options.window.as_secs_f64().max(1e-3);
-        (quota.per_second + gained) * self.share(reach)
+        (quota.per_second + gained) * self.visible_share(reach)
     }
 
     fn account(&mut self, now: Time, customer: u64, quota: &Quota, reach: Reach) -> &mut Account {
-        let most = self.most(quota, reach);
-        let rate = self.rate(quota, reach);
-        let plain_rate = quota.per_second * self.share(reach);
-        if self.accounts.len() >= KEPT && !self.accounts.contains_key(&customer) {
-            let since = now - self.options.tell_for;
-            self.accounts.retain(|_, account| account.changed >= since);
+        let capacity = self.capacity(quota, reach);
+        let rate = self.fill_rate(quota, reach);
+        let base_rate = quota.per_second * self.visible_share(reach);
+        if self.accounts.len() >= MAX_ACCOUNTS && !self.accounts.contains_key(&customer) {
+            let since = now - self.options.report_for;
+            self.accounts.retain(|_, account| account.used_at >= since);
         }
         let started = self.started;
         let account = self.accounts.entry(customer);
         let account = account.or_insert_with(|| Account::new(started));
-        let gained = now.since(account.at).as_secs_f64() * rate;
-        account.level = (account.level + gained).min(most);
-        let plain_gained = now.since(account.at).as_secs_f64() * plain_rate;
-        account.plain = (account.plain + plain_gained).min(most);
-        account.most = most;
-        account.at = now;
+        let gained = now.since(account.updated_at).as_secs_f64() * rate;
+        account.level = (account.level + gained).min(capacity);
+        let base_gained = now.since(account.updated_at).as_secs_f64() * base_rate;
+        account.base_level = (account.base_level + base_gained).min(capacity);
+        account.capacity = capacity;
+        account.updated_at = now;
         account
     }
 }
--- a/crates/dispatch/tests/dispatch/fleet/builds.rs
+++ b/crates/dispatch/tests/dispatch/fleet/builds.rs
@@ -17,15 +17,15 @@
         centres: 3,
         ..shape()
     });
-    world.before = all_nodes(&world).into_iter().collect();
+    world.previous_build = all_nodes(&world).into_iter().collect();
     world
 }
 
 /// Restarts a node under the other build.
 fn change_build(world: &mut World, node: u16, life: u64) {
     world.kill(node);
-    if !world.before.remove(&node) {
-        world.before.insert(node);
+    if !world.previous_build.remove(&node) {
+        world.previous_build.insert(node);
     }
     world.boot(node, life);
 }
@@ -56,9 +56,9 @@
     };
     let two = seen_in(roll, change_build);
     let one = seen_in(roll, restart);
-    let percent = |seen: &[Seen], is: fn(&Seen) -> bool| share(seen, is) * 100.0;
-    let queued = |seen: &[Seen]| percent(seen, |one| one.queued);
-    let in_time = |seen: &[Seen]| percent(seen, is_in_time);
+    let percent = |seen: &[Outcome], is: fn(&Outcome) -> bool| share(seen, is) * 100.0;
+    let queued = |seen: &[Outcome]| percent(seen, |one| one.queued);
+    let in_time = |seen: &[Outcome]| percent(seen, is_in_time);
     let (with_two, with_one) = (queued(&two), queued(&one));
     assert!(with_two <= with_one + WORSE_MOST, "{with_two}, {with_one}");
     let (with_two, with_one) = (in_time(&two), in_time(&one));
@@ -72,7 +72,7 @@
 }
 
 /// The requests that come during a roll, after which all nodes have the newest list.
-fn seen_in(roll: Roll, replace: fn(&mut World, u16, u64)) -> Vec<Seen> {
+fn seen_in(roll: Roll, replace: fn(&mut World, u16, u64)) -> Vec<Outcome> {
     let Roll {
         at_once,
         changed,
@@ -106,7 +106,7 @@
     let behind = world.nodes.values();
     let behind = behind.filter(|node| node.edition().revision < wanted);
     assert_eq!(behind.count(), 0);
-    world.between(from, world.now)
+    world.arrived_between(from, world.now)
 }
 
 /// All are killed while half are of either build.
@@ -146,7 +146,7 @@
     }
     world.run_for(Span::from_secs(9));
     let third = world.crashes.get(2).map_or(world.now, |one| one.when);
-    let late = world.reached.iter();
+    let late = world.crash_arrivals.iter();
     let late = late.filter(|(at, _, _)| at.since(third) > Span::from_secs(3));
     assert!(late.count() <= 3, "{} crashes", world.crashes.len());
 }
--- a/crates/dispatch/tests/dispatch/fleet/cold.rs
+++ b/crates/dispatch/tests/dispatch/fleet/cold.rs
@@ -25,7 +25,7 @@
         centres: 3,
         endpoints: 24,
         slots: 5,
-        call: Span::from_millis(200),
+        call_time: Span::from_millis(200),
         cold: Some(BOUND),
         ..super::shape()
     }
--- a/crates/dispatch/tests/dispatch/fleet/crash.rs
+++ b/crates/dispatch/tests/dispatch/fleet/crash.rs
@@ -55,7 +55,7 @@
         return 0;
     };
     let known = third.when + IN_TOUCH_AFTER;
-    let reached = world.reached.iter();
+    let reached = world.crash_arrivals.iter();
     reached
         .filter(|(when, _, of)| *when > known && *of == what)
         .count()
@@ -63,7 +63,7 @@
 
 /// The share of what else came that had its whole answer, at the first try or the second.
 fn share_served(world: &World) -> f64 {
-    let others = world.seen.values();
+    let others = world.outcomes.values();
     let others = others.filter(|one| !world.crashing.contains(&one.fingerprint));
     let mut asked = std::collections::BTreeMap::new();
     for one in others {
@@ -113,7 +113,7 @@
     }
     let from = world.now;
     world.run_for(span + Span::from_secs(3));
-    let seen = world.between(from, world.now);
+    let seen = world.arrived_between(from, world.now);
     let whole = share(&seen, |one| one.whole);
     assert!(whole >= 0.8, "{whole}");
 }
@@ -132,7 +132,7 @@
 }
 
 fn figures(world: &World) -> Figures {
-    let others = world.seen.values();
+    let others = world.outcomes.values();
     let others = others.filter(|one| !world.crashing.contains(&one.fingerprint));
     Figures {
         ends: world.crashes.len(),
@@ -154,7 +154,7 @@
         quarantine: options,
         ..small()
     });
-    world.part = part;
+    world.partition_of = part;
     world.run_for(Span::from_secs(2));
     let nodes = all_nodes(&world);
     let span = Span::from_secs(24);
@@ -311,9 +311,9 @@
     world.run_for(Span::from_secs(14));
     let (barred, later) = (from, world.now);
     world.run_for(Span::from_secs(14));
-    let whole = |seen: &[Seen]| share(seen, |one| one.whole);
-    assert!(whole(&world.between(barred, barred + Span::from_secs(8))) == 0.0);
-    let served = whole(&world.between(later, world.now));
+    let whole = |seen: &[Outcome]| share(seen, |one| one.whole);
+    assert!(whole(&world.arrived_between(barred, barred + Span::from_secs(8))) == 0.0);
+    let served = whole(&world.arrived_between(later, world.now));
     assert!(served >= 0.9, "{served}");
 }
 
@@ -328,12 +328,12 @@
     let span = Span::from_secs(3);
     load_others(&mut world, 400, span, &nodes);
     load_same(&mut world, CRASHING, Span::from_millis(400), span, &nodes);
-    let before = world.findings;
+    let before = world.findings_bytes;
     world.run_for(span);
     let knowing = world.nodes.values();
     let knowing = knowing.filter(|node| node.is_barred(world.now, CRASHING));
     assert_eq!(knowing.count(), nodes.len());
-    let each = (world.findings - before) as f64 / nodes.len() as f64 / span.as_secs_f64();
+    let each = (world.findings_bytes - before) as f64 / nodes.len() as f64 / span.as_secs_f64();
     assert!(each <= 6_000.0, "{each}");
 }
 
--- a/crates/dispatch/tests/dispatch/fleet/drill.rs
+++ b/crates/dispatch/tests/dispatch/fleet/drill.rs
@@ -129,7 +129,7 @@
     world.publish_to_readers(again);
     world.run_for(Span::from_secs(2));
     assert_eq!(wrongly_sent(&world, &copy, since), 0);
-    let seen = world.between(since, world.now);
+    let seen = world.arrived_between(since, world.now);
     let began = share(&seen, |one| one.began.is_some());
     assert_eq!(began > 0.9, served, "{began}");
 }
@@ -176,7 +176,7 @@
 fn the_build_before_leads_nobody_back() {
     let mut world = fleet(26, 3);
     let all = all_nodes(&world);
-    world.before = all.iter().copied().filter(|node| node % 2 == 1).collect();
+    world.previous_build = all.iter().copied().filter(|node| node % 2 == 1).collect();
     let copy = write(&mut world);
     let since = world.now;
     let new: Vec<u16> = all.iter().copied().filter(|node| node % 2 == 0).collect();
--- a/crates/dispatch/tests/dispatch/fleet/evacuate.rs
+++ b/crates/dispatch/tests/dispatch/fleet/evacuate.rs
@@ -70,7 +70,7 @@
         .iter()
         .copied()
         .filter(|node| (node / centres).is_multiple_of(3));
-    world.turned_away = away.collect();
+    world.without_platform = away.collect();
     load(&mut world, MODEL, 500, Span::from_secs(5), &all);
     world.run_for(SECOND);
     let list = evacuated(&world, &["dc0"]);
@@ -103,9 +103,9 @@
     world.run_for(SECOND);
     let from = world.now;
     world.run_for(Span::from_secs(4));
-    let here: Vec<Seen> = world.seen_at(from, |node| node % 3 == 0);
+    let here: Vec<Outcome> = world.arrived_at(from, |node| node % 3 == 0);
     assert_in_time(&here, 97.0);
-    assert_in_time(&world.between(from, world.now), 97.0);
+    assert_in_time(&world.arrived_between(from, world.now), 97.0);
     assert_all_over(&mut world);
 }
 
@@ -163,6 +163,6 @@
     let seen = serve(&mut world, MODEL, 200, SECOND, &all);
     world.run_for(SECOND);
     assert!(seen.iter().all(|one| one.began.is_none()));
-    let refused = world.between(Time(0), world.now);
+    let refused = world.arrived_between(Time(0), world.now);
     assert!(refused.iter().all(|one| one.refused));
 }
--- a/crates/dispatch/tests/dispatch/fleet/leaving.rs
+++ b/crates/dispatch/tests/dispatch/fleet/leaving.rs
@@ -28,8 +28,8 @@
     leave(&mut world, one_of);
     let from = world.now;
     world.run_for(Span::from_secs(4));
-    world.notices.assert_left();
-    let seen = world.between(from, world.now - SECOND);
+    world.notices.assert_leaving_respected();
+    let seen = world.arrived_between(from, world.now - SECOND);
     assert_in_time(&seen, 95.0);
     assert_all_over_within(&mut world, Span::from_secs(3));
 }
@@ -84,13 +84,16 @@
 #[case::messages_lost(list_again, 20)]
 fn nothing_takes_back_that_an_endpoint_leaves(
     #[case] happens: fn(&mut World),
-    #[case] lost: u64,
+    #[case] loss_percent: u64,
     #[values(false, true)] with_cells: bool,
 ) {
     let shape = if with_cells { middle() } else { small() };
     let per_second = if with_cells { 200 } else { 60 };
     let mut world = under_load(
-        Shape { lost, ..shape },
+        Shape {
+            loss_percent,
+            ..shape
+        },
         MODEL,
         per_second,
         Span::from_secs(16),
@@ -100,7 +103,7 @@
     happens(&mut world);
     // Longer than anything is kept that is known of older lists.
     world.run_for(Span::from_secs(12));
-    world.notices.assert_left();
+    world.notices.assert_leaving_respected();
 }
 
 /// A later start under the same name has said nothing.
@@ -133,7 +136,7 @@
     world.run_for(SECOND);
     let from = world.now;
     world.run_for(SECOND);
-    let seen = world.between(from, world.now - Span::from_millis(100));
+    let seen = world.arrived_between(from, world.now - Span::from_millis(100));
     assert!(!seen.is_empty());
     assert!(seen.iter().all(|one| one.refused), "{seen:?}");
 }
@@ -152,7 +155,7 @@
     world.notices.leaving = of_centre(&world, "dc0");
     let from = world.now;
     world.run_for(Span::from_secs(6));
-    world.notices.assert_left();
-    let seen = world.between(from, world.now - SECOND);
+    world.notices.assert_leaving_respected();
+    let seen = world.arrived_between(from, world.now - SECOND);
     assert_in_time(&seen, 95.0);
 }
--- a/crates/dispatch/tests/dispatch/fleet/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/mod.rs
@@ -24,7 +24,7 @@
 mod start;
 mod world;
 
-use world::Seen;
+use world::Outcome;
 use world::Shape;
 use world::World;
 
@@ -38,9 +38,9 @@
         endpoints: 16,
         slots: 4,
         service: MODEL,
-        call: Span::from_millis(400),
-        way: Span::from_millis(1),
-        lost: 0,
+        call_time: Span::from_millis(400),
+        latency: Span::from_millis(1),
+        loss_percent: 0,
         cold: None,
         quarantine: quarantine::Options::default(),
         regions: region::Map::default(),
@@ -115,21 +115,21 @@
     per_second: u64,
     span: Span,
     nodes: &[u16],
-) -> Vec<Seen> {
+) -> Vec<Outcome> {
     let from = world.now;
     load(world, service, per_second, span, nodes);
     world.run_for(span);
-    world.between(from, world.now)
+    world.arrived_between(from, world.now)
 }
 
 /// At least so many of a hundred requests were in time.
-fn assert_in_time(seen: &[Seen], percent: f64) {
+fn assert_in_time(seen: &[Outcome], percent: f64) {
     let in_time = share(seen, is_in_time) * 100.0;
     assert!(in_time >= percent, "{in_time} in 100");
 }
 
 /// At the most so many of a hundred went to an endpoint without a free slot.
-fn assert_queued(seen: &[Seen], percent: f64) {
+fn assert_queued(seen: &[Outcome], percent: f64) {
     let queued = share(seen, |one| one.queued) * 100.0;
     assert!(queued <= percent, "{queued} in 100");
 }
@@ -150,12 +150,12 @@
 }
 
 /// The share of requests that one says so of.
-fn share(seen: &[Seen], is: impl Fn(&Seen) -> bool) -> f64 {
+fn share(seen: &[Outcome], is: impl Fn(&Outcome) -> bool) -> f64 {
     let count = seen.iter().filter(|one| is(one)).count();
     count as f64 / seen.len().max(1) as f64
 }
 
-fn is_in_time(seen: &Seen) -> bool {
+fn is_in_time(seen: &Outcome) -> bool {
     let since = |at: Time| at.since(seen.arrived);
     seen.began
         .is_some_and(|at| since(at) <= Span::from_millis(500))
@@ -169,7 +169,7 @@
 /// The same after so long.
 fn assert_all_over_within(world: &mut World, span: Span) {
     world.run_for(span);
-    for (name, seen) in &world.seen {
+    for (name, seen) in &world.outcomes {
         assert_eq!(seen.decided, 1, "{name:?} {seen:?}");
     }
     for (node, dispatcher) in &world.nodes {
@@ -204,7 +204,7 @@
     world.run_for(Span::from_secs(4));
     let ended = world.now;
     world.run_for(Span::from_secs(6));
-    let seen = world.between(ended + SECOND, ended + Span::from_secs(5));
+    let seen = world.arrived_between(ended + SECOND, ended + Span::from_secs(5));
     assert_in_time(&seen, 95.0);
     assert_all_over(&mut world);
 }
@@ -228,7 +228,7 @@
         endpoints: 2,
         slots: 6,
         service: SERVICE,
-        call: Span::from_millis(60),
+        call_time: Span::from_millis(60),
         ..shape()
     });
     let nodes = all_nodes(&world);
@@ -265,7 +265,7 @@
     per_second(&mut world, 200, 8);
     let from = world.now;
     per_second(&mut world, 480, 4);
-    let seen = world.between(from, world.now);
+    let seen = world.arrived_between(from, world.now);
     assert_in_time(&seen, 64.0);
     assert_all_over(&mut world);
 }
@@ -280,8 +280,8 @@
         endpoints: 2,
         slots: 6,
         service: SERVICE,
-        call: Span::from_millis(15),
-        way: Span::from_millis(3),
+        call_time: Span::from_millis(15),
+        latency: Span::from_millis(3),
         ..shape()
     });
     let nodes = all_nodes(&world);
@@ -294,8 +294,11 @@
 #[rstest]
 #[case::few(2)]
 #[case::many(10)]
-fn lost_messages_leave_nothing_behind(#[case] lost: u64) {
-    let mut world = World::start(Shape { lost, ..shape() });
+fn lost_messages_leave_nothing_behind(#[case] loss_percent: u64) {
+    let mut world = World::start(Shape {
+        loss_percent,
+        ..shape()
+    });
     let nodes = all_nodes(&world);
     let seen = serve(&mut world, MODEL, 200, Span::from_secs(4), &nodes);
     assert_in_time(&seen, 95.0);
@@ -317,7 +320,7 @@
     let at = world.now;
     kill_for(&mut world, &killed, Span::from_secs(2));
     world.run_for(Span::from_secs(4));
-    let seen = world.between(at, world.now);
+    let seen = world.arrived_between(at, world.now);
     assert_in_time(&seen, 95.0);
     assert_all_over(&mut world);
 }
@@ -334,9 +337,9 @@
     world.cut_off.clear();
     let healed_at = world.now;
     world.run_for(Span::from_secs(5));
-    let during = world.between(cut_at, healed_at);
+    let during = world.arrived_between(cut_at, healed_at);
     assert_in_time(&during, 95.0);
-    let after = world.between(healed_at + Span::from_secs(3), world.now);
+    let after = world.arrived_between(healed_at + Span::from_secs(3), world.now);
     assert_queued(&after, 1.0);
     assert_all_over(&mut world);
 }
@@ -361,7 +364,7 @@
     let at = world.now;
     kill_for(&mut world, &killed, SECOND);
     world.run_for(Span::from_secs(2));
-    let seen = world.between(at, world.now);
+    let seen = world.arrived_between(at, world.now);
     assert_in_time(&seen, 95.0);
     // What runs is over by then, and what was lost is asked for.
     assert_all_over_within(&mut world, Span::from_secs(5));
--- a/crates/dispatch/tests/dispatch/fleet/rate_limited.rs
+++ b/crates/dispatch/tests/dispatch/fleet/rate_limited.rs
@@ -34,7 +34,7 @@
     let named = endpoints.iter().step_by(one_of);
     let named: Vec<id::Endpoint> = named.map(|endpoint| endpoint.name.clone()).collect();
     for name in &named {
-        world.limits.insert(name.clone(), limit(text));
+        world.rate_limits.insert(name.clone(), limit(text));
     }
     named
 }
@@ -84,7 +84,7 @@
     let named = name_limits(&mut world, one_of, text);
     world.run_for(Span::from_secs(7));
     assert_kept(&world, &named, text, from);
-    let seen = world.between(from + HOLDS_AFTER, world.now - SECOND);
+    let seen = world.arrived_between(from + HOLDS_AFTER, world.now - SECOND);
     assert_in_time(&seen, 95.0);
 }
 
@@ -100,7 +100,7 @@
     let named = name_limits(&mut world, 1, "2.4");
     world.run_for(Span::from_secs(15));
     assert_kept(&world, &named, "2.4", from);
-    let seen = world.between(from + HOLDS_AFTER, world.now - SECOND);
+    let seen = world.arrived_between(from + HOLDS_AFTER, world.now - SECOND);
     assert_in_time(&seen, in_time);
 }
 
@@ -135,9 +135,9 @@
 
 /// The fleet falls apart in two.
 fn part(world: &mut World, span: Span) {
-    world.part = Some(|node| u16::from(node < 3));
+    world.partition_of = Some(|node| u16::from(node < 3));
     world.run_for(Span(span.0 * 2 / 3));
-    world.part = None;
+    world.partition_of = None;
     world.run_for(Span(span.0 / 3));
 }
 
@@ -168,11 +168,19 @@
 #[case::messages_are_lost(nothing, 20, "2.7")]
 fn limits_hold_through_trouble(
     #[case] trouble: Trouble,
-    #[case] lost: u64,
+    #[case] loss_percent: u64,
     #[case] text: &str,
     #[values(1, 3)] one_of: usize,
 ) {
-    let mut world = under_load(Shape { lost, ..small() }, MODEL, 50, Span::from_secs(16));
+    let mut world = under_load(
+        Shape {
+            loss_percent,
+            ..small()
+        },
+        MODEL,
+        50,
+        Span::from_secs(16),
+    );
     let from = world.now;
     let named = name_limits(&mut world, one_of, text);
     world.run_for(Span::from_secs(2));
@@ -198,8 +206,8 @@
     let moved = world.now;
     for name in &named {
         match after {
-            Some(text) => world.limits.insert(name.clone(), limit(text)),
-            None => world.limits.remove(name),
+            Some(text) => world.rate_limits.insert(name.clone(), limit(text)),
+            None => world.rate_limits.remove(name),
         };
     }
     // An endpoint that is sent one request in ten seconds is heard as seldom.
@@ -225,11 +233,11 @@
     let nodes = all_nodes(&world);
     let named = name_limits(&mut world, 1, "0.5");
     world.run_for(Span::from_secs(2));
-    world.limits.clear();
+    world.rate_limits.clear();
     world.run_for(Span::from_secs(60));
     load(&mut world, MODEL, 60, Span::from_secs(10), &nodes);
     world.run_for(Span::from_secs(10));
-    let seen = world.between(world.now - Span::from_secs(6), world.now - SECOND);
+    let seen = world.arrived_between(world.now - Span::from_secs(6), world.now - SECOND);
     assert_in_time(&seen, 95.0);
     assert_eq!(named.len(), 12);
 }
@@ -247,14 +255,14 @@
     let mut world = World::start(shape);
     let nodes = all_nodes(&world);
     let (own, before): (Vec<u16>, Vec<u16>) = nodes.iter().partition(|node| **node % 2 == 1);
-    world.before = before.into_iter().collect();
+    world.previous_build = before.into_iter().collect();
     world.run_for(SECOND);
     load(&mut world, MODEL, per_second, Span::from_secs(10), &own);
     let from = world.now;
     let named = name_limits(&mut world, 6, "2.7");
     world.run_for(Span::from_secs(10));
     assert_kept(&world, &named, "2.7", from);
-    let seen = world.between(from + HOLDS_AFTER, world.now - SECOND);
+    let seen = world.arrived_between(from + HOLDS_AFTER, world.now - SECOND);
     assert_in_time(&seen, 95.0);
 }
 
--- a/crates/dispatch/tests/dispatch/fleet/region_bound.rs
+++ b/crates/dispatch/tests/dispatch/fleet/region_bound.rs
@@ -67,7 +67,7 @@
     let from = world.now;
     world.run_for(Span::from_secs(5));
     assert_eq!(in_the_south(&world), 0);
-    assert_in_time(&world.between(from, world.now), 95.0);
+    assert_in_time(&world.arrived_between(from, world.now), 95.0);
     assert_all_over(&mut world);
 }
 
@@ -82,9 +82,9 @@
     let all = all_nodes(&world);
     load_bound(&mut world, 100, Span::from_secs(9), &all);
     world.run_for(SECOND);
-    world.part = Some(part);
+    world.partition_of = Some(part);
     world.run_for(Span::from_secs(4));
-    world.part = None;
+    world.partition_of = None;
     world.run_for(Span::from_secs(4));
     assert_eq!(in_the_south(&world), 0);
     assert_all_over(&mut world);
@@ -105,7 +105,7 @@
     let from = world.now;
     load_bound(&mut world, 100, SECOND, &all);
     world.run_for(Span::from_secs(3));
-    let seen = world.between(from, world.now);
+    let seen = world.arrived_between(from, world.now);
     assert!(seen.iter().all(|one| one.refused && one.began.is_none()));
     assert_eq!(in_the_south(&world), 0);
 }
--- a/crates/dispatch/tests/dispatch/fleet/resting.rs
+++ b/crates/dispatch/tests/dispatch/fleet/resting.rs
@@ -2,21 +2,21 @@
 
 use woadstage_types::id;
 
-use super::world::notices::Refusing;
+use super::world::notices::Rejecting;
 use super::*;
 
 /// Some endpoints turn requests away from now on, one of so many.
-fn refuse(world: &mut World, count: usize, refusing: Refusing) -> Vec<id::Endpoint> {
+fn refuse(world: &mut World, count: usize, refusing: Rejecting) -> Vec<id::Endpoint> {
     let endpoints = world.endpoints().into_iter().take(count);
     let names: Vec<id::Endpoint> = endpoints.map(|one| one.name).collect();
     for name in &names {
-        world.notices.refusing.insert(name.clone(), refusing);
+        world.notices.rejecting.insert(name.clone(), refusing);
     }
     names
 }
 
-fn all(rest: Span) -> Refusing {
-    Refusing { rest, one_of: 1 }
+fn all(rest: Span) -> Rejecting {
+    Rejecting { rest, one_of: 1 }
 }
 
 /// So many nodes before so many endpoints of a plain service.
@@ -26,7 +26,7 @@
         centres: 1,
         endpoints,
         service: SERVICE,
-        call: Span::from_millis(60),
+        call_time: Span::from_millis(60),
         ..small()
     }
 }
@@ -45,7 +45,7 @@
     let mut world = under_load(shape, service, per_second, Span::from_secs(9));
     refuse(&mut world, count, all(Span::from_secs(3)));
     world.run_for(Span::from_secs(8));
-    world.notices.assert_rested();
+    world.notices.assert_rest_respected();
 }
 
 /// Others have room, so no caller is to notice once the endpoints have said so.
@@ -64,11 +64,11 @@
     refuse(&mut world, count, all(Span::from_millis(rest_ms)));
     let from = world.now;
     world.run_for(Span::from_secs(20));
-    let seen = world.between(from + SECOND, world.now - SECOND);
+    let seen = world.arrived_between(from + SECOND, world.now - SECOND);
     let refused = seen.iter().filter(|one| one.refused).count();
     assert_eq!(refused, 0, "of {}", seen.len());
     assert_in_time(&seen, 99.0);
-    world.notices.assert_rested();
+    world.notices.assert_rest_respected();
 }
 
 /// What serves again is used again, all of it.
@@ -79,7 +79,7 @@
     let mut world = under_load(shape, MODEL, per_second, Span::from_secs(16));
     let names = refuse(&mut world, 4, all(SECOND));
     world.run_for(Span::from_secs(4));
-    world.notices.refusing.clear();
+    world.notices.rejecting.clear();
     world.run_for(Span::from_secs(5));
     let from = world.now;
     world.run_for(Span::from_secs(6));
@@ -103,18 +103,18 @@
 #[test]
 fn an_endpoint_that_turns_some_away_goes_on_serving() {
     let mut world = under_load(small(), MODEL, 120, Span::from_secs(11));
-    let some = Refusing {
+    let some = Rejecting {
         rest: SECOND,
         one_of: 3,
     };
     let names = refuse(&mut world, 1, some);
     let from = world.now;
     world.run_for(Span::from_secs(10));
-    world.notices.assert_rested();
+    world.notices.assert_rest_respected();
     let arrivals = world.arrivals[&names[0]].iter();
     let got = arrivals.filter(|at| **at > from).count();
     assert!(got >= 20, "{got} in 10 s");
-    let seen = world.between(from, world.now - SECOND);
+    let seen = world.arrived_between(from, world.now - SECOND);
     assert_in_time(&seen, 97.0);
 }
 
@@ -125,9 +125,9 @@
     let from = world.now;
     refuse(&mut world, 12, all(Span::from_millis(400)));
     world.run_for(Span::from_millis(300));
-    world.notices.refusing.clear();
+    world.notices.rejecting.clear();
     world.run_for(Span::from_secs(5));
-    world.notices.assert_rested();
-    let seen = world.between(from + SECOND, world.now - SECOND);
+    world.notices.assert_rest_respected();
+    let seen = world.arrived_between(from + SECOND, world.now - SECOND);
     assert_in_time(&seen, 97.0);
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/ends.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/ends.rs
@@ -39,10 +39,10 @@
             self.crashes.push(Crash { when, fingerprint });
         }
         let engine = self.engines.remove(endpoint).unwrap_or_default();
-        let seen = when + self.shape.way;
+        let seen = when + self.shape.latency;
         for (node, id) in engine.running.into_iter().chain(engine.waiting) {
             self.plan(seen, Event::Broken(node, id, End::Lost));
-            let refused = seen + Span(self.shape.way.0 * 2);
+            let refused = seen + Span(self.shape.latency.0 * 2);
             self.plan(refused, Event::Refused(node, endpoint.clone()));
         }
         self.plan(when + BACK_AFTER, Event::Back(endpoint.clone()));
@@ -75,7 +75,7 @@
         if next == Next::Again {
             return;
         }
-        self.seen.get_mut(&(node, id)).expect("it came").broken = true;
+        self.outcomes.get_mut(&(node, id)).expect("it came").broken = true;
         let Some(job) = self.jobs.remove(&(node, id)) else {
             return;
         };
--- a/crates/dispatch/tests/dispatch/fleet/world/engine.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/engine.rs
@@ -29,10 +29,10 @@
 impl World {
     /// A request reaches an endpoint, which runs it or puts it in line.
     pub(super) fn begin(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
-        let seen = self.seen.get_mut(&(node, id)).expect("it came");
+        let seen = self.outcomes.get_mut(&(node, id)).expect("it came");
         seen.decided += 1;
         if self.ended.contains(endpoint) {
-            let refused = self.now + self.shape.way;
+            let refused = self.now + self.shape.latency;
             self.plan(refused, Event::Broken(node, id, End::NotSent));
             return;
         }
@@ -40,7 +40,7 @@
         let arrivals = self.arrivals.entry(endpoint.clone()).or_default();
         arrivals.push(self.now);
         if self.crashing.contains(&fingerprint) {
-            self.reached.push((self.now, node, fingerprint));
+            self.crash_arrivals.push((self.now, node, fingerprint));
         }
         let engine = self.engines.entry(endpoint.clone()).or_default();
         if engine.running.len() >= self.shape.slots as usize {
@@ -55,8 +55,8 @@
             self.plan(self.now + CRASH_AFTER, crash);
         }
         // Calls differ in length by as much as they take at the least.
-        let spread = hash::chain(id.0, &node.to_le_bytes()) % self.shape.call.0;
-        let call = Span(self.shape.call.0 / 2 + spread);
+        let spread = hash::chain(id.0, &node.to_le_bytes()) % self.shape.call_time.0;
+        let call = Span(self.shape.call_time.0 / 2 + spread);
         let first = Event::First(node, id, endpoint.clone());
         self.plan(self.now + FIRST_AFTER, first);
         self.plan(self.now + call, Event::Done(node, id, endpoint.clone()));
@@ -71,7 +71,7 @@
             return;
         };
         engine.running.remove(at);
-        self.seen.get_mut(&(node, id)).expect("it came").whole = true;
+        self.outcomes.get_mut(&(node, id)).expect("it came").whole = true;
         if let Some(dispatcher) = self.nodes.get_mut(&node) {
             dispatcher.end(self.now, id, End::Whole);
             self.settle(node);
@@ -80,13 +80,16 @@
         let Some((node, id)) = engine.waiting.pop_front() else {
             return;
         };
-        let decided = self.seen[&(node, id)].decided;
+        let decided = self.outcomes[&(node, id)].decided;
         self.begin(node, id, endpoint);
         // It arrived and was decided before it waited here.
         self.arrivals.get_mut(endpoint).expect("it arrived").pop();
-        if self.crashing.contains(&self.seen[&(node, id)].fingerprint) {
-            self.reached.pop();
+        if self
+            .crashing
+            .contains(&self.outcomes[&(node, id)].fingerprint)
+        {
+            self.crash_arrivals.pop();
         }
-        self.seen.get_mut(&(node, id)).expect("it came").decided = decided;
+        self.outcomes.get_mut(&(node, id)).expect("it came").decided = decided;
     }
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/lists.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/lists.rs
@@ -29,7 +29,7 @@
 
     /// The list as a node's build reads it.
     pub(super) fn to_read(&self, node: u16) -> Arc<List> {
-        match self.before.contains(&node) {
+        match self.previous_build.contains(&node) {
             true => Arc::new(List {
                 era: Era::default(),
                 ..(*self.list).clone()
@@ -48,10 +48,10 @@
     fn readers(&self) -> Vec<u16> {
         let mut near: BTreeMap<(u16, u16), Vec<u16>> = BTreeMap::new();
         for node in self.nodes.keys().copied() {
-            if self.turned_away.contains(&node) || self.cut_off.contains(&node) {
+            if self.without_platform.contains(&node) || self.cut_off.contains(&node) {
                 continue;
             }
-            let part = self.part.map_or(0, |part| part(node));
+            let part = self.partition_of.map_or(0, |part| part(node));
             let readers = near.entry((self.centre(node), part)).or_default();
             if readers.len() < 2 {
                 readers.push(node);
@@ -99,7 +99,10 @@
         if self.cut_off.contains(&node) || self.cut_off.contains(&from) {
             return;
         }
-        if self.part.is_some_and(|part| part(node) != part(from)) {
+        if self
+            .partition_of
+            .is_some_and(|part| part(node) != part(from))
+        {
             return;
         }
         let (Some(to), Some(giver)) = (self.nodes.get(&node), self.nodes.get(&from)) else {
@@ -107,7 +110,7 @@
         };
         let mut pull = to.pull(address(from));
         let builds = [node, from];
-        if builds.iter().any(|one| self.before.contains(one)) {
+        if builds.iter().any(|one| self.previous_build.contains(one)) {
             pull.protocol = Protocol::FIRST;
             pull.known.endpoints.era = Era::default();
         }
@@ -115,7 +118,7 @@
         let Some(mut difference) = giver.snapshot(&pull).endpoints else {
             return;
         };
-        if builds.iter().any(|one| self.before.contains(one)) {
+        if builds.iter().any(|one| self.previous_build.contains(one)) {
             difference.era = Era::default();
         }
         let list = Arc::new(difference.into_list(&base));
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -75,11 +75,11 @@
     /// Their service.
     pub service: &'static str,
     /// How long a call takes.
-    pub call: Span,
+    pub call_time: Span,
     /// How long a message is on its way.
-    pub way: Span,
+    pub latency: Span,
     /// Messages of a hundred that are lost.
-    pub lost: u64,
+    pub loss_percent: u64,
     /// What endpoints bear while they are cold.
     pub cold: Option<cold::Bound>,
     /// What is not run any more.
@@ -138,7 +138,7 @@
 
 /// What was seen of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Seen {
+pub struct Outcome {
     /// What it asks for.
     pub fingerprint: Fingerprint,
     /// When it came.
@@ -168,7 +168,7 @@
     /// The list of endpoints that the platform publishes.
     pub list: Arc<List>,
     /// Nodes that the platform turns away.
-    pub turned_away: BTreeSet<u16>,
+    pub without_platform: BTreeSet<u16>,
     /// When requests arrived at each endpoint.
     pub arrivals: HashMap<id::Endpoint, Vec<Time>>,
     events: BinaryHeap<Reverse<(Time, u64)>>,
@@ -177,19 +177,19 @@
     /// The time.
     pub now: Time,
     /// Requests by node and name there.
-    pub seen: HashMap<(u16, job::Id), Seen>,
+    pub outcomes: HashMap<(u16, job::Id), Outcome>,
     /// Nodes whose messages reach nobody, and whom none reach.
     pub cut_off: BTreeSet<u16>,
     /// Nodes that run a build which says nothing of eras and reads nothing of them.
-    pub before: BTreeSet<u16>,
+    pub previous_build: BTreeSet<u16>,
     /// Lists on their way, where nodes start without one.
     pub links: Option<Links>,
     /// The part of a fleet that a node belongs to, where parts do not hear each other.
-    pub part: Option<fn(u16) -> u16>,
+    pub partition_of: Option<fn(u16) -> u16>,
     /// Messages that were sent, but for statuses.
     pub messages: usize,
     /// Bytes of what nodes said of requests that endpoints ended under.
-    pub findings: usize,
+    pub findings_bytes: usize,
     /// What crashes the endpoints that run it.
     pub crashing: BTreeSet<Fingerprint>,
     /// Endpoints that ended.
@@ -197,11 +197,11 @@
     /// Ends under requests that crash endpoints.
     pub crashes: Vec<Crash>,
     /// When a request that crashes endpoints reached one, from which node.
-    pub reached: Vec<(Time, u16, Fingerprint)>,
+    pub crash_arrivals: Vec<(Time, u16, Fingerprint)>,
     /// What callers ask for, who try once more when their request breaks.
     jobs: HashMap<(u16, job::Id), Job>,
     /// What endpoints name in their answers.
-    pub limits: HashMap<id::Endpoint, Limit>,
+    pub rate_limits: HashMap<id::Endpoint, Limit>,
     /// What else they say of themselves.
     pub notices: Notices,
     /// Callers who have tried again.
@@ -215,7 +215,7 @@
 }
 
 /// Bytes that a message takes for findings.
-fn findings_length(message: &Message) -> usize {
+fn findings_bytes(message: &Message) -> usize {
     let findings = match message {
         Message::Status(status) => &status.findings,
         Message::Findings(findings) => findings,
@@ -259,25 +259,25 @@
             nodes: BTreeMap::new(),
             engines: HashMap::new(),
             list: Arc::default(),
-            turned_away: BTreeSet::new(),
+            without_platform: BTreeSet::new(),
             arrivals: HashMap::new(),
             events: BinaryHeap::new(),
             what: HashMap::new(),
             next: 0,
             now: at(0),
-            seen: HashMap::new(),
+            outcomes: HashMap::new(),
             cut_off: BTreeSet::new(),
-            before: BTreeSet::new(),
+            previous_build: BTreeSet::new(),
             links: None,
-            part: None,
+            partition_of: None,
             messages: 0,
-            findings: 0,
+            findings_bytes: 0,
             crashing: BTreeSet::new(),
             ended: BTreeSet::new(),
             crashes: Vec::new(),
-            reached: Vec::new(),
+            crash_arrivals: Vec::new(),
             jobs: HashMap::new(),
-            limits: HashMap::new(),
+            rate_limits: HashMap::new(),
             notices: Notices::default(),
             returned: BTreeSet::new(),
             shape,
@@ -324,7 +324,7 @@
             ..options(1)
         });
         dispatcher.set_configuration(self.now, self.configuration());
-        if !self.turned_away.contains(&node) && self.links.is_none() {
+        if !self.without_platform.contains(&node) && self.links.is_none() {
             dispatcher.set_endpoints(self.now, self.to_read(node));
         }
         self.nodes.insert(node, dispatcher);
@@ -418,7 +418,7 @@
                     first_try: arrived - tried_for,
                     ..*job
                 };
-                let seen = Seen {
+                let seen = Outcome {
                     fingerprint: job.fingerprint,
                     arrived,
                     began: None,
@@ -430,7 +430,7 @@
                     broken: false,
                 };
                 let id = dispatcher.enter(now, job.clone());
-                self.seen.insert((node, id), seen);
+                self.outcomes.insert((node, id), seen);
                 self.jobs.insert((node, id), job);
                 self.settle(node);
             }
@@ -480,10 +480,11 @@
         let from = address(from);
         match message {
             Message::Status(mut status) => {
-                if self.before.contains(&to_node(from)) {
+                if self.previous_build.contains(&to_node(from)) {
                     status.protocol = Protocol::FIRST;
                 }
-                if self.before.contains(&to) || self.before.contains(&to_node(from)) {
+                if self.previous_build.contains(&to) || self.previous_build.contains(&to_node(from))
+                {
                     status.endpoints.era = Era::default();
                     status.rate_limits.clear();
                     status.notices.clear();
@@ -501,21 +502,21 @@
     }
 
     fn send(&mut self, from: u16, to: SocketAddrV4, message: Box<Message>) {
-        self.findings += findings_length(&message);
+        self.findings_bytes += findings_bytes(&message);
         self.next += 1;
         let drawn = hash::of(&self.next.to_le_bytes()) % 100;
-        if drawn < self.shape.lost {
+        if drawn < self.shape.loss_percent {
             return;
         }
         let to = to_node(to);
         if self.cut_off.contains(&from) || self.cut_off.contains(&to) {
             return;
         }
-        if self.part.is_some_and(|part| part(from) != part(to)) {
+        if self.partition_of.is_some_and(|part| part(from) != part(to)) {
             return;
         }
         self.plan(
-            self.now + self.shape.way,
+            self.now + self.shape.latency,
             Event::Message { from, to, message },
         );
     }
@@ -535,7 +536,7 @@
             match decision {
                 Decision::Start { job, endpoint, .. } => self.reach(node, job, &endpoint.name),
                 Decision::Refuse { job, refusal } => {
-                    let seen = self.seen.get_mut(&(node, job)).expect("it came");
+                    let seen = self.outcomes.get_mut(&(node, job)).expect("it came");
                     seen.refused = true;
                     seen.barred = refusal.code == Code::Barred;
                     seen.decided += 1;
@@ -545,15 +546,15 @@
     }
 
     /// Requests that came since a moment to the nodes that `is` says.
-    pub fn seen_at(&self, since: Time, is: impl Fn(u16) -> bool) -> Vec<Seen> {
-        let seen = self.seen.iter();
+    pub fn arrived_at(&self, since: Time, is: impl Fn(u16) -> bool) -> Vec<Outcome> {
+        let seen = self.outcomes.iter();
         let there = seen.filter(|((node, _), one)| is(*node) && one.arrived >= since);
         there.map(|(_, one)| *one).collect()
     }
 
     /// Requests that came between two moments, counted from the start.
-    pub fn between(&self, from: Time, until: Time) -> Vec<Seen> {
-        let seen = self.seen.values().copied();
+    pub fn arrived_between(&self, from: Time, until: Time) -> Vec<Outcome> {
+        let seen = self.outcomes.values().copied();
         seen.filter(|one| one.arrived >= from && one.arrived < until)
             .collect()
     }
--- a/crates/dispatch/tests/dispatch/fleet/world/notices.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/notices.rs
@@ -24,7 +24,7 @@
 
 /// How an endpoint turns requests away.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Refusing {
+pub struct Rejecting {
     /// For how long it wants nothing from a node that it turned away.
     pub rest: Span,
     /// One request of so many is turned away.
@@ -40,7 +40,7 @@
     /// Endpoints whose answers say that they leave.
     pub leaving: Vec<id::Endpoint>,
     /// Endpoints that turn requests away.
-    pub refusing: HashMap<id::Endpoint, Refusing>,
+    pub rejecting: HashMap<id::Endpoint, Rejecting>,
     /// How often each node was started.
     lives: HashMap<u16, u32>,
     /// When a node first got an answer by which an endpoint leaves.
@@ -64,7 +64,7 @@
 
     /// True where an endpoint turns a request away.
     fn refuses(&self, endpoint: &id::Endpoint, drawn: u64) -> bool {
-        let refusing = self.refusing.get(endpoint);
+        let refusing = self.rejecting.get(endpoint);
         refusing.is_some_and(|one| hash::of(&drawn.to_le_bytes()).is_multiple_of(one.one_of))
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Fails where an endpoint that leaves got a request too late, or said so to nobody.
-    pub fn assert_left(&self) {
+    pub fn assert_leaving_respected(&self) {
         assert!(!self.told.is_empty(), "nobody was told");
         assert_eq!(self.late(), 0);
     }
@@ -100,7 +100,7 @@
 
     /// Fails where an endpoint that rests got more requests from a node than it may, or
     /// turned nobody away.
-    pub fn assert_rested(&self) {
+    pub fn assert_rest_respected(&self) {
         assert!(!self.refusals.is_empty(), "nobody was turned away");
         let most = self.most_during_rest();
         assert!(most <= DURING_REST_MOST, "{most} in one rest");
@@ -110,7 +110,7 @@
 impl World {
     /// What the head of an endpoint's answer to a node says.
     pub(super) fn read_notice(&mut self, node: u16, endpoint: &id::Endpoint) -> Notice {
-        if self.before.contains(&node) {
+        if self.previous_build.contains(&node) {
             return Notice::default();
         }
         let leaving = self.notices.leaving.contains(endpoint);
@@ -118,7 +118,7 @@
             let pair = self.notices.pair(node, endpoint);
             self.notices.told.entry(pair).or_insert(self.now);
         }
-        let limit = self.limits.get(endpoint).copied();
+        let limit = self.rate_limits.get(endpoint).copied();
         Notice {
             rate_limit: limit.map_or(Field::Absent, Field::Given),
             leaving,
@@ -128,7 +128,7 @@
 
     /// A request reaches an endpoint, which turns it away or runs it.
     pub(super) fn reach(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
-        let seen = &self.seen[&(node, id)];
+        let seen = &self.outcomes[&(node, id)];
         let (came, decided) = (seen.arrived, seen.decided);
         let pair = self.notices.pair(node, endpoint);
         let sent = self.notices.sent.entry(pair.clone()).or_default();
@@ -138,20 +138,20 @@
             self.begin(node, id, endpoint);
             return;
         }
-        let rest = self.notices.refusing[endpoint].rest;
+        let rest = self.notices.rejecting[endpoint].rest;
         let refusals = self.notices.refusals.entry(pair).or_default();
         refusals.push((self.now, rest));
-        self.seen.get_mut(&(node, id)).expect("it came").decided += 1;
+        self.outcomes.get_mut(&(node, id)).expect("it came").decided += 1;
         let arrivals = self.arrivals.entry(endpoint.clone()).or_default();
         arrivals.push(self.now);
-        let heard = self.now + self.shape.way;
+        let heard = self.now + self.shape.latency;
         self.plan(heard, Event::TurnedAway(node, id, endpoint.clone()));
     }
 
     /// A node learns that its request was turned away.
     pub(super) fn take_refusal(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
-        let reads = !self.before.contains(&node);
-        let refusing = self.notices.refusing.get(endpoint).filter(|_| reads);
+        let reads = !self.previous_build.contains(&node);
+        let refusing = self.notices.rejecting.get(endpoint).filter(|_| reads);
         let rest = refusing.map(|one| one.rest);
         let notice = Notice {
             rate_limit: Field::Unknown,
@@ -164,7 +164,7 @@
         dispatcher.take_notice(self.now, id, &notice);
         let next = dispatcher.end(self.now, id, End::Full);
         if next != Next::Again {
-            let seen = self.seen.get_mut(&(node, id)).expect("it came");
+            let seen = self.outcomes.get_mut(&(node, id)).expect("it came");
             seen.refused = true;
         }
         self.settle(node);
--- a/crates/dispatch/tests/dispatch/members.rs
+++ b/crates/dispatch/tests/dispatch/members.rs
@@ -56,13 +56,13 @@
     assert!(members.due(at(11), CALM).contains(&node(3)));
     // An address that never answers counts for nothing.
     assert_eq!(members.reach(at(12)).nodes, 2);
-    assert!(!members.reach(at(12)).alone);
+    assert!(!members.reach(at(12)).isolated);
 }
 
 #[test]
 fn nobody_heard_means_alone() {
     let members = members(1, &[2]);
-    assert!(members.reach(at(0)).alone);
+    assert!(members.reach(at(0)).isolated);
     assert_eq!(members.reach(at(0)).nodes, 1);
 }
 
--- a/crates/dispatch/tests/dispatch/quota/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::support::at;
 
-mod tell;
+mod usage;
 
 const CUSTOMER: u64 = 7;
 
@@ -36,7 +36,7 @@
 }
 
 /// True where a node that is alone in its fleet admits a request then.
-fn admits(accounts: &mut Accounts, now: Time, demand: Demand) -> bool {
+fn is_admitted(accounts: &mut Accounts, now: Time, demand: Demand) -> bool {
     let admitted = accounts.admit(now, CUSTOMER, &QUOTA, demand, reach(1, 0));
     admitted.is_ok()
 }
@@ -45,13 +45,13 @@
     Reach {
         nodes,
         silent,
-        alone: false,
+        isolated: false,
         one_cell: true,
     }
 }
 
 /// Units that one node gives out when asked for 10 each millisecond.
-fn given(accounts: &mut Accounts, reach: Reach, from: u64, to: u64) -> u64 {
+fn admitted_units(accounts: &mut Accounts, reach: Reach, from: u64, to: u64) -> u64 {
     let asked = (from..to).filter(|millis| {
         accounts
             .admit(at(*millis), CUSTOMER, &QUOTA, urgent(10), reach)
@@ -62,17 +62,17 @@
 
 #[test]
 fn one_node_gives_out_the_burst_and_the_rate() {
-    let all = given(&mut accounts(), reach(1, 0), 0, 8_000);
-    assert!((8_900..=9_010).contains(&all), "{all}");
+    let admitted = admitted_units(&mut accounts(), reach(1, 0), 0, 8_000);
+    assert!((8_900..=9_010).contains(&admitted), "{admitted}");
 }
 
 #[test]
 fn what_is_refused_may_come_back_when_it_would_fit() {
     let mut accounts = accounts();
-    given(&mut accounts, reach(1, 0), 0, 1_000);
+    admitted_units(&mut accounts, reach(1, 0), 0, 1_000);
     let wait = accounts.admit(at(1_000), CUSTOMER, &QUOTA, urgent(500), reach(1, 0));
     let wait = wait.expect_err("over the limit").wait;
-    assert!(admits(
+    assert!(is_admitted(
         &mut accounts,
         at(1_000) + wait + Span(1_000),
         urgent(500)
@@ -82,18 +82,18 @@
 #[test]
 fn a_request_larger_than_the_bucket_passes_when_that_is_full() {
     let mut accounts = accounts();
-    assert!(admits(&mut accounts, at(0), urgent(5_000)));
-    assert!(!admits(&mut accounts, at(1_000), urgent(1)));
-    assert!(admits(&mut accounts, at(4_100), urgent(1)));
+    assert!(is_admitted(&mut accounts, at(0), urgent(5_000)));
+    assert!(!is_admitted(&mut accounts, at(1_000), urgent(1)));
+    assert!(is_admitted(&mut accounts, at(4_100), urgent(1)));
 }
 
 #[test]
 fn what_did_not_run_is_given_back() {
     let mut accounts = accounts();
-    assert!(admits(&mut accounts, at(0), urgent(1_000)));
-    assert!(!admits(&mut accounts, at(0), urgent(1_000)));
-    accounts.give_back(CUSTOMER, 1_000);
-    assert!(admits(&mut accounts, at(0), urgent(1_000)));
+    assert!(is_admitted(&mut accounts, at(0), urgent(1_000)));
+    assert!(!is_admitted(&mut accounts, at(0), urgent(1_000)));
+    accounts.refund(CUSTOMER, 1_000);
+    assert!(is_admitted(&mut accounts, at(0), urgent(1_000)));
 }
 
 #[test]
@@ -101,11 +101,11 @@
     let alone = Reach {
         nodes: 1,
         silent: 0,
-        alone: true,
+        isolated: true,
         one_cell: true,
     };
-    let all = given(&mut accounts(), alone, 0, 8_000);
-    assert!(all <= 2_300, "{all}");
+    let admitted = admitted_units(&mut accounts(), alone, 0, 8_000);
+    assert!(admitted <= 2_300, "{admitted}");
 }
 
 #[test]
@@ -116,10 +116,10 @@
         pressed: false,
     };
     let mut accounts = accounts();
-    assert!(admits(&mut accounts, at(0), urgent(600)));
-    assert!(!admits(&mut accounts, at(0), routine(100)));
-    assert!(admits(&mut accounts, at(0), routine(10)));
-    assert!(admits(&mut accounts, at(0), urgent(100)));
+    assert!(is_admitted(&mut accounts, at(0), urgent(600)));
+    assert!(!is_admitted(&mut accounts, at(0), routine(100)));
+    assert!(is_admitted(&mut accounts, at(0), routine(10)));
+    assert!(is_admitted(&mut accounts, at(0), urgent(100)));
 }
 
 #[test]
@@ -135,7 +135,7 @@
             pressed,
             ..urgent(10)
         };
-        let admitted = (0..40_000).filter(|millis| admits(&mut accounts, at(*millis), demand));
+        let admitted = (0..40_000).filter(|millis| is_admitted(&mut accounts, at(*millis), demand));
         // The burst of 1,000 counts once.
         (admitted.count() as u64 * 10 - 1_000) / 40
     };
@@ -159,14 +159,14 @@
         ..urgent(100)
     };
     let now = at(20_110);
-    assert!(admits(&mut accounts, now, demand));
+    assert!(is_admitted(&mut accounts, now, demand));
 }
 
 #[test]
 fn a_node_that_has_just_started_has_an_empty_bucket() {
     let mut accounts = accounts();
-    accounts.begin(at(0));
-    let mut admit = |millis, units| admits(&mut accounts, at(millis), urgent(units));
+    accounts.note_start(at(0));
+    let mut admit = |millis, units| is_admitted(&mut accounts, at(millis), urgent(units));
     assert!(!admit(500, 600));
     assert!(admit(500, 300));
     assert!(!admit(900, 700));
@@ -184,8 +184,8 @@
         pressed: false,
     };
     let mut accounts = accounts();
-    accounts.begin(at(0));
-    let mut admit = |millis, units| admits(&mut accounts, at(millis), routine(units));
+    accounts.note_start(at(0));
+    let mut admit = |millis, units| is_admitted(&mut accounts, at(millis), routine(units));
     assert!(!admit(200, 140));
     assert!(admit(200, 120));
     assert!(!admit(400, 200));
@@ -193,10 +193,10 @@
 }
 
 /// A fleet of ten nodes in several cells.
-const TEN: Reach = Reach {
+const TEN_NODES: Reach = Reach {
     nodes: 10,
     silent: 0,
-    alone: false,
+    isolated: false,
     one_cell: false,
 };
 
@@ -206,7 +206,7 @@
     // A quarter of a tenth of 1,000 a second, of which 8 s are saved up.
     let asked = (0..8_000).filter(|millis| {
         accounts
-            .admit_unheard(at(*millis), CUSTOMER, &QUOTA, urgent(1), TEN)
+            .admit_without_owner(at(*millis), CUSTOMER, &QUOTA, urgent(1), TEN_NODES)
             .is_ok()
     });
     let given = asked.count();
@@ -216,14 +216,14 @@
 #[test]
 fn what_owners_gave_out_counts_against_the_part_without_them() {
     let mut accounts = accounts();
-    accounts.note_even(at(0), CUSTOMER, &QUOTA, 200, TEN);
-    let denied = accounts.admit_unheard(at(0), CUSTOMER, &QUOTA, urgent(10), TEN);
+    accounts.charge_node_share(at(0), CUSTOMER, &QUOTA, 200, TEN_NODES);
+    let denied = accounts.admit_without_owner(at(0), CUSTOMER, &QUOTA, urgent(10), TEN_NODES);
     let wait = denied.expect_err("nothing is saved up").wait;
     assert_eq!(wait, Span::from_millis(400));
     let later = at(0) + wait;
     assert!(
         accounts
-            .admit_unheard(later, CUSTOMER, &QUOTA, urgent(10), TEN)
+            .admit_without_owner(later, CUSTOMER, &QUOTA, urgent(10), TEN_NODES)
             .is_ok()
     );
 }
@@ -231,17 +231,18 @@
 #[test]
 fn what_is_larger_than_a_node_may_save_up_does_not_pass_without_an_owner() {
     let mut accounts = accounts();
-    let admitted = accounts.admit_unheard(at(60_000), CUSTOMER, &QUOTA, urgent(300), TEN);
+    let admitted =
+        accounts.admit_without_owner(at(60_000), CUSTOMER, &QUOTA, urgent(300), TEN_NODES);
     assert!(admitted.is_err());
 }
 
 #[test]
 fn a_node_that_still_meets_the_others_counts_with_many() {
     let mut accounts = accounts();
-    accounts.begin(at(0));
+    accounts.note_start(at(0));
     let mut admit = |millis, units| {
         accounts
-            .admit_unheard(at(millis), CUSTOMER, &QUOTA, urgent(units), reach(1, 0))
+            .admit_without_owner(at(millis), CUSTOMER, &QUOTA, urgent(units), reach(1, 0))
             .is_ok()
     };
     assert!(!admit(250, 100));
@@ -259,7 +260,7 @@
         initial: 1.0 / 3.0,
         ..Options::default()
     });
-    accounts.begin(at(0));
+    accounts.note_start(at(0));
     accounts
 }
 
@@ -268,7 +269,7 @@
 #[case::half_the_time_to_meet(at(150), reach(4, 0), 125)]
 #[case::all_are_met(at(500), reach(4, 0), 250)]
 #[case::a_large_fleet(at(500), reach(100, 0), 10)]
-#[case::nobody_was_heard(at(500), Reach { alone: true, ..reach(1, 0) }, 15)]
+#[case::nobody_was_heard(at(500), Reach { isolated: true, ..reach(1, 0) }, 15)]
 fn a_node_gives_out_its_share_of_the_initial_credit_once(
     #[case] now: Time,
     #[case] reach: Reach,
@@ -297,10 +298,10 @@
         prop_assume!(part < nodes);
         let mut sides = [accounts(), accounts()];
         let cut = [reach(nodes, nodes - part), reach(nodes, part)];
-        let mut all = 0;
+        let mut admitted = 0;
         for (side, reach) in sides.iter_mut().zip(cut) {
-            all += given(side, reach, 0, 8_000);
+            admitted += admitted_units(side, reach, 0, 8_000);
         }
-        prop_assert!(all <= 9_050, "{all}");
+        prop_assert!(admitted <= 9_050, "{admitted}");
     }
 }
--- a/crates/dispatch/tests/dispatch/quota/tell.rs
+++ b/crates/dispatch/tests/dispatch/quota/usage.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use woadstage_dispatch::message::Usage;
 use woadstage_dispatch::quota::Accounts;
-use woadstage_dispatch::quota::Speaker;
+use woadstage_dispatch::quota::Reporter;
 
 use super::CUSTOMER;
 use super::QUOTA;
@@ -19,18 +19,18 @@
         customer: CUSTOMER,
         units,
     };
-    let speaker = Speaker {
+    let speaker = Reporter {
         address: node(2),
         incarnation: 5,
         known: true,
     };
-    accounts.hear(at(millis), speaker, said, Some(&QUOTA), reach(2, 0));
+    accounts.record_peer_usage(at(millis), speaker, said, Some(&QUOTA), reach(2, 0));
 }
 
 #[test]
 fn a_bucket_that_was_full_for_long_holds_no_more_than_a_full_one() {
     let mut accounts = accounts();
-    accounts.begin(at(0));
+    accounts.note_start(at(0));
     hear(&mut accounts, 0, 0);
     // Sixty seconds of nothing, then a full bucket is used elsewhere.
     hear(&mut accounts, 60_000, 1_000);
@@ -46,7 +46,7 @@
     #[case] passes: bool,
 ) {
     let mut accounts = accounts();
-    let speaker = Speaker {
+    let speaker = Reporter {
         address: node(2),
         incarnation: 5,
         known,
@@ -55,7 +55,7 @@
         customer: CUSTOMER,
         units: 1_000,
     };
-    accounts.hear(at(0), speaker, said, Some(&QUOTA), reach(2, 0));
+    accounts.record_peer_usage(at(0), speaker, said, Some(&QUOTA), reach(2, 0));
     let admitted = accounts.admit(at(0), CUSTOMER, &QUOTA, urgent(500), reach(2, 0));
     assert_eq!(admitted.is_ok(), passes);
 }
--- a/crates/dispatch/tests/dispatch/quota_fleet/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/mod.rs
@@ -20,14 +20,14 @@
 
 mod world;
 
+use world::FLEET_NODES;
 use world::Fleet;
-use world::NODES;
 use world::OVERRUN;
-use world::REQUEST;
-use world::SLACK;
-use world::STEP;
-use world::Trouble;
-use world::WINDOW;
+use world::Outage;
+use world::REQUEST_UNITS;
+use world::SLACK_UNITS;
+use world::STEP_MILLIS;
+use world::WINDOW_MILLIS;
 use world::cut;
 use world::kill;
 use world::quota;
@@ -43,39 +43,39 @@
 #[case::half_is_killed_under_a_small_limit(30_000.0, &[kill(0..15, 8_000, 10_000)])]
 #[case::all_are_killed(300_000.0, &[kill(0..30, 8_000, 9_000)])]
 #[case::killed_and_cut(100_000.0, &[kill(0..15, 8_000, 10_000), cut(20..28, 9_000, 14_000)])]
-fn a_fleet_keeps_to_the_limit(#[case] rate: f64, #[case] troubles: &[Trouble]) {
-    let mut fleet = Fleet::new(rate, troubles);
+fn a_fleet_keeps_to_the_limit(#[case] rate: f64, #[case] outages: &[Outage]) {
+    let mut fleet = Fleet::new(rate, outages);
     // Twenty times and more of what the limit lets through is asked for.
-    for millis in (0..20_000).step_by(STEP as usize) {
+    for millis in (0..20_000).step_by(STEP_MILLIS as usize) {
         let requests = if millis < 3_000 { 0 } else { 1 };
         fleet.step(millis, requests);
     }
     let quota = quota(rate);
-    let plain = rate * WINDOW as f64 / 1_000.0 + quota.burst;
-    let allowed = plain * (1.0 + OVERRUN) + SLACK;
-    let most = fleet.most() as f64;
+    let plain = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
+    let allowed = plain * (1.0 + OVERRUN) + SLACK_UNITS;
+    let most = fleet.max_admitted_in_window() as f64;
     assert!(most <= allowed, "{most} of {allowed}");
     // And no less than the limit gives, where nothing happens for long.
-    let calm = fleet.sum(3_000..8_000) as f64;
+    let calm = fleet.admitted_in(3_000..8_000) as f64;
     assert!(calm >= rate * 5.0, "{calm}");
 }
 
 #[test]
 fn an_owner_that_is_gone_is_passed_over_by_the_next() {
     let mut fleet = Fleet::new(300_000.0, &[kill(0..15, 4_000, 9_000)]);
-    for millis in (0..9_000).step_by(STEP as usize) {
+    for millis in (0..9_000).step_by(STEP_MILLIS as usize) {
         let requests = if millis < 3_000 { 0 } else { 1 };
         fleet.step(millis, requests);
     }
     // From the moment of the kill on, what lives serves at least its part.
-    let served = fleet.sum(4_000..8_000) as f64;
+    let served = fleet.admitted_in(4_000..8_000) as f64;
     assert!(served >= 300_000.0 * 4.0 * 0.4, "{served}");
 }
 
 #[test]
 fn a_customer_without_a_quota_at_its_owner_is_not_refused_for_it() {
     let mut fleet = Fleet::new(300_000.0, &[]);
-    for millis in (0..3_000).step_by(STEP as usize) {
+    for millis in (0..3_000).step_by(STEP_MILLIS as usize) {
         fleet.step(millis, 0);
     }
     // More than any node's share of the initial credit.
@@ -85,21 +85,21 @@
         pressed: false,
     };
     let customer = fleet.customer.clone();
-    let (place, owner, reserve) = (0..usize::from(NODES))
-        .find_map(|place| {
-            let dispatcher = fleet.nodes[place].as_mut()?;
+    let (index, owner, reserve) = (0..usize::from(FLEET_NODES))
+        .find_map(|index| {
+            let dispatcher = fleet.nodes[index].as_mut()?;
             match dispatcher.charge(at(3_000), &customer, demand, Span::from_secs(5)) {
-                Charge::Ask(owner, reserve) => Some((place, owner, reserve)),
+                Charge::Ask(owner, reserve) => Some((index, owner, reserve)),
                 _ => None,
             }
         })
         .expect("all but the owner ask");
     let mut stranger = Dispatcher::new(options(99));
     assert_eq!(stranger.reserve(at(3_000), &reserve), Verdict::Unknown);
-    let dispatcher = fleet.nodes[place].as_mut().expect("it lives");
+    let dispatcher = fleet.nodes[index].as_mut().expect("it lives");
     let left = Span::from_secs(5);
     let verdict = Some(Verdict::Unknown);
-    let next = dispatcher.reserved(at(3_000), owner, &customer, demand, left, verdict);
+    let next = dispatcher.finish_reservation(at(3_000), owner, &customer, demand, left, verdict);
     // Another is asked, or this node decides.
     assert!(!matches!(next, Charge::Ask(again, _) if again == owner));
 }
@@ -107,15 +107,15 @@
 #[test]
 fn what_did_not_run_goes_back_to_the_owner() {
     let mut fleet = Fleet::new(30_000.0, &[]);
-    for millis in (0..3_000).step_by(STEP as usize) {
+    for millis in (0..3_000).step_by(STEP_MILLIS as usize) {
         fleet.step(millis, 0);
     }
     let customer = fleet.customer.clone();
     let dispatcher = fleet.nodes[0].as_mut().expect("it lives");
-    let told = dispatcher.give_back(&customer, 70, Some(node(4)));
+    let told = dispatcher.refund(&customer, 70, Some(node(4)));
     let (owner, release) = told.expect("the owner is told");
     assert_eq!((owner, release.units), (node(4), 70));
-    assert_eq!(dispatcher.give_back(&customer, 70, None), None);
+    assert_eq!(dispatcher.refund(&customer, 70, None), None);
 }
 
 #[rstest]
@@ -124,37 +124,37 @@
 #[case::each_is_started_again(&[kill(1..2, 6_000, 6_200), kill(2..3, 8_000, 8_200), kill(3..4, 10_000, 10_200), kill(0..1, 12_000, 12_200)])]
 #[case::one_is_away_for_long(&[kill(1..2, 4_000, 9_000)])]
 #[case::one_is_cut_off(&[cut(1..2, 6_000, 9_000)])]
-fn a_small_fleet_keeps_to_the_limit_while_callers_move(#[case] troubles: &[Trouble]) {
+fn a_small_fleet_keeps_to_the_limit_while_callers_move(#[case] outages: &[Outage]) {
     let rate = 60_000.0;
-    let mut fleet = Fleet::of(4, rate, troubles);
-    for millis in (0..16_000).step_by(STEP as usize) {
+    let mut fleet = Fleet::with_nodes(4, rate, outages);
+    for millis in (0..16_000).step_by(STEP_MILLIS as usize) {
         // All callers are at one node, and at the next a second and a half later.
         let at_node = (millis / 1_500 % 4) as u8;
-        fleet.step_asking(millis, |number| match millis < 3_000 || number != at_node {
+        fleet.step_with(millis, |number| match millis < 3_000 || number != at_node {
             true => 0,
             false => 2,
         });
     }
     let quota = quota(rate);
-    let plain = rate * WINDOW as f64 / 1_000.0 + quota.burst;
+    let plain = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
     // What the nodes are told to use of the overrun, what they may give out after
     // a start, and one request a node.
     let quota::Options { part, initial, .. } = quota::Options::default();
     let used = part + initial;
-    let told = plain * (1.0 + OVERRUN * used) + SLACK * used + 4.0 * REQUEST as f64;
-    let most = fleet.most() as f64;
+    let told = plain * (1.0 + OVERRUN * used) + SLACK_UNITS * used + 4.0 * REQUEST_UNITS as f64;
+    let most = fleet.max_admitted_in_window() as f64;
     assert!(most <= told, "{most} of {told}");
 }
 
 /// What a node gives out that has only just started, by its first event.
-fn given_at_start(first: impl Fn(&mut Dispatcher, u64)) -> usize {
-    let mut fleet = Fleet::of(1, 60_000.0, &[]);
+fn admitted_at_start(first: impl Fn(&mut Dispatcher, u64)) -> usize {
+    let mut fleet = Fleet::with_nodes(1, 60_000.0, &[]);
     fleet.initial = 0.0;
     let customer = fleet.customer.clone();
-    let mut dispatcher = fleet.make(0);
+    let mut dispatcher = fleet.make_node(0);
     first(&mut dispatcher, customer.name.to_number());
     let demand = Demand {
-        units: REQUEST,
+        units: REQUEST_UNITS,
         routine: 0.0,
         pressed: false,
     };
@@ -172,60 +172,63 @@
     dispatcher.hear(at(9_990), node(7), status);
 })]
 #[case::a_question(&|dispatcher: &mut Dispatcher, customer| {
-    let reserve = Reserve { number: 1, customer, units: REQUEST, routine: 0, pressed: false };
+    let reserve = Reserve { number: 1, customer, units: REQUEST_UNITS, routine: 0, pressed: false };
     assert!(matches!(dispatcher.reserve(at(9_990), &reserve), Verdict::Denied(_)));
 })]
 fn a_node_starts_with_empty_buckets_whatever_comes_first(
     #[case] first: &dyn Fn(&mut Dispatcher, u64),
 ) {
-    assert_eq!(given_at_start(first), 0);
+    assert_eq!(admitted_at_start(first), 0);
 }
 
 /// All of a fleet is killed, and a customer far below its limit goes on asking:
 /// for more than a node's part of the initial credit.
 #[test]
 fn who_comes_to_a_node_that_has_just_started_is_not_refused_for_it() {
-    let mut fleet = Fleet::new(60_000.0, &[kill(0..NODES, 4_000, 4_500)]);
-    for millis in (0..6_000).step_by(STEP as usize) {
+    let mut fleet = Fleet::new(60_000.0, &[kill(0..FLEET_NODES, 4_000, 4_500)]);
+    for millis in (0..6_000).step_by(STEP_MILLIS as usize) {
         // A request of 3,000 units each 100 ms: half of the limit.
         let asks = millis >= 2_000 && millis % 100 == 0;
-        let at_node = (millis / 100 % u64::from(NODES)) as u8;
-        fleet.step_asking(millis, |number| u64::from(asks && number == at_node));
+        let at_node = (millis / 100 % u64::from(FLEET_NODES)) as u8;
+        fleet.step_with(millis, |number| u64::from(asks && number == at_node));
     }
-    let asked = (4_500..6_000).step_by(100).count() as u64 * REQUEST;
-    assert_eq!(fleet.sum(4_500..6_000), asked);
+    let asked = (4_500..6_000).step_by(100).count() as u64 * REQUEST_UNITS;
+    assert_eq!(fleet.admitted_in(4_500..6_000), asked);
 }
 
 #[test]
 fn who_has_no_time_to_wait_is_answered_at_once() {
-    let mut fleet = Fleet::of(1, 60_000.0, &[]);
+    let mut fleet = Fleet::with_nodes(1, 60_000.0, &[]);
     fleet.initial = 0.0;
     let customer = fleet.customer.clone();
-    let mut dispatcher = fleet.make(0);
+    let mut dispatcher = fleet.make_node(0);
     let demand = Demand {
-        units: REQUEST,
+        units: REQUEST_UNITS,
         routine: 0.0,
         pressed: false,
     };
-    let met_at = at(10_000) + quota::Options::default().meet_within;
+    let discovery_ends_at = at(10_000) + quota::Options::default().discovery_time;
     let mut charge =
         |left| dispatcher.charge(at(10_000), &customer, demand, Span::from_millis(left));
-    assert_eq!(charge(5_000), Charge::Wait(met_at));
+    assert_eq!(charge(5_000), Charge::Wait(discovery_ends_at));
     assert!(matches!(charge(200), Charge::Refused(..)));
 }
 
 /// What a customer that asks for many times its limit gets of a fleet's nodes,
 /// which are killed as `troubles` say: the most in a window, and what the rules
 /// allow there.
-fn most_under(nodes: u8, rate: f64, troubles: &[Trouble]) -> (f64, f64) {
-    let mut fleet = Fleet::of(nodes, rate, troubles);
-    for millis in (0..18_000).step_by(STEP as usize) {
+fn max_admitted_under(nodes: u8, rate: f64, outages: &[Outage]) -> (f64, f64) {
+    let mut fleet = Fleet::with_nodes(nodes, rate, outages);
+    for millis in (0..18_000).step_by(STEP_MILLIS as usize) {
         let requests = if millis < 2_000 { 0 } else { 2 };
         fleet.step(millis, requests);
     }
     let quota = quota(rate);
-    let plain = rate * WINDOW as f64 / 1_000.0 + quota.burst;
-    (fleet.most() as f64, plain * (1.0 + OVERRUN) + SLACK)
+    let plain = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
+    (
+        fleet.max_admitted_in_window() as f64,
+        plain * (1.0 + OVERRUN) + SLACK_UNITS,
+    )
 }
 
 #[rstest]
@@ -234,10 +237,10 @@
 #[case::three_times_in_a_window(&[kill(0..6, 8_000, 8_300), kill(0..6, 10_000, 10_300), kill(0..6, 12_000, 12_300)])]
 #[case::after_a_long_time_away(&[kill(0..6, 9_000, 12_000)])]
 fn a_fleet_that_is_killed_keeps_to_the_limit(
-    #[case] troubles: &[Trouble],
+    #[case] outages: &[Outage],
     #[values(10_000.0, 60_000.0, 200_000.0)] rate: f64,
 ) {
-    let (most, allowed) = most_under(6, rate, troubles);
+    let (most, allowed) = max_admitted_under(6, rate, outages);
     assert!(most <= allowed, "{most} of {allowed}");
 }
 
@@ -251,28 +254,28 @@
         rate in 10_000.0f64..200_000.0,
         kills in prop::collection::vec((0u8..9, 1u8..9, 6_000u64..14_000, 200u64..2_000), 1..6),
     ) {
-        let troubles: Vec<Trouble> = kills
+        let outages: Vec<Outage> = kills
             .iter()
             .map(|(first, count, from, lasts)| kill(*first..first + count, *from, from + lasts))
             .collect();
-        let (most, allowed) = most_under(nodes, rate, &troubles);
+        let (most, allowed) = max_admitted_under(nodes, rate, &outages);
         prop_assert!(most <= allowed, "{most} of {allowed}");
     }
 }
 
 #[test]
 fn a_customer_below_its_limit_is_served_on_once_all_were_killed() {
-    let mut fleet = Fleet::of(6, 200_000.0, &[kill(0..6, 9_000, 9_500)]);
-    for millis in (0..12_000).step_by(STEP as usize) {
+    let mut fleet = Fleet::with_nodes(6, 200_000.0, &[kill(0..6, 9_000, 9_500)]);
+    for millis in (0..12_000).step_by(STEP_MILLIS as usize) {
         // Half of the limit: 3,000 units every 30 ms, at one node after the other.
-        let turn = millis / STEP;
+        let turn = millis / STEP_MILLIS;
         let asked = u64::from(turn % 3 != 2);
-        fleet.step_asking(millis, |number| match turn % 6 == u64::from(number) {
+        fleet.step_with(millis, |number| match turn % 6 == u64::from(number) {
             true => asked,
             false => 0,
         });
     }
-    let asked = 1_000.0 * 0.1 * 2.0 / 3.0 * 0.5 * REQUEST as f64;
-    let served = fleet.sum(9_500..10_500) as f64;
+    let asked = 1_000.0 * 0.1 * 2.0 / 3.0 * 0.5 * REQUEST_UNITS as f64;
+    let served = fleet.admitted_in(9_500..10_500) as f64;
     assert!(served >= asked * 0.5, "{served} of {asked}");
 }
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -204,8 +204,8 @@
     let denied = Denied {
         wait: Span::from_millis(70),
         level: 1.25,
-        most: 80.0,
-        kept: 3.5,
+        capacity: 80.0,
+        reserved: 3.5,
     };
     let ended = Event::Ended {
         end: End::Whole,
--- a/crates/gateway/src/serve/charge.rs
+++ b/crates/gateway/src/serve/charge.rs
@@ -64,7 +64,7 @@
                     Some(Verdict::Unknown) | None => Charged::Here,
                 };
                 shell.command(|dispatcher, now| {
-                    dispatcher.reserved(now, owner, customer, demand, left(), verdict)
+                    dispatcher.finish_reservation(now, owner, customer, demand, left(), verdict)
                 })
             }
             Charge::Wait(until) => {
@@ -95,8 +95,8 @@
         customer: admitted.customer_name(),
         asked: units,
         level: denied.level as i64,
-        most: denied.most as u64,
-        kept: denied.kept as u64,
+        most: denied.capacity as u64,
+        kept: denied.reserved as u64,
         quota: &charged.to_string(),
         nodes: reach.nodes,
         silent: reach.silent,
@@ -113,7 +113,7 @@
         Charged::Here => None,
         Charged::By(owner) => Some(owner),
     };
-    let told = shell.command(|dispatcher, _| dispatcher.give_back(customer, units, owner));
+    let told = shell.command(|dispatcher, _| dispatcher.refund(customer, units, owner));
     if let Some((owner, release)) = told {
         // Where that is lost, the customer may use so much less.
         shell.peers.send(owner, &Message::Release(release));
