--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -1,9 +1,10 @@
-//! Requests are charged to their customer's quota. In a large fleet the quota of
-//! each customer has an owner among the nodes (rendezvous hashing), whom the
-//! others ask: what is given out is then known at one place, however many nodes
-//! a customer's requests come through. Two nodes may take each other's place
-//! for a moment, since what each gave out is told to all; a node that reaches
-//! no owner keeps to a small part.
+//! Charges requests to their customer's quota.
+//!
+//! In a fleet of several cells each customer's quota has an owner among the nodes
+//! (rendezvous hashing), which the others ask to reserve units: the usage is then known
+//! in one place, however many nodes the customer's requests arrive at. Two nodes may
+//! both act as owner for a moment, as each reports its usage to all others. A node that
+//! reaches no owner keeps to a small share.
 
 use std::net::SocketAddrV4;
 
@@ -23,39 +24,44 @@
 use crate::quota::Demand;
 use crate::quota::Denied;
 
-/// How long after its start a node lets requests wait for a quota: buckets of nodes that
-/// all start together are empty, and owners may not know the customers yet. Of 60 answers
-/// of 54 hosts in the first half second after 585 had started together 20 said that a
-/// customer was over its limit, of customers that were far below.
+/// How long after its start a node lets requests wait for a quota. The buckets of nodes
+/// that start together are empty, and owners may not know the customers yet: in the first
+/// half second after 585 hosts had started together, 20 of 60 answers by 54 hosts refused
+/// customers that were far below their limit.
 const STARTUP_TIME: Span = Span::from_secs(2);
 
-/// Longest and shortest wait for a bucket then, and the part of its time that a request
-/// may wait.
+/// The longest wait for a bucket during that time.
 const MAX_STARTUP_WAIT: Span = Span::from_millis(300);
+
+/// The shortest wait for a bucket during that time.
 const MIN_STARTUP_WAIT: Span = Span::from_millis(20);
+
+/// A request waits for less than this fraction of its remaining time: one fourth.
 const STARTUP_WAIT_DIVISOR: u64 = 4;
 
-/// How long a request waits for an owner that knows its customer.
+/// How long a request waits until it looks again for an owner of its quota.
 const OWNER_WAIT: Span = Span::from_millis(100);
 
-/// What becomes of a request that is to be charged.
+/// The result of charging a request to its customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Charge {
-    /// It is charged here.
+    /// The request may run: it is charged, or its customer has no quota.
     Admitted,
-    /// It does not fit the quota.
+    /// The request exceeds the quota.
     Refused(Refusal, Denied),
-    /// The owner of the quota is to be asked.
+    /// The owner of the quota has to be asked.
     Ask(SocketAddrV4, Reserve),
-    /// It is to be charged anew then: who owns the quota is not known yet.
+    /// The request has to be charged again at this time, as the node does not know the
+    /// owner or the usage yet.
     Wait(Time),
 }
 
 impl Dispatcher {
-    /// Charges a customer for a request; `left` is what its caller will wait. A node
-    /// that has just started lets it wait rather than refuse it: of 1,582 requests of
-    /// customers within their limits that were refused on a day on which all of 295
-    /// nodes were killed three times, 859 came in the first 300 ms of a node.
+    /// Charges a customer for a request whose caller waits for `remaining`.
+    ///
+    /// A node that has just started lets the request wait rather than refuse it. When all
+    /// of 295 nodes were killed three times in a day, 1,582 requests of customers within
+    /// their limits were refused, 859 of them in the first 300 ms of a node.
     pub fn charge(
         &mut self,
         now: Time,
@@ -79,7 +85,7 @@
                 .accounts
                 .admit_without_owner(now, number, quota, demand, reach);
             let discovery_ends_at = self.accounts.discovery_ends_at();
-            // Refused, its caller would come back later than that.
+            // A refused caller would retry later than that.
             if admitted.is_err() && now + remaining > discovery_ends_at {
                 return Charge::Wait(discovery_ends_at);
             }
@@ -105,7 +111,7 @@
         };
         match admitted {
             Ok(()) => {
-                // The others drain their buckets as soon as they hear of it.
+                // Other nodes drain their buckets once they hear of it.
                 self.urgent = true;
                 Charge::Admitted
             }
@@ -113,6 +119,7 @@
         }
     }
 
+    /// Builds a numbered reservation request for the owner of a quota.
     fn next_reservation(&mut self, customer: u64, demand: Demand) -> Reserve {
         self.next_reserve += 1;
         Reserve {
@@ -124,13 +131,14 @@
         }
     }
 
-    /// True where a request of a node that has just started is rather to wait so long
-    /// than to be refused.
+    /// Whether a request should wait for `wait` instead of being refused, as this node has
+    /// just started.
     fn may_wait(&self, now: Time, wait: Span, remaining: Span) -> bool {
         let starting = now.since(self.accounts.started()) < STARTUP_TIME;
         starting && wait <= MAX_STARTUP_WAIT && wait.0 * STARTUP_WAIT_DIVISOR < remaining.0
     }
 
+    /// Refuses a request, or lets it wait for the bucket while this node is starting.
     fn refuse_charge(&mut self, now: Time, denied: Denied, remaining: Span) -> Charge {
         if self.may_wait(now, denied.wait, remaining) {
             return Charge::Wait(now + denied.wait.max(MIN_STARTUP_WAIT));
@@ -145,7 +153,7 @@
         Charge::Refused(refusal, denied)
     }
 
-    /// Answers another node that takes this one for the owner of a quota.
+    /// Answers the reservation of a node that considers this one the owner of a quota.
     pub fn reserve(&mut self, now: Time, reserve: &Reserve) -> Verdict {
         self.accounts.note_start(now);
         let customer = self
@@ -166,10 +174,10 @@
         }
     }
 
-    /// Gives units out as an owner. Each node's bucket is drained by what all
-    /// others give out, so any may; but while this node still hears one that
-    /// goes before it, that one may be alive on the other side of a cut, and
-    /// only half as much is given out.
+    /// Grants units as an owner. Any node may, as its bucket is drained by what all others
+    /// grant. While this node still hears one that precedes it in the order of owners, that
+    /// one may be granting on the other side of a network partition: the units are then
+    /// taken out of the bucket twice, so that only half as much is granted.
     fn grant(
         &mut self,
         now: Time,
@@ -185,8 +193,8 @@
         Ok(())
     }
 
-    /// Takes an owner's answer, or none where `verdict` is nothing; the request
-    /// is charged anew where that leaves it open.
+    /// Handles the answer of a quota's owner, or its absence if `verdict` is `None`. A
+    /// request that was neither granted nor denied is charged again.
     pub fn finish_reservation(
         &mut self,
         now: Time,
@@ -214,8 +222,8 @@
         }
     }
 
-    /// Gives back what a request was charged that did not run. Where an `owner`
-    /// had granted it, that one is to be told what is returned.
+    /// Returns the units charged for a request that did not run. If an `owner` had
+    /// granted them, returns the message to send to it instead.
     pub fn refund(
         &mut self,
         customer: &Customer,
@@ -232,7 +240,7 @@
         }
     }
 
-    /// Takes back units that another node did not use.
+    /// Takes back units that were granted to another node and not used.
     pub fn release(&mut self, release: &Release) {
         self.accounts.refund(release.customer, release.units);
     }
--- a/crates/dispatch/src/quota/admit.rs
+++ b/crates/dispatch/src/quota/admit.rs
@@ -1,4 +1,4 @@
-//! Requests are charged to a bucket.
+//! Charges requests to a customer's bucket.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -10,14 +10,14 @@
 use super::initial::ASSUMED_NODES;
 use crate::configuration::Quota;
 
-/// Longest time after which a bucket is said to hold enough, in microseconds.
+/// The maximum wait that a denial reports, in microseconds.
 const MAX_WAIT_MICROS: f64 = 6e7;
 
 impl Accounts {
-    /// Takes a request's units out of the customer's bucket, or says why not.
+    /// Takes a request's units out of the customer's bucket.
     ///
     /// # Errors
-    /// What the bucket holds, and when it would hold enough.
+    /// Returns the bucket's level and the time until it holds enough.
     pub fn admit(
         &mut self,
         now: Time,
@@ -32,10 +32,10 @@
             pressed,
         } = demand;
         let capacity = self.capacity(quota, reach);
-        // The last part of what a bucket can hold since this node started, when it was
-        // empty, is for what is more protected, and for what is so small that refusing it
-        // would save nothing. Of a whole bucket that part alone would take half a second
-        // to come in, in which the others would get nothing.
+        // The last part of a bucket is reserved for more protected requests and for
+        // those so small that refusing them saves nothing. The part is taken from what
+        // can have flowed in since the start: that of a full bucket takes half a second
+        // to flow in, during which all other requests would be refused.
         let filled = self.fill_rate(quota, reach) * now.since(self.started).as_secs_f64();
         let small = units as f64 <= capacity * self.options.small_fraction;
         let reserved = if small {
@@ -44,7 +44,7 @@
             capacity.min(filled) * self.options.reserved_fraction * routine
         };
         let account = self.account(now, customer, quota, reach);
-        // A request larger than the whole bucket passes when that is full.
+        // A request larger than the bucket is admitted once the bucket is full.
         let asked = (units as f64 + reserved).min(capacity);
         let level = match pressed {
             true => account.level.min(account.base_level),
@@ -65,13 +65,13 @@
         Ok(())
     }
 
-    /// Charges a request that no owner of the customer's quota was asked for,
-    /// since none answered or none can be known yet. What the others give out
-    /// meanwhile is not known, so this node keeps to a part of its even part,
-    /// of which it may have saved up a little.
+    /// Charges a request without asking the owner of the customer's quota, which did
+    /// not answer or is not known yet. As the usage at other nodes is unknown, this node
+    /// keeps to a fraction of its even share, which it may accumulate for a while.
     ///
     /// # Errors
-    /// When this node will have saved up enough.
+    /// Returns the time until this node's share covers the request, or why its bucket
+    /// does not.
     pub fn admit_without_owner(
         &mut self,
         now: Time,
@@ -97,8 +97,8 @@
         Ok(())
     }
 
-    /// Counts what was given out through this node, by whomever, against the
-    /// even part that it would have if it were cut off.
+    /// Counts units admitted through this node, whichever node granted them, against
+    /// the share that it may admit without an owner.
     pub fn charge_node_share(
         &mut self,
         now: Time,
@@ -113,7 +113,7 @@
         account.share_paid_until = account.share_paid_until.max(accrued_since) + cost;
     }
 
-    /// The time in which this node's even part grows by `units`.
+    /// The time in which this node's share without an owner grows by `units`.
     fn share_time(&self, now: Time, quota: &Quota, units: u64, reach: Reach) -> Span {
         let nodes = match self.is_discovering(now) {
             true => reach.nodes.max(ASSUMED_NODES),
@@ -124,17 +124,17 @@
         to_wait(units as f64 / node_rate.max(1e-9))
     }
 
-    /// Takes units out of a bucket that somebody else may be giving out.
+    /// Takes units out of a bucket that another owner may be granting as well.
     pub fn withhold(&mut self, customer: u64, units: u64) {
         if let Some(account) = self.accounts.get_mut(&customer) {
             account.take(units as f64);
         }
     }
 
-    /// Gives back what a request that did not run was charged.
+    /// Returns the units charged for a request that did not run.
     pub fn refund(&mut self, customer: u64, units: u64) {
-        // Only this node's bucket: the others' are told of use, which never
-        // falls, so that a late message cannot give back twice.
+        // Only this node's bucket is refunded: the reported usage never falls, so that
+        // a late message cannot refund the units twice.
         if let Some(account) = self.accounts.get_mut(&customer) {
             account.level += units as f64;
             account.base_level += units as f64;
--- a/crates/dispatch/src/quota/initial.rs
+++ b/crates/dispatch/src/quota/initial.rs
@@ -1,19 +1,19 @@
-//! What a node gives out right after its start.
+//! The initial credit of a node that has just started.
 //!
-//! A node cannot know what was used before it started, so its buckets start
-//! empty. If that were all, a fleet whose nodes were all killed would refuse
-//! customers that are far below their limits until its buckets have filled.
+//! A node cannot know the usage before its start, so its buckets start empty. With
+//! that alone, a fleet whose nodes were all killed would refuse customers far below
+//! their limits until its buckets have filled.
 //!
-//! The rules let use in a window exceed the plain limit by an allowance. Buckets
-//! of running nodes use one part of it ([`super::Options::part`]); another part
-//! is the initial credit of all nodes that start within a window. Whatever was
-//! used before a start, the sum of both stays within the rules:
+//! Usage in a window may exceed the limit by an allowance. The buckets of running
+//! nodes use one part of it ([`super::Options::part`]); another part is the initial
+//! credit of all nodes that start within a window. Whatever was used before a start,
+//! the sum stays within the limit and its allowance:
 //!
-//! * before: rate and burst with the first part of the allowance;
-//! * after: the same rate, empty buckets, and the second part.
+//! * before: the rate and the burst with the first part of the allowance;
+//! * after: the same rate, empty buckets and the second part.
 //!
-//! Each node has an even share of the credit, which it uses up once. The share
-//! grows with the time since the start, as the other nodes are met.
+//! Each node has an even share of the credit, which it uses once. The share grows
+//! with the time since the start, as the node discovers the others.
 
 use woadstage_types::unit::Time;
 
@@ -22,12 +22,12 @@
 use super::Reach;
 use crate::configuration::Quota;
 
-/// Nodes that share a quota as far as one that has just started can know.
+/// The number of nodes that a node assumes to share a quota while it discovers them.
 pub(super) const ASSUMED_NODES: usize = 64;
 
 impl Accounts {
-    /// Charges a request to this node's initial credit; false where that does
-    /// not hold enough.
+    /// Charges a request to this node's initial credit, or returns false if the credit
+    /// does not cover it.
     pub fn try_admit_initial(
         &mut self,
         now: Time,
--- a/crates/dispatch/src/quota/mod.rs
+++ b/crates/dispatch/src/quota/mod.rs
@@ -1,17 +1,17 @@
-//! What customers may use, over all nodes together.
+//! Customer quotas, enforced across all nodes of the fleet.
 //!
-//! A bucket is drained by what its node gives out and by what the others say
-//! that they gave out. While another node is silent, its even part of the rate
-//! is taken to be used there: so two sides of a cut never give out more than the
-//! whole between them.
+//! Each node keeps a token bucket for each customer and drains it by the units that
+//! it admits itself and by those that other nodes report. While another node is
+//! silent, its even share of the rate counts as used there, so that the two sides of
+//! a network partition never exceed the quota between them.
 //!
-//! In a small fleet each node decides out of its own bucket, as all hear each
-//! other many times a second. In a larger one each customer has an owner among
-//! the nodes, which the others ask (`dispatcher/reserve.rs`).
+//! In a fleet of one cell each node decides from its own bucket, as all nodes hear
+//! each other many times a second. In a larger fleet each customer has an owner
+//! among the nodes, which the others ask (`dispatcher/reserve.rs`).
 //!
-//! * `admit.rs`: requests are charged.
-//! * `initial.rs`: what a node gives out that has just started.
-//! * `usage.rs`: what nodes tell each other of their customers' use.
+//! * `admit.rs`: charges requests.
+//! * `initial.rs`: the credit of a node that has just started.
+//! * `usage.rs`: the exchange of usage between nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -29,39 +29,39 @@
 
 pub use usage::Reporter;
 
-/// How far the rules let the whole go beyond a customer's limit.
+/// How far the fleet may exceed a customer's limit, and how nodes share it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// The share by which it may be exceeded.
+    /// The fraction by which the limit may be exceeded.
     pub overrun: f64,
-    /// Units by which it may be exceeded beyond that in a window.
+    /// Further units by which the limit may be exceeded in a window.
     pub slack: f64,
-    /// The part of both that is used; the rest covers what is still on its way
-    /// between nodes.
+    /// The fraction of both that buckets use; the rest covers usage that other nodes
+    /// have not heard of yet.
     pub part: f64,
-    /// The same in a fleet of several cells, where what owners of a quota know
-    /// of each other is older.
+    /// The same in a fleet of several cells, where owners of a quota hear of each
+    /// other's usage later.
     pub part_in_cells: f64,
-    /// The part that all nodes together may give out after their start, beyond
-    /// what buckets hold: these are empty then, since what was used before is
-    /// not known. [`Options::part`], this and the rest that covers messages on
-    /// their way make up the whole.
+    /// The fraction that all nodes together may admit after their start in addition
+    /// to their buckets, which start empty because earlier usage is unknown. This,
+    /// [`Options::part`] and the remainder for messages in flight add up to one.
     pub initial: f64,
-    /// The window in which the rules count a customer's use.
+    /// The window in which a customer's usage is measured.
     pub window: Span,
-    /// How much of its part a node may have saved up that reaches no owner.
+    /// For how long a node that reaches no owner may accumulate its unused share.
     pub accrual_time: Span,
-    /// The share of a limit that a node gives out which has heard no other
-    /// node since it started; and of its even part, one that reaches no owner.
+    /// The fraction of a limit that a node admits while it has heard no other node
+    /// since its start, and the fraction of its even share that a node admits while
+    /// it reaches no owner.
     pub isolated_share: f64,
-    /// The part of a bucket that the least protected requests leave to others.
+    /// The fraction of a bucket that the least protected requests may not use.
     pub reserved_fraction: f64,
-    /// The part of a bucket up to which a request is so small that it may use
-    /// all of it.
+    /// The fraction of a bucket up to which a request counts as small and may use
+    /// the reserved fraction too.
     pub small_fraction: f64,
-    /// How long a customer's use is told to others after it last changed.
+    /// How long a customer's usage is reported to other nodes after its last change.
     pub report_for: Span,
-    /// Time from its start in which a node meets the others.
+    /// The time from its start in which a node discovers the others.
     pub discovery_time: Span,
 }
 
@@ -87,32 +87,33 @@
 /// What a request asks of its customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Units.
+    /// The units to charge.
     pub units: u64,
     /// From 0 for the most protected requests to 1 for the least protected.
     pub routine: f64,
-    /// True while requests wait for the endpoints that it needs: then nobody
-    /// gets more than the plain limit, at the cost of the others.
+    /// Whether requests wait for the endpoints that it needs. No customer then exceeds
+    /// its limit, as that would be at the cost of other customers.
     pub pressed: bool,
 }
 
-/// How much of the fleet a node can speak for.
+/// Which part of the fleet a node hears.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reach {
-    /// Nodes that count, this one among them.
+    /// The nodes that share a quota, including this one.
     pub nodes: usize,
-    /// Of them, those that are silent.
+    /// Those of them that are silent.
     pub silent: usize,
-    /// True where none other was heard since the start.
+    /// Whether no other node was heard since the start.
     pub isolated: bool,
-    /// True where the whole fleet is one cell, whose nodes hear each other
-    /// many times a second.
+    /// Whether the whole fleet is one cell, whose nodes hear each other many times a
+    /// second.
     pub one_cell: bool,
 }
 
 impl Reach {
-    /// A time between two events of this node, for a bound that all nodes keep together:
-    /// longer by the part of the fleet that is not heard and has a keeper of its own.
+    /// Scales the interval between two events of this node under a rate bound of the
+    /// whole fleet. Silent nodes may have an enforcer of the same bound among
+    /// themselves, so the interval grows with their number.
     pub fn scale_interval(self, interval: Span) -> Span {
         let heard = self.nodes.saturating_sub(self.silent).max(1);
         Span(interval.0 * self.nodes as u64 / heard as u64)
@@ -122,49 +123,53 @@
 /// Why a request was not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Denied {
-    /// When the bucket would hold enough if nothing else were admitted.
+    /// The time until the bucket holds enough if nothing else is admitted.
     pub wait: Span,
-    /// Units in the bucket now.
+    /// The units in the bucket now.
     pub level: f64,
-    /// Units in a full bucket.
+    /// The units in a full bucket.
     pub capacity: f64,
-    /// Units that are kept for more protected requests.
+    /// The units reserved for more protected requests.
     pub reserved: f64,
 }
 
+/// The total that another node last reported for a customer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct PeerUsage {
     incarnation: u64,
     units: u64,
 }
 
+/// One customer's token bucket and usage.
 #[derive(Debug)]
 struct Account {
     level: f64,
-    /// What a bucket of the plain limit would hold.
+    /// The level of a bucket that fills at the rate of the limit without the allowance.
     base_level: f64,
     capacity: f64,
     updated_at: Time,
+    /// The units that this node has admitted since its start.
     used: u64,
-    /// Units given out of this node's initial credit.
+    /// The units of this node's initial credit that are used up.
     initial_used: u64,
     used_at: Time,
-    /// When this node has kept to its even part of the rate again, whoever gave
-    /// it out.
+    /// When this node's share of the rate has covered all units admitted through it,
+    /// whichever node granted them.
     share_paid_until: Time,
     peer_usage: HashMap<SocketAddrV4, PeerUsage>,
 }
 
 impl Account {
-    /// Takes units that were given out, here or elsewhere. The plain bucket never
-    /// falls below empty: what spare endpoints did is not held against later.
+    /// Removes units that were admitted here or at another node. The base level stops
+    /// at zero, so that usage of idle endpoints beyond the limit does not count against
+    /// the customer later.
     fn take(&mut self, units: f64) {
         self.level -= units;
         self.base_level = (self.base_level - units).max(0.0);
     }
 
-    /// A bucket that was empty when this node started, since it cannot know
-    /// what was used before.
+    /// Creates a bucket that was empty when this node started, as usage before that is
+    /// unknown.
     fn new(started: Time) -> Account {
         Account {
             level: 0.0,
@@ -180,7 +185,7 @@
     }
 }
 
-/// The accounts of all customers that were seen lately.
+/// The accounts of all customers with recent requests.
 #[derive(Debug)]
 pub struct Accounts {
     options: Options,
@@ -188,11 +193,11 @@
     accounts: HashMap<u64, Account>,
 }
 
-/// Accounts kept before those that rest are forgotten.
+/// The number of accounts from which on those without recent requests are dropped.
 const MAX_ACCOUNTS: usize = 8_192;
 
 impl Accounts {
-    /// Nothing used yet, by a node that started long ago.
+    /// Creates the accounts of a node that started long ago, without any usage.
     pub fn new(options: Options) -> Accounts {
         Accounts {
             options,
@@ -201,29 +206,31 @@
         }
     }
 
-    /// Says when this node started. Whatever comes first says so: a bucket that
-    /// is made before would count as having filled since the beginning of time.
+    /// Records when this node started; only the first call has an effect. Every entry
+    /// point calls this first, as a bucket created before would count as filling since
+    /// time zero.
     pub fn note_start(&mut self, now: Time) {
         if self.started == Time(0) {
             self.started = now;
         }
     }
 
-    /// When this node started.
+    /// Returns when this node started.
     pub fn started(&self) -> Time {
         self.started
     }
 
-    /// True until this node can have met the others.
+    /// Whether this node may not have discovered all others yet.
     pub fn is_discovering(&self, now: Time) -> bool {
         now < self.discovery_ends_at()
     }
 
-    /// When this node can have met the others.
+    /// Returns when this node should have discovered the others.
     pub fn discovery_ends_at(&self) -> Time {
         self.started + self.options.discovery_time
     }
 
+    /// The share of a quota that this node may give out: that of the nodes it hears.
     fn visible_share(&self, reach: Reach) -> f64 {
         if reach.isolated {
             return self.options.isolated_share;
@@ -232,6 +239,7 @@
         heard as f64 / reach.nodes.max(1) as f64
     }
 
+    /// The fraction of the allowance that buckets use.
     fn usable_part(&self, reach: Reach) -> f64 {
         match reach.one_cell {
             true => self.options.part,
@@ -239,26 +247,27 @@
         }
     }
 
-    /// Units by which the rules let use in a window exceed the plain limit.
+    /// The units by which usage in a window may exceed the limit.
     fn allowance(&self, quota: &Quota) -> f64 {
         let base = quota.per_second * self.options.window.as_secs_f64() + quota.burst;
         base * self.options.overrun + self.options.slack
     }
 
-    /// Units in a full bucket. The burst is shared like the rate, else both
-    /// sides of a cut would have a whole one.
+    /// The units in a full bucket. The burst is shared like the rate, as otherwise
+    /// both sides of a network partition would have the whole burst.
     fn capacity(&self, quota: &Quota, reach: Reach) -> f64 {
         quota.burst * self.visible_share(reach)
     }
 
-    /// Units that a bucket gains in a second. All of the allowance that running
-    /// nodes use goes here: a larger bucket would help for one burst alone.
+    /// The units that a bucket gains in a second. The usable part of the allowance
+    /// raises the rate and not the capacity, which would help for a single burst only.
     fn fill_rate(&self, quota: &Quota, reach: Reach) -> f64 {
         let allowed = self.allowance(quota) * self.usable_part(reach);
         let gained = allowed / self.options.window.as_secs_f64().max(1e-3);
         (quota.per_second + gained) * self.visible_share(reach)
     }
 
+    /// Returns a customer's account, refilled up to now.
     fn account(&mut self, now: Time, customer: u64, quota: &Quota, reach: Reach) -> &mut Account {
         let capacity = self.capacity(quota, reach);
         let rate = self.fill_rate(quota, reach);
--- a/crates/dispatch/src/quota/usage.rs
+++ b/crates/dispatch/src/quota/usage.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of their customers' use.
+//! The exchange of customers' usage between nodes.
 
 use std::net::SocketAddrV4;
 
@@ -12,27 +12,27 @@
 use crate::configuration::Quota;
 use crate::message::Usage;
 
-/// The part of a bucket under which its use is told more often.
+/// The level, as a fraction of the bucket, below which usage is reported more often.
 const HIGH_USAGE_LEVEL: f64 = 0.7;
 
-/// How long a customer counts as pressing after its last request.
+/// How long usage is reported more often after a customer's last request.
 const HIGH_USAGE_TIME: Span = Span::from_secs(2);
 
-/// Who says what was used.
+/// The node that reports usage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reporter {
-    /// Its address.
+    /// The node's address.
     pub address: SocketAddrV4,
-    /// Its life.
+    /// Distinguishes the node's runs.
     pub incarnation: u64,
-    /// True where it had been heard in this life before.
+    /// Whether this incarnation was heard before.
     pub known: bool,
 }
 
 impl Accounts {
-    /// Takes in what another node says that a customer used there. What the
-    /// bucket gained until now is counted first, so that a bucket which was
-    /// full for long holds no more than a full one.
+    /// Takes the usage that another node reports for a customer out of the bucket.
+    /// The bucket is refilled first, so that time in which it was already full does not
+    /// offset the usage.
     pub fn record_peer_usage(
         &mut self,
         now: Time,
@@ -58,18 +58,19 @@
             Some(previous) if previous.incarnation == from.incarnation => {
                 reported.units.saturating_sub(previous.units) as f64
             }
-            // For a node that has just started it is all there is.
+            // A restarted node counts from zero.
             Some(_) => reported.units as f64,
-            // Silent of this customer until now: it has just been used there,
-            // unless that is so long ago that it was forgotten.
+            // A known node's first report for this customer is recent usage, unless the
+            // previous report is so old that the account was dropped. A full bucket
+            // bounds what that can cost.
             None if from.known => (reported.units as f64).min(account.capacity),
-            // What a node used before it was first heard is long past.
+            // Usage before a node was first heard does not count.
             None => 0.0,
         };
         account.take(used);
     }
 
-    /// True where a customer uses so much that the others should hear of it soon.
+    /// Whether a customer's usage is so high that other nodes should hear of it soon.
     pub fn is_usage_high(&self, now: Time) -> bool {
         let since = now - HIGH_USAGE_TIME;
         let mut recent = self
@@ -79,8 +80,9 @@
         recent.any(|account| account.level < account.capacity * HIGH_USAGE_LEVEL)
     }
 
-    /// What customers used here, for the others.
-    pub fn usage(&self, now: Time, most: usize) -> Vec<Usage> {
+    /// Returns the usage to report to other nodes, the latest first, for up to `limit`
+    /// customers.
+    pub fn usage(&self, now: Time, limit: usize) -> Vec<Usage> {
         let since = now - self.options.report_for;
         let recent = self
             .accounts
@@ -96,7 +98,7 @@
             })
             .collect();
         usage.sort_by_key(|(used_at, usage)| (std::cmp::Reverse(*used_at), usage.customer));
-        usage.truncate(most);
+        usage.truncate(limit);
         usage.into_iter().map(|(_, usage)| usage).collect()
     }
 }
--- a/crates/dispatch/tests/dispatch/quota/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota/mod.rs
@@ -1,5 +1,4 @@
-//! What customers may use: what a node gives out of its bucket, alone and with
-//! others.
+//! Customer quotas: what a node admits from its bucket, by itself and with others.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -35,7 +34,7 @@
     Accounts::new(Options::default())
 }
 
-/// True where a node that is alone in its fleet admits a request then.
+/// Whether the only node of a fleet admits a request at this time.
 fn is_admitted(accounts: &mut Accounts, now: Time, demand: Demand) -> bool {
     let admitted = accounts.admit(now, CUSTOMER, &QUOTA, demand, reach(1, 0));
     admitted.is_ok()
@@ -50,24 +49,24 @@
     }
 }
 
-/// Units that one node gives out when asked for 10 each millisecond.
+/// The units that a node admits when asked for 10 each millisecond.
 fn admitted_units(accounts: &mut Accounts, reach: Reach, from: u64, to: u64) -> u64 {
-    let asked = (from..to).filter(|millis| {
+    let granted = (from..to).filter(|millis| {
         accounts
             .admit(at(*millis), CUSTOMER, &QUOTA, urgent(10), reach)
             .is_ok()
     });
-    asked.count() as u64 * 10
+    granted.count() as u64 * 10
 }
 
 #[test]
-fn one_node_gives_out_the_burst_and_the_rate() {
+fn one_node_admits_the_burst_and_the_rate() {
     let admitted = admitted_units(&mut accounts(), reach(1, 0), 0, 8_000);
     assert!((8_900..=9_010).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn what_is_refused_may_come_back_when_it_would_fit() {
+fn a_refused_request_fits_after_the_reported_wait() {
     let mut accounts = accounts();
     admitted_units(&mut accounts, reach(1, 0), 0, 1_000);
     let wait = accounts.admit(at(1_000), CUSTOMER, &QUOTA, urgent(500), reach(1, 0));
@@ -80,7 +79,7 @@
 }
 
 #[test]
-fn a_request_larger_than_the_bucket_passes_when_that_is_full() {
+fn a_request_larger_than_the_bucket_is_admitted_when_it_is_full() {
     let mut accounts = accounts();
     assert!(is_admitted(&mut accounts, at(0), urgent(5_000)));
     assert!(!is_admitted(&mut accounts, at(1_000), urgent(1)));
@@ -88,7 +87,7 @@
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
+fn a_refund_makes_the_units_available_again() {
     let mut accounts = accounts();
     assert!(is_admitted(&mut accounts, at(0), urgent(1_000)));
     assert!(!is_admitted(&mut accounts, at(0), urgent(1_000)));
@@ -97,19 +96,19 @@
 }
 
 #[test]
-fn a_node_that_heard_nobody_gives_out_a_part() {
-    let alone = Reach {
+fn an_isolated_node_admits_a_fraction() {
+    let isolated = Reach {
         nodes: 1,
         silent: 0,
         isolated: true,
         one_cell: true,
     };
-    let admitted = admitted_units(&mut accounts(), alone, 0, 8_000);
+    let admitted = admitted_units(&mut accounts(), isolated, 0, 8_000);
     assert!(admitted <= 2_300, "{admitted}");
 }
 
 #[test]
-fn the_last_part_is_for_what_is_protected_or_small() {
+fn the_last_part_is_reserved_for_protected_or_small_requests() {
     let routine = |units| Demand {
         units,
         routine: 1.0,
@@ -123,7 +122,7 @@
 }
 
 #[test]
-fn the_overrun_is_for_spare_endpoints() {
+fn the_overrun_is_only_for_idle_endpoints() {
     let options = Options {
         overrun: 0.25,
         part: 1.0,
@@ -136,16 +135,16 @@
             ..urgent(10)
         };
         let admitted = (0..40_000).filter(|millis| is_admitted(&mut accounts, at(*millis), demand));
-        // The burst of 1,000 counts once.
+        // Without the initial burst of 1,000.
         (admitted.count() as u64 * 10 - 1_000) / 40
     };
     assert!((990..=1_010).contains(&rate(true)), "{}", rate(true));
-    // A quarter of the rate, and of the burst in eight seconds.
+    // A quarter more than the rate, and a quarter of the burst each eight seconds.
     assert!((1_270..=1_290).contains(&rate(false)), "{}", rate(false));
 }
 
 #[test]
-fn what_spare_endpoints_did_is_not_held_against_a_customer_later() {
+fn usage_of_idle_endpoints_does_not_count_against_a_customer_later() {
     let mut accounts = Accounts::new(Options {
         overrun: 0.25,
         part: 1.0,
@@ -174,10 +173,11 @@
     assert!(!admit(1_100, 700));
 }
 
-/// Of a bucket that fills from empty a part of what it can hold by then is kept, not of a
-/// whole one: else nothing but the most protected would be admitted for its first 350 ms.
+/// While a bucket fills after the start, the reserved fraction is that of its possible
+/// level and not of its capacity. Otherwise only the most protected requests would be
+/// admitted for the first 350 ms.
 #[test]
-fn of_a_bucket_that_fills_a_part_is_for_others_at_once() {
+fn a_filling_bucket_admits_unprotected_requests_at_once() {
     let routine = |units| Demand {
         units,
         routine: 1.0,
@@ -192,7 +192,7 @@
     assert!(admit(400, 130));
 }
 
-/// A fleet of ten nodes in several cells.
+/// The view of a node in a fleet of ten nodes in several cells.
 const TEN_NODES: Reach = Reach {
     nodes: 10,
     silent: 0,
@@ -201,24 +201,24 @@
 };
 
 #[test]
-fn a_node_that_reaches_no_owner_keeps_to_a_part_of_its_even_part() {
+fn a_node_without_an_owner_keeps_to_a_fraction_of_its_share() {
     let mut accounts = accounts();
-    // A quarter of a tenth of 1,000 a second, of which 8 s are saved up.
-    let asked = (0..8_000).filter(|millis| {
+    // A quarter of a tenth of 1,000 a second, with 8 s accumulated.
+    let granted = (0..8_000).filter(|millis| {
         accounts
             .admit_without_owner(at(*millis), CUSTOMER, &QUOTA, urgent(1), TEN_NODES)
             .is_ok()
     });
-    let given = asked.count();
-    assert!((390..=401).contains(&given), "{given}");
+    let admitted = granted.count();
+    assert!((390..=401).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn what_owners_gave_out_counts_against_the_part_without_them() {
+fn units_granted_by_owners_count_against_the_share_without_them() {
     let mut accounts = accounts();
     accounts.charge_node_share(at(0), CUSTOMER, &QUOTA, 200, TEN_NODES);
     let denied = accounts.admit_without_owner(at(0), CUSTOMER, &QUOTA, urgent(10), TEN_NODES);
-    let wait = denied.expect_err("nothing is saved up").wait;
+    let wait = denied.expect_err("no share is accumulated").wait;
     assert_eq!(wait, Span::from_millis(400));
     let later = at(0) + wait;
     assert!(
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn what_is_larger_than_a_node_may_save_up_does_not_pass_without_an_owner() {
+fn a_request_larger_than_the_accumulated_share_is_refused_without_an_owner() {
     let mut accounts = accounts();
     let admitted =
         accounts.admit_without_owner(at(60_000), CUSTOMER, &QUOTA, urgent(300), TEN_NODES);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_node_that_still_meets_the_others_counts_with_many() {
+fn a_node_assumes_many_others_while_it_discovers_them() {
     let mut accounts = accounts();
     accounts.note_start(at(0));
     let mut admit = |millis, units| {
@@ -247,12 +247,12 @@
     };
     assert!(!admit(250, 100));
     assert!(admit(250, 1));
-    // By itself it would have a quarter of the limit.
+    // After the discovery time the only node may admit a quarter of the limit.
     assert!(admit(500, 100));
 }
 
-/// Accounts of a node that has started and may give out an initial credit: of
-/// the 9,000 of a window an allowance of 2,250 and 750, a third of it.
+/// Accounts of a node that has just started, with an initial credit of 1,000: a third of
+/// the allowance, which is a quarter of the 9,000 units in a window and 750 more.
 fn accounts_with_credit() -> Accounts {
     let mut accounts = Accounts::new(Options {
         overrun: 0.25,
@@ -265,12 +265,12 @@
 }
 
 #[rstest]
-#[case::not_yet_met(at(0), reach(4, 0), 15)]
-#[case::half_the_time_to_meet(at(150), reach(4, 0), 125)]
-#[case::all_are_met(at(500), reach(4, 0), 250)]
+#[case::nobody_discovered_yet(at(0), reach(4, 0), 15)]
+#[case::half_of_the_discovery_time(at(150), reach(4, 0), 125)]
+#[case::all_are_discovered(at(500), reach(4, 0), 250)]
 #[case::a_large_fleet(at(500), reach(100, 0), 10)]
-#[case::nobody_was_heard(at(500), Reach { isolated: true, ..reach(1, 0) }, 15)]
-fn a_node_gives_out_its_share_of_the_initial_credit_once(
+#[case::isolated(at(500), Reach { isolated: true, ..reach(1, 0) }, 15)]
+fn a_node_admits_its_share_of_the_initial_credit_once(
     #[case] now: Time,
     #[case] reach: Reach,
     #[case] share: u64,
@@ -283,23 +283,23 @@
 }
 
 #[test]
-fn initial_credit_is_told_as_use() {
+fn initial_credit_is_reported_as_usage() {
     let mut accounts = accounts_with_credit();
     assert!(accounts.try_admit_initial(at(500), CUSTOMER, &QUOTA, urgent(200), reach(4, 0)));
-    let said = accounts.usage(at(500), 8);
-    assert_eq!(said.iter().map(|one| one.units).sum::<u64>(), 200);
+    let reported = accounts.usage(at(500), 8);
+    assert_eq!(reported.iter().map(|usage| usage.units).sum::<u64>(), 200);
 }
 
 proptest! {
-    /// However a fleet is cut in two, both sides together give out no more than
-    /// the whole limit and the bursts that both had.
+    /// Both sides of a network partition together admit no more than the limit and the
+    /// burst, wherever the fleet is split.
     #[test]
-    fn two_sides_of_a_cut_keep_to_the_limit(nodes in 2usize..20, part in 1usize..19) {
-        prop_assume!(part < nodes);
+    fn both_sides_of_a_partition_keep_to_the_limit(nodes in 2usize..20, size in 1usize..19) {
+        prop_assume!(size < nodes);
         let mut sides = [accounts(), accounts()];
-        let cut = [reach(nodes, nodes - part), reach(nodes, part)];
+        let reaches = [reach(nodes, nodes - size), reach(nodes, size)];
         let mut admitted = 0;
-        for (side, reach) in sides.iter_mut().zip(cut) {
+        for (side, reach) in sides.iter_mut().zip(reaches) {
             admitted += admitted_units(side, reach, 0, 8_000);
         }
         prop_assert!(admitted <= 9_050, "{admitted}");
