--- a/crates/dispatch/tests/dispatch/quota_fleet/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/mod.rs
@@ -1,6 +1,5 @@
-//! What a fleet of many nodes gives out together, with owners that are asked,
-//! while nodes are cut off, killed and started again. The world is virtual: the
-//! same each run.
+//! Quotas of a whole fleet, whose nodes ask the owners of quotas while some are
+//! partitioned, killed and restarted. The simulation is the same in each run.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -28,57 +27,57 @@
 use world::SLACK_UNITS;
 use world::STEP_MILLIS;
 use world::WINDOW_MILLIS;
-use world::cut;
 use world::kill;
+use world::partition;
 use world::quota;
 
 #[rstest]
 #[case::nothing_happens(300_000.0, &[])]
 #[case::a_small_limit(30_000.0, &[])]
-#[case::a_third_is_cut_off(300_000.0, &[cut(0..10, 8_000, 14_000)])]
-#[case::a_third_is_cut_off_under_a_small_limit(30_000.0, &[cut(0..10, 8_000, 14_000)])]
-#[case::a_third_is_cut_off_twice(100_000.0, &[cut(0..10, 8_000, 12_000), cut(15..25, 13_000, 17_000)])]
-#[case::a_cut_that_comes_and_goes(100_000.0, &[cut(0..10, 8_000, 9_000), cut(0..10, 10_000, 11_000), cut(0..10, 12_000, 13_000)])]
+#[case::a_third_is_partitioned(300_000.0, &[partition(0..10, 8_000, 14_000)])]
+#[case::a_third_is_partitioned_under_a_small_limit(30_000.0, &[partition(0..10, 8_000, 14_000)])]
+#[case::a_third_is_partitioned_twice(100_000.0, &[partition(0..10, 8_000, 12_000), partition(15..25, 13_000, 17_000)])]
+#[case::a_flapping_partition(100_000.0, &[partition(0..10, 8_000, 9_000), partition(0..10, 10_000, 11_000), partition(0..10, 12_000, 13_000)])]
 #[case::half_is_killed(300_000.0, &[kill(0..15, 8_000, 10_000)])]
 #[case::half_is_killed_under_a_small_limit(30_000.0, &[kill(0..15, 8_000, 10_000)])]
 #[case::all_are_killed(300_000.0, &[kill(0..30, 8_000, 9_000)])]
-#[case::killed_and_cut(100_000.0, &[kill(0..15, 8_000, 10_000), cut(20..28, 9_000, 14_000)])]
+#[case::killed_and_partitioned(100_000.0, &[kill(0..15, 8_000, 10_000), partition(20..28, 9_000, 14_000)])]
 fn a_fleet_keeps_to_the_limit(#[case] rate: f64, #[case] outages: &[Outage]) {
     let mut fleet = Fleet::new(rate, outages);
-    // Twenty times and more of what the limit lets through is asked for.
+    // The callers ask for fifteen times the limit or more.
     for millis in (0..20_000).step_by(STEP_MILLIS as usize) {
         let requests = if millis < 3_000 { 0 } else { 1 };
         fleet.step(millis, requests);
     }
     let quota = quota(rate);
-    let plain = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
-    let allowed = plain * (1.0 + OVERRUN) + SLACK_UNITS;
+    let base = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
+    let allowed = base * (1.0 + OVERRUN) + SLACK_UNITS;
     let most = fleet.max_admitted_in_window() as f64;
     assert!(most <= allowed, "{most} of {allowed}");
-    // And no less than the limit gives, where nothing happens for long.
-    let calm = fleet.admitted_in(3_000..8_000) as f64;
-    assert!(calm >= rate * 5.0, "{calm}");
+    // Before the first outage the fleet admits at least the limit.
+    let undisturbed = fleet.admitted_in(3_000..8_000) as f64;
+    assert!(undisturbed >= rate * 5.0, "{undisturbed}");
 }
 
 #[test]
-fn an_owner_that_is_gone_is_passed_over_by_the_next() {
+fn the_next_owner_replaces_one_that_is_gone() {
     let mut fleet = Fleet::new(300_000.0, &[kill(0..15, 4_000, 9_000)]);
     for millis in (0..9_000).step_by(STEP_MILLIS as usize) {
         let requests = if millis < 3_000 { 0 } else { 1 };
         fleet.step(millis, requests);
     }
-    // From the moment of the kill on, what lives serves at least its part.
+    // From the kill on, the remaining nodes serve at least 80 % of their share.
     let served = fleet.admitted_in(4_000..8_000) as f64;
     assert!(served >= 300_000.0 * 4.0 * 0.4, "{served}");
 }
 
 #[test]
-fn a_customer_without_a_quota_at_its_owner_is_not_refused_for_it() {
+fn an_owner_that_does_not_know_a_customer_causes_no_refusal() {
     let mut fleet = Fleet::new(300_000.0, &[]);
     for millis in (0..3_000).step_by(STEP_MILLIS as usize) {
         fleet.step(millis, 0);
     }
-    // More than any node's share of the initial credit.
+    // More than a node's share of the initial credit.
     let demand = Demand {
         units: 100_000,
         routine: 0.0,
@@ -93,60 +92,61 @@
                 _ => None,
             }
         })
-        .expect("all but the owner ask");
-    let mut stranger = Dispatcher::new(options(99));
-    assert_eq!(stranger.reserve(at(3_000), &reserve), Verdict::Unknown);
-    let dispatcher = fleet.nodes[index].as_mut().expect("it lives");
+        .expect("all nodes but the owner ask");
+    let mut unconfigured = Dispatcher::new(options(99));
+    assert_eq!(unconfigured.reserve(at(3_000), &reserve), Verdict::Unknown);
+    let dispatcher = fleet.nodes[index].as_mut().expect("the node runs");
     let left = Span::from_secs(5);
     let verdict = Some(Verdict::Unknown);
     let next = dispatcher.finish_reservation(at(3_000), owner, &customer, demand, left, verdict);
-    // Another is asked, or this node decides.
+    // Another owner is asked, or this node decides itself.
     assert!(!matches!(next, Charge::Ask(again, _) if again == owner));
 }
 
 #[test]
-fn what_did_not_run_goes_back_to_the_owner() {
+fn a_refund_goes_to_the_owner() {
     let mut fleet = Fleet::new(30_000.0, &[]);
     for millis in (0..3_000).step_by(STEP_MILLIS as usize) {
         fleet.step(millis, 0);
     }
     let customer = fleet.customer.clone();
-    let dispatcher = fleet.nodes[0].as_mut().expect("it lives");
-    let told = dispatcher.refund(&customer, 70, Some(node(4)));
-    let (owner, release) = told.expect("the owner is told");
+    let dispatcher = fleet.nodes[0].as_mut().expect("the node runs");
+    let message = dispatcher.refund(&customer, 70, Some(node(4)));
+    let (owner, release) = message.expect("a message to the owner");
     assert_eq!((owner, release.units), (node(4), 70));
     assert_eq!(dispatcher.refund(&customer, 70, None), None);
 }
 
 #[rstest]
 #[case::nothing_happens(&[])]
-#[case::one_is_started_again(&[kill(1..2, 6_000, 6_500)])]
-#[case::each_is_started_again(&[kill(1..2, 6_000, 6_200), kill(2..3, 8_000, 8_200), kill(3..4, 10_000, 10_200), kill(0..1, 12_000, 12_200)])]
-#[case::one_is_away_for_long(&[kill(1..2, 4_000, 9_000)])]
-#[case::one_is_cut_off(&[cut(1..2, 6_000, 9_000)])]
+#[case::one_is_restarted(&[kill(1..2, 6_000, 6_500)])]
+#[case::each_is_restarted(&[kill(1..2, 6_000, 6_200), kill(2..3, 8_000, 8_200), kill(3..4, 10_000, 10_200), kill(0..1, 12_000, 12_200)])]
+#[case::one_is_down_for_long(&[kill(1..2, 4_000, 9_000)])]
+#[case::one_is_partitioned(&[partition(1..2, 6_000, 9_000)])]
 fn a_small_fleet_keeps_to_the_limit_while_callers_move(#[case] outages: &[Outage]) {
     let rate = 60_000.0;
     let mut fleet = Fleet::with_nodes(4, rate, outages);
     for millis in (0..16_000).step_by(STEP_MILLIS as usize) {
-        // All callers are at one node, and at the next a second and a half later.
-        let at_node = (millis / 1_500 % 4) as u8;
-        fleet.step_with(millis, |number| match millis < 3_000 || number != at_node {
+        // All callers use one node, and move to the next each 1.5 s.
+        let active = (millis / 1_500 % 4) as u8;
+        fleet.step_with(millis, |number| match millis < 3_000 || number != active {
             true => 0,
             false => 2,
         });
     }
     let quota = quota(rate);
-    let plain = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
-    // What the nodes are told to use of the overrun, what they may give out after
-    // a start, and one request a node.
+    let base = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
+    // The part of the allowance that nodes may use, the initial credit after a start,
+    // and one request for each node.
     let quota::Options { part, initial, .. } = quota::Options::default();
-    let used = part + initial;
-    let told = plain * (1.0 + OVERRUN * used) + SLACK_UNITS * used + 4.0 * REQUEST_UNITS as f64;
+    let usable = part + initial;
+    let allowed =
+        base * (1.0 + OVERRUN * usable) + SLACK_UNITS * usable + 4.0 * REQUEST_UNITS as f64;
     let most = fleet.max_admitted_in_window() as f64;
-    assert!(most <= told, "{most} of {told}");
+    assert!(most <= allowed, "{most} of {allowed}");
 }
 
-/// What a node gives out that has only just started, by its first event.
+/// The number of requests that a node admits right after its start, by its first event.
 fn admitted_at_start(first: impl Fn(&mut Dispatcher, u64)) -> usize {
     let mut fleet = Fleet::with_nodes(1, 60_000.0, &[]);
     fleet.initial = 0.0;
@@ -171,7 +171,7 @@
     let status = Status { incarnation: 9, sequence: 1, usage, ..Status::default() };
     dispatcher.hear(at(9_990), node(7), status);
 })]
-#[case::a_question(&|dispatcher: &mut Dispatcher, customer| {
+#[case::a_reservation(&|dispatcher: &mut Dispatcher, customer| {
     let reserve = Reserve { number: 1, customer, units: REQUEST_UNITS, routine: 0, pressed: false };
     assert!(matches!(dispatcher.reserve(at(9_990), &reserve), Verdict::Denied(_)));
 })]
@@ -181,23 +181,23 @@
     assert_eq!(admitted_at_start(first), 0);
 }
 
-/// All of a fleet is killed, and a customer far below its limit goes on asking:
-/// for more than a node's part of the initial credit.
+/// After all nodes were killed, a customer far below its limit needs more than a node's
+/// share of the initial credit.
 #[test]
-fn who_comes_to_a_node_that_has_just_started_is_not_refused_for_it() {
+fn a_node_that_has_just_started_does_not_refuse_customers_below_their_limit() {
     let mut fleet = Fleet::new(60_000.0, &[kill(0..FLEET_NODES, 4_000, 4_500)]);
     for millis in (0..6_000).step_by(STEP_MILLIS as usize) {
-        // A request of 3,000 units each 100 ms: half of the limit.
+        // One request of 3,000 units each 100 ms is half of the limit.
         let asks = millis >= 2_000 && millis % 100 == 0;
-        let at_node = (millis / 100 % u64::from(FLEET_NODES)) as u8;
-        fleet.step_with(millis, |number| u64::from(asks && number == at_node));
+        let active = (millis / 100 % u64::from(FLEET_NODES)) as u8;
+        fleet.step_with(millis, |number| u64::from(asks && number == active));
     }
     let asked = (4_500..6_000).step_by(100).count() as u64 * REQUEST_UNITS;
     assert_eq!(fleet.admitted_in(4_500..6_000), asked);
 }
 
 #[test]
-fn who_has_no_time_to_wait_is_answered_at_once() {
+fn a_request_without_time_to_wait_is_answered_at_once() {
     let mut fleet = Fleet::with_nodes(1, 60_000.0, &[]);
     fleet.initial = 0.0;
     let customer = fleet.customer.clone();
@@ -214,9 +214,8 @@
     assert!(matches!(charge(200), Charge::Refused(..)));
 }
 
-/// What a customer that asks for many times its limit gets of a fleet's nodes,
-/// which are killed as `troubles` say: the most in a window, and what the rules
-/// allow there.
+/// Lets a customer ask a fleet for many times its limit. Returns the most units admitted
+/// in a window, and the most that are allowed.
 fn max_admitted_under(nodes: u8, rate: f64, outages: &[Outage]) -> (f64, f64) {
     let mut fleet = Fleet::with_nodes(nodes, rate, outages);
     for millis in (0..18_000).step_by(STEP_MILLIS as usize) {
@@ -224,10 +223,10 @@
         fleet.step(millis, requests);
     }
     let quota = quota(rate);
-    let plain = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
+    let base = rate * WINDOW_MILLIS as f64 / 1_000.0 + quota.burst;
     (
         fleet.max_admitted_in_window() as f64,
-        plain * (1.0 + OVERRUN) + SLACK_UNITS,
+        base * (1.0 + OVERRUN) + SLACK_UNITS,
     )
 }
 
@@ -235,7 +234,7 @@
 #[case::once(&[kill(0..6, 9_000, 9_500)])]
 #[case::twice_in_a_window(&[kill(0..6, 9_000, 9_500), kill(0..6, 13_000, 13_500)])]
 #[case::three_times_in_a_window(&[kill(0..6, 8_000, 8_300), kill(0..6, 10_000, 10_300), kill(0..6, 12_000, 12_300)])]
-#[case::after_a_long_time_away(&[kill(0..6, 9_000, 12_000)])]
+#[case::after_a_long_downtime(&[kill(0..6, 9_000, 12_000)])]
 fn a_fleet_that_is_killed_keeps_to_the_limit(
     #[case] outages: &[Outage],
     #[values(10_000.0, 60_000.0, 200_000.0)] rate: f64,
@@ -247,9 +246,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Whichever nodes are killed, whenever, and however soon they are back.
+    /// Any nodes are killed at any times and restarted after any downtime.
     #[test]
-    fn nodes_that_are_killed_at_random_keep_to_the_limit(
+    fn a_fleet_with_random_kills_keeps_to_the_limit(
         nodes in 2u8..9,
         rate in 10_000.0f64..200_000.0,
         kills in prop::collection::vec((0u8..9, 1u8..9, 6_000u64..14_000, 200u64..2_000), 1..6),
@@ -264,10 +263,10 @@
 }
 
 #[test]
-fn a_customer_below_its_limit_is_served_on_once_all_were_killed() {
+fn a_customer_below_its_limit_is_served_after_all_were_killed() {
     let mut fleet = Fleet::with_nodes(6, 200_000.0, &[kill(0..6, 9_000, 9_500)]);
     for millis in (0..12_000).step_by(STEP_MILLIS as usize) {
-        // Half of the limit: 3,000 units every 30 ms, at one node after the other.
+        // Half of the limit: 3,000 units every 30 ms, at the nodes in turn.
         let turn = millis / STEP_MILLIS;
         let asked = u64::from(turn % 3 != 2);
         fleet.step_with(millis, |number| match turn % 6 == u64::from(number) {
--- a/crates/dispatch/tests/dispatch/quota_fleet/world.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/world.rs
@@ -1,4 +1,4 @@
-//! A fleet whose nodes ask the owners of quotas, cut off and killed as a test says.
+//! A simulated fleet whose nodes ask the owners of quotas, with outages set by a test.
 
 use std::net::SocketAddrV4;
 use std::ops::Range;
@@ -20,23 +20,25 @@
 use crate::support::node;
 use crate::support::options;
 
-/// Time between two steps of the world, in milliseconds.
+/// The simulated time of one step.
 pub(super) const STEP_MILLIS: u64 = 20;
 
-/// The window of the rule, in milliseconds.
+/// The window in which usage is measured.
 pub(super) const WINDOW_MILLIS: u64 = 8_000;
 
-/// How far the rule lets the whole go beyond the limit.
+/// The fraction by which the fleet may exceed a limit.
 pub(super) const OVERRUN: f64 = 0.25;
+
+/// Further units by which the fleet may exceed a limit in a window.
 pub(super) const SLACK_UNITS: f64 = 72_000.0;
 
-/// Tokens of one request.
+/// The units of one request.
 pub(super) const REQUEST_UNITS: u64 = 3_000;
 
-/// Nodes of a fleet of several cells.
+/// The number of nodes of a fleet of several cells.
 pub(super) const FLEET_NODES: u8 = 30;
 
-/// Nodes that lose all others between two moments, or are not there at all.
+/// Nodes that are partitioned from all others for a while, or killed.
 #[derive(Clone)]
 pub(super) struct Outage {
     pub nodes: Range<u8>,
@@ -45,17 +47,21 @@
     pub kill: bool,
 }
 
+/// The nodes of a fleet and the units that they admitted.
 pub(super) struct Fleet {
+    /// The nodes, without those that are killed.
     pub nodes: Vec<Option<Dispatcher>>,
     pub customer: Customer,
     pub outages: Vec<Outage>,
     pub incarnations: u64,
-    /// The part of the allowance that is the initial credit.
+    /// The fraction of the allowance that is the initial credit.
     pub initial: f64,
+    /// When units were admitted, and how many.
     pub admitted: Vec<(u64, u64)>,
-    /// Nodes that have a request which waits, and until when.
+    /// The node of each waiting request, and when it is charged again.
     pub waiting: Vec<(u8, Time)>,
-    pub asked: u64,
+    /// The number of questions to owners.
+    pub reservations: u64,
 }
 
 pub(super) fn quota(rate: f64) -> Quota {
@@ -87,7 +93,7 @@
             initial: quota::Options::default().initial,
             admitted: Vec::new(),
             waiting: Vec::new(),
-            asked: 0,
+            reservations: 0,
         };
         for number in 0..nodes {
             let made = fleet.make_node(number);
@@ -119,14 +125,14 @@
     }
 
     pub(super) fn has_outage(&self, millis: u64, number: u8, kill: bool) -> bool {
-        let mut now = self
+        let mut current = self
             .outages
             .iter()
-            .filter(|one| one.kill == kill && (one.from..one.to).contains(&millis));
-        now.any(|one| one.nodes.contains(&number))
+            .filter(|outage| outage.kill == kill && (outage.from..outage.to).contains(&millis));
+        current.any(|outage| outage.nodes.contains(&number))
     }
 
-    /// The node at an address, where the two can reach each other.
+    /// Returns the node at an address if `from` can reach it.
     pub(super) fn connect(
         &mut self,
         millis: u64,
@@ -144,15 +150,16 @@
         self.step_with(millis, |_| requests);
     }
 
-    /// One step in which each node gets as many requests as `asked` says.
-    pub(super) fn step_with(&mut self, millis: u64, asked: impl Fn(u8) -> u64) {
+    /// Runs one step in which each node gets as many requests as `requests` returns.
+    pub(super) fn step_with(&mut self, millis: u64, requests: impl Fn(u8) -> u64) {
         for number in 0..self.nodes.len() as u8 {
             let killed = self.has_outage(millis, number, true);
             let index = usize::from(number);
             match (killed, self.nodes[index].is_some()) {
                 (true, true) => {
                     self.nodes[index] = None;
-                    self.waiting.retain(|(waits_at, _)| *waits_at != number);
+                    self.waiting
+                        .retain(|(waiting_node, _)| *waiting_node != number);
                 }
                 (false, false) => self.nodes[index] = Some(self.make_node(number)),
                 _ => {}
@@ -171,12 +178,12 @@
             let (due, waiting): (Vec<_>, Vec<_>) = self
                 .waiting
                 .drain(..)
-                .partition(|(waits_at, until)| *waits_at == number && *until <= at(millis));
+                .partition(|(waiting_node, until)| *waiting_node == number && *until <= at(millis));
             self.waiting = waiting;
             for _ in due {
                 self.request(millis, number);
             }
-            for _ in 0..asked(number) {
+            for _ in 0..requests(number) {
                 self.request(millis, number);
             }
         }
@@ -196,11 +203,11 @@
         let left = Span::from_secs(5);
         let mut charge = dispatcher.charge(at(millis), &customer, demand, left);
         while let Charge::Ask(owner, reserve) = charge {
-            self.asked += 1;
+            self.reservations += 1;
             let verdict = self
                 .connect(millis, number, owner)
                 .map(|owner| owner.reserve(at(millis), &reserve));
-            let dispatcher = self.nodes[index].as_mut().expect("it has just asked");
+            let dispatcher = self.nodes[index].as_mut().expect("the node has just asked");
             charge =
                 dispatcher.finish_reservation(at(millis), owner, &customer, demand, left, verdict);
         }
@@ -211,7 +218,7 @@
         }
     }
 
-    /// The most that was given out in any window of the rule.
+    /// Returns the most units that were admitted in any window.
     pub(super) fn max_admitted_in_window(&self) -> u64 {
         let windows = self.admitted.iter().map(|(from, _)| {
             let within = self
@@ -223,13 +230,14 @@
         windows.max().unwrap_or(0)
     }
 
+    /// Returns the units that were admitted in a span of milliseconds.
     pub(super) fn admitted_in(&self, span: Range<u64>) -> u64 {
         let within = self.admitted.iter().filter(|(at, _)| span.contains(at));
         within.map(|(_, units)| units).sum()
     }
 }
 
-pub(super) fn cut(nodes: Range<u8>, from: u64, to: u64) -> Outage {
+pub(super) fn partition(nodes: Range<u8>, from: u64, to: u64) -> Outage {
     Outage {
         nodes,
         from,
