--- a/crates/dispatch/tests/dispatch/fleet/builds.rs
+++ b/crates/dispatch/tests/dispatch/fleet/builds.rs
@@ -9,7 +9,7 @@
 
 /// Requests in a hundred that may more come to an endpoint without a free slot, or be late,
 /// than while the same nodes are restarted under one build.
-const WORSE_MOST: f64 = 1.0;
+const MAX_WORSE_PERCENT: f64 = 1.0;
 
 fn fleet() -> World {
     let mut world = World::start(Shape {
@@ -54,15 +54,21 @@
         changed,
         back,
     };
-    let two = seen_in(roll, change_build);
-    let one = seen_in(roll, restart);
-    let percent = |seen: &[Outcome], is: fn(&Outcome) -> bool| share(seen, is) * 100.0;
-    let queued = |seen: &[Outcome]| percent(seen, |one| one.queued);
-    let in_time = |seen: &[Outcome]| percent(seen, is_in_time);
+    let two = outcomes_of(roll, change_build);
+    let one = outcomes_of(roll, restart);
+    let percent = |outcomes: &[Outcome], is: fn(&Outcome) -> bool| share(outcomes, is) * 100.0;
+    let queued = |outcomes: &[Outcome]| percent(outcomes, |one| one.queued);
+    let in_time = |outcomes: &[Outcome]| percent(outcomes, is_in_time);
     let (with_two, with_one) = (queued(&two), queued(&one));
-    assert!(with_two <= with_one + WORSE_MOST, "{with_two}, {with_one}");
+    assert!(
+        with_two <= with_one + MAX_WORSE_PERCENT,
+        "{with_two}, {with_one}"
+    );
     let (with_two, with_one) = (in_time(&two), in_time(&one));
-    assert!(with_two >= with_one - WORSE_MOST, "{with_two}, {with_one}");
+    assert!(
+        with_two >= with_one - MAX_WORSE_PERCENT,
+        "{with_two}, {with_one}"
+    );
 }
 
 /// Restarts a node under its own build.
@@ -72,7 +78,7 @@
 }
 
 /// The requests that come during a roll, after which all nodes have the newest list.
-fn seen_in(roll: Roll, replace: fn(&mut World, u16, u64)) -> Vec<Outcome> {
+fn outcomes_of(roll: Roll, replace: fn(&mut World, u16, u64)) -> Vec<Outcome> {
     let Roll {
         at_once,
         changed,
@@ -120,9 +126,9 @@
     world.run_for(SECOND);
     kill_for(&mut world, &all, SECOND);
     world.run_for(Span::from_secs(3));
-    let seen = serve(&mut world, MODEL, 380, Span::from_secs(4), &all);
-    assert_in_time(&seen, 90.0);
-    assert_queued(&seen, 3.0);
+    let outcomes = serve(&mut world, MODEL, 380, Span::from_secs(4), &all);
+    assert_in_time(&outcomes, 90.0);
+    assert_queued(&outcomes, 3.0);
 }
 
 /// What crashes endpoints is barred by all, whichever build saw the ends.
--- a/crates/dispatch/tests/dispatch/fleet/drill.rs
+++ b/crates/dispatch/tests/dispatch/fleet/drill.rs
@@ -13,7 +13,7 @@
 
 /// The revision of the list before, and how many writes of it are lost.
 const REVISION: u64 = 1_000;
-const LOST: u64 = 60;
+const LOST_WRITES: u64 = 60;
 
 fn fleet(nodes: u16, centres: u16) -> World {
     World::start(Shape {
@@ -29,7 +29,7 @@
 fn write(world: &mut World) -> List {
     let copy = List {
         era: Era(1),
-        revision: REVISION - LOST,
+        revision: REVISION - LOST_WRITES,
         ..(*world.list).clone()
     };
     world.publish_to_readers(copy.clone());
@@ -61,7 +61,7 @@
 }
 
 /// Requests that reached what a list had named as ended, leaving or evacuated.
-fn wrongly_sent(world: &World, copy: &List, since: Time) -> usize {
+fn misrouted(world: &World, copy: &List, since: Time) -> usize {
     let closed = copy.endpoints.iter().filter(|one| {
         let evacuated = one.data_centre == id::DataCentre::new("dc0");
         has_ended(one) || is_leaving(one) || evacuated
@@ -109,7 +109,7 @@
         assert!(world.now.since(from) <= IN_FORCE_WITHIN, "in force");
     }
     world.run_for(Span::from_millis(again_after));
-    assert_eq!(wrongly_sent(&world, &copy, since), 0);
+    assert_eq!(misrouted(&world, &copy, since), 0);
     // All is written again, under revisions that were given out before.
     let again = List {
         revision: copy.revision + 3,
@@ -128,9 +128,9 @@
     };
     world.publish_to_readers(again);
     world.run_for(Span::from_secs(2));
-    assert_eq!(wrongly_sent(&world, &copy, since), 0);
-    let seen = world.arrived_between(since, world.now);
-    let began = share(&seen, |one| one.began.is_some());
+    assert_eq!(misrouted(&world, &copy, since), 0);
+    let outcomes = world.arrived_between(since, world.now);
+    let began = share(&outcomes, |one| one.began.is_some());
     assert_eq!(began > 0.9, served, "{began}");
 }
 
@@ -167,7 +167,7 @@
     let stayed: Vec<u16> = all.iter().copied().filter(stayed).collect();
     load(&mut world, MODEL, 200, SECOND, &stayed);
     world.run_for(SECOND);
-    assert_eq!(wrongly_sent(&world, &copy, since), 0);
+    assert_eq!(misrouted(&world, &copy, since), 0);
 }
 
 /// Every other node runs the build before, which cannot know of the drill: no new one
@@ -183,7 +183,7 @@
     for step in 0..4 {
         let list = List {
             era: Era(2),
-            revision: REVISION - LOST + step * 30,
+            revision: REVISION - LOST_WRITES + step * 30,
             settled: step > 0,
             endpoints: copy
                 .endpoints
@@ -199,7 +199,7 @@
         assert!(!are_behind(&world, 2, &new), "step {step}");
         load(&mut world, MODEL, 100, SECOND, &new);
         world.run_for(SECOND);
-        assert_eq!(wrongly_sent(&world, &copy, since), 0, "step {step}");
+        assert_eq!(misrouted(&world, &copy, since), 0, "step {step}");
     }
     // Once the count has passed all that the build before knew, it follows again.
     let newest = world.nodes.values().map(|node| node.edition().revision);
--- a/crates/dispatch/tests/dispatch/fleet/evacuate.rs
+++ b/crates/dispatch/tests/dispatch/fleet/evacuate.rs
@@ -106,7 +106,7 @@
     let here: Vec<Outcome> = world.arrived_at(from, |node| node % 3 == 0);
     assert_in_time(&here, 97.0);
     assert_in_time(&world.arrived_between(from, world.now), 97.0);
-    assert_all_over(&mut world);
+    assert_all_finished(&mut world);
 }
 
 /// One after the other, and one taken back as the next is evacuated.
@@ -126,7 +126,7 @@
     }
     let list = evacuated(&world, &[]);
     world.publish_to_readers(list);
-    assert_all_over(&mut world);
+    assert_all_finished(&mut world);
 }
 
 /// A data centre is taken back during a burst: its endpoints are cold then,
--- a/crates/dispatch/tests/dispatch/fleet/leaving.rs
+++ b/crates/dispatch/tests/dispatch/fleet/leaving.rs
@@ -31,7 +31,7 @@
     world.notices.assert_leaving_respected();
     let seen = world.arrived_between(from, world.now - SECOND);
     assert_in_time(&seen, 95.0);
-    assert_all_over_within(&mut world, Span::from_secs(3));
+    assert_all_finished_within(&mut world, Span::from_secs(3));
 }
 
 /// Publishes the same list once more, which still says that all are ready.
--- a/crates/dispatch/tests/dispatch/fleet/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/mod.rs
@@ -123,14 +123,14 @@
 }
 
 /// At least so many of a hundred requests were in time.
-fn assert_in_time(seen: &[Outcome], percent: f64) {
-    let in_time = share(seen, is_in_time) * 100.0;
+fn assert_in_time(outcomes: &[Outcome], percent: f64) {
+    let in_time = share(outcomes, is_in_time) * 100.0;
     assert!(in_time >= percent, "{in_time} in 100");
 }
 
 /// At the most so many of a hundred went to an endpoint without a free slot.
-fn assert_queued(seen: &[Outcome], percent: f64) {
-    let queued = share(seen, |one| one.queued) * 100.0;
+fn assert_queued(outcomes: &[Outcome], percent: f64) {
+    let queued = share(outcomes, |one| one.queued) * 100.0;
     assert!(queued <= percent, "{queued} in 100");
 }
 
@@ -150,27 +150,28 @@
 }
 
 /// The share of requests that one says so of.
-fn share(seen: &[Outcome], is: impl Fn(&Outcome) -> bool) -> f64 {
-    let count = seen.iter().filter(|one| is(one)).count();
-    count as f64 / seen.len().max(1) as f64
+fn share(outcomes: &[Outcome], is: impl Fn(&Outcome) -> bool) -> f64 {
+    let count = outcomes.iter().filter(|one| is(one)).count();
+    count as f64 / outcomes.len().max(1) as f64
 }
 
-fn is_in_time(seen: &Outcome) -> bool {
-    let since = |at: Time| at.since(seen.arrived);
-    seen.began
+fn is_in_time(outcomes: &Outcome) -> bool {
+    let since = |at: Time| at.since(outcomes.arrived);
+    outcomes
+        .began
         .is_some_and(|at| since(at) <= Span::from_millis(500))
 }
 
 /// Each request was sent or refused once, and no slot stays taken.
-fn assert_all_over(world: &mut World) {
-    assert_all_over_within(world, Span::from_secs(20));
+fn assert_all_finished(world: &mut World) {
+    assert_all_finished_within(world, Span::from_secs(20));
 }
 
 /// The same after so long.
-fn assert_all_over_within(world: &mut World, span: Span) {
+fn assert_all_finished_within(world: &mut World, span: Span) {
     world.run_for(span);
-    for (name, seen) in &world.outcomes {
-        assert_eq!(seen.decided, 1, "{name:?} {seen:?}");
+    for (name, outcomes) in &world.outcomes {
+        assert_eq!(outcomes.decided, 1, "{name:?} {outcomes:?}");
     }
     for (node, dispatcher) in &world.nodes {
         assert_eq!(dispatcher.held(), 0, "node {node}");
@@ -185,12 +186,12 @@
     let mut world = World::start(shape());
     // Four fifths of what 32 endpoints with 4 slots of 400 ms can do.
     let nodes = all_nodes(&world);
-    let seen = serve(&mut world, MODEL, 256, Span::from_secs(6), &nodes);
-    assert_queued(&seen, 1.0);
-    assert_in_time(&seen, 98.0);
-    assert_all_over(&mut world);
+    let outcomes = serve(&mut world, MODEL, 256, Span::from_secs(6), &nodes);
+    assert_queued(&outcomes, 1.0);
+    assert_in_time(&outcomes, 98.0);
+    assert_all_finished(&mut world);
     // A question, a slot, the first event and the end; some wait, and ask again.
-    let each = world.messages as f64 / seen.len() as f64;
+    let each = world.messages as f64 / outcomes.len() as f64;
     assert!(each <= 5.0, "{each} messages a request");
 }
 
@@ -204,9 +205,9 @@
     world.run_for(Span::from_secs(4));
     let ended = world.now;
     world.run_for(Span::from_secs(6));
-    let seen = world.arrived_between(ended + SECOND, ended + Span::from_secs(5));
-    assert_in_time(&seen, 95.0);
-    assert_all_over(&mut world);
+    let outcomes = world.arrived_between(ended + SECOND, ended + Span::from_secs(5));
+    assert_in_time(&outcomes, 95.0);
+    assert_all_finished(&mut world);
 }
 
 #[test]
@@ -216,10 +217,10 @@
     nodes.retain(|node| world.centre(*node) == 0);
     // Half as much again as the endpoints of the data centre can do.
     serve(&mut world, MODEL, 240, SECOND, &nodes);
-    let seen = serve(&mut world, MODEL, 240, Span::from_secs(5), &nodes);
-    assert_in_time(&seen, 95.0);
-    assert_queued(&seen, 2.0);
-    assert_all_over(&mut world);
+    let outcomes = serve(&mut world, MODEL, 240, Span::from_secs(5), &nodes);
+    assert_in_time(&outcomes, 95.0);
+    assert_queued(&outcomes, 2.0);
+    assert_all_finished(&mut world);
 }
 
 #[test]
@@ -233,10 +234,10 @@
     });
     let nodes = all_nodes(&world);
     // Three quarters of what 24 slots can do.
-    let seen = serve(&mut world, SERVICE, 300, Span::from_secs(5), &nodes);
-    assert_queued(&seen, 1.0);
-    assert_in_time(&seen, 99.0);
-    assert_all_over(&mut world);
+    let outcomes = serve(&mut world, SERVICE, 300, Span::from_secs(5), &nodes);
+    assert_queued(&outcomes, 1.0);
+    assert_in_time(&outcomes, 99.0);
+    assert_all_finished(&mut world);
 }
 
 /// A burst of half as much again as the endpoints can do, of callers whose deadlines
@@ -265,9 +266,9 @@
     per_second(&mut world, 200, 8);
     let from = world.now;
     per_second(&mut world, 480, 4);
-    let seen = world.arrived_between(from, world.now);
-    assert_in_time(&seen, 64.0);
-    assert_all_over(&mut world);
+    let outcomes = world.arrived_between(from, world.now);
+    assert_in_time(&outcomes, 64.0);
+    assert_all_finished(&mut world);
 }
 
 /// Calls that are short beside the way between nodes: 24 slots of 15 ms could do
@@ -286,9 +287,9 @@
     });
     let nodes = all_nodes(&world);
     serve(&mut world, SERVICE, 1_300, SECOND, &nodes);
-    let seen = serve(&mut world, SERVICE, 1_300, Span::from_secs(3), &nodes);
-    assert_in_time(&seen, 97.0);
-    assert_all_over(&mut world);
+    let outcomes = serve(&mut world, SERVICE, 1_300, Span::from_secs(3), &nodes);
+    assert_in_time(&outcomes, 97.0);
+    assert_all_finished(&mut world);
 }
 
 #[rstest]
@@ -300,9 +301,9 @@
         ..shape()
     });
     let nodes = all_nodes(&world);
-    let seen = serve(&mut world, MODEL, 200, Span::from_secs(4), &nodes);
-    assert_in_time(&seen, 95.0);
-    assert_all_over(&mut world);
+    let outcomes = serve(&mut world, MODEL, 200, Span::from_secs(4), &nodes);
+    assert_in_time(&outcomes, 95.0);
+    assert_all_finished(&mut world);
 }
 
 /// Nodes that die at once while requests wait, and come back.
@@ -320,9 +321,9 @@
     let at = world.now;
     kill_for(&mut world, &killed, Span::from_secs(2));
     world.run_for(Span::from_secs(4));
-    let seen = world.arrived_between(at, world.now);
-    assert_in_time(&seen, 95.0);
-    assert_all_over(&mut world);
+    let outcomes = world.arrived_between(at, world.now);
+    assert_in_time(&outcomes, 95.0);
+    assert_all_finished(&mut world);
 }
 
 #[test]
@@ -341,7 +342,7 @@
     assert_in_time(&during, 95.0);
     let after = world.arrived_between(healed_at + Span::from_secs(3), world.now);
     assert_queued(&after, 1.0);
-    assert_all_over(&mut world);
+    assert_all_finished(&mut world);
 }
 
 /// The fleet of five data centres, half of whose nodes lose power at once.
@@ -364,8 +365,8 @@
     let at = world.now;
     kill_for(&mut world, &killed, SECOND);
     world.run_for(Span::from_secs(2));
-    let seen = world.arrived_between(at, world.now);
-    assert_in_time(&seen, 95.0);
+    let outcomes = world.arrived_between(at, world.now);
+    assert_in_time(&outcomes, 95.0);
     // What runs is over by then, and what was lost is asked for.
-    assert_all_over_within(&mut world, Span::from_secs(5));
+    assert_all_finished_within(&mut world, Span::from_secs(5));
 }
--- a/crates/dispatch/tests/dispatch/fleet/region_bound.rs
+++ b/crates/dispatch/tests/dispatch/fleet/region_bound.rs
@@ -68,7 +68,7 @@
     world.run_for(Span::from_secs(5));
     assert_eq!(in_the_south(&world), 0);
     assert_in_time(&world.arrived_between(from, world.now), 95.0);
-    assert_all_over(&mut world);
+    assert_all_finished(&mut world);
 }
 
 /// While the south hears nothing of the north and is cut into cells anew, its nodes may
@@ -87,7 +87,7 @@
     world.partition_of = None;
     world.run_for(Span::from_secs(4));
     assert_eq!(in_the_south(&world), 0);
-    assert_all_over(&mut world);
+    assert_all_finished(&mut world);
 }
 
 /// With the whole region evacuated they are refused, and told when to return.
--- a/crates/dispatch/tests/dispatch/fleet/start.rs
+++ b/crates/dispatch/tests/dispatch/fleet/start.rs
@@ -18,7 +18,7 @@
 const LIST_WITHIN: Span = Span::from_secs(2);
 
 /// Reads of one data centre: two are meant to, and some more do before they have met.
-const READS_MOST: usize = 8;
+const MAX_READS: usize = 8;
 
 #[rstest]
 #[case::nodes_3(1, 3)]
@@ -54,5 +54,5 @@
         world.links.as_ref().map(|l| (l.reads, l.given))
     );
     let reads = world.links.as_ref().map_or(0, |links| links.reads);
-    assert!(reads <= READS_MOST * usize::from(centres), "{reads} reads");
+    assert!(reads <= MAX_READS * usize::from(centres), "{reads} reads");
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/ends.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/ends.rs
@@ -15,18 +15,18 @@
 use super::World;
 
 /// How long after an endpoint's end another starts in its place.
-const BACK_AFTER: Span = Span::from_secs(2);
+const REPLACE_AFTER: Span = Span::from_secs(2);
 
 /// How long the platform lists an endpoint that has ended.
-const LAPSE_AFTER: Span = Span::from_millis(3_600);
+const UNLIST_AFTER: Span = Span::from_millis(3_600);
 
 /// How long after its request broke a caller tries again.
-const RETURN_AFTER: Span = Span::from_millis(300);
+const RETRY_AFTER: Span = Span::from_millis(300);
 
 impl World {
     /// Ends an endpoint after a while, whatever it runs.
     pub fn end_endpoint(&mut self, after: Span, endpoint: &id::Endpoint) {
-        self.plan(self.now + after, Event::Crash(endpoint.clone(), None));
+        self.schedule(self.now + after, Event::Crash(endpoint.clone(), None));
     }
 
     /// An endpoint ends: whoever has a request there sees its connection close.
@@ -41,12 +41,12 @@
         let engine = self.engines.remove(endpoint).unwrap_or_default();
         let seen = when + self.shape.latency;
         for (node, id) in engine.running.into_iter().chain(engine.waiting) {
-            self.plan(seen, Event::Broken(node, id, End::Lost));
+            self.schedule(seen, Event::AttemptBroken(node, id, End::Lost));
             let refused = seen + Span(self.shape.latency.0 * 2);
-            self.plan(refused, Event::Refused(node, endpoint.clone()));
+            self.schedule(refused, Event::ConnectionRefused(node, endpoint.clone()));
         }
-        self.plan(when + BACK_AFTER, Event::Back(endpoint.clone()));
-        self.plan(when + LAPSE_AFTER, Event::Lapse(endpoint.clone()));
+        self.schedule(when + REPLACE_AFTER, Event::Replace(endpoint.clone()));
+        self.schedule(when + UNLIST_AFTER, Event::Unlist(endpoint.clone()));
     }
 
     /// Another endpoint starts, with a name of its own.
@@ -66,25 +66,28 @@
 
     /// An attempt of a node broke. Where it is not sent again, its caller tries once
     /// more, at another node.
-    pub(super) fn break_off(&mut self, node: u16, id: job::Id, end: End) {
+    pub(super) fn handle_broken(&mut self, node: u16, id: job::Id, end: End) {
         let Some(dispatcher) = self.nodes.get_mut(&node) else {
             return;
         };
         let next = dispatcher.end(self.now, id, end);
-        self.settle(node);
+        self.apply_decisions(node);
         if next == Next::Again {
             return;
         }
-        self.outcomes.get_mut(&(node, id)).expect("it came").broken = true;
+        self.outcomes
+            .get_mut(&(node, id))
+            .expect("the request arrived")
+            .broken = true;
         let Some(job) = self.jobs.remove(&(node, id)) else {
             return;
         };
-        let first = self.returned.insert(job.fingerprint);
+        let first = self.retried.insert(job.fingerprint);
         if first && !self.crashing.contains(&job.fingerprint) {
             let nodes: Vec<u16> = self.nodes.keys().copied().collect();
             let at = job.fingerprint.0 as usize % nodes.len();
             let (deadline, arrived) = (job.deadline, job.arrived);
-            self.arrive(RETURN_AFTER, nodes[at], |when| Job {
+            self.arrive(RETRY_AFTER, nodes[at], |when| Job {
                 arrived: when,
                 deadline: when + deadline.since(arrived),
                 ..job
--- a/crates/dispatch/tests/dispatch/fleet/world/engine.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/engine.rs
@@ -12,7 +12,7 @@
 use super::World;
 
 /// How long an endpoint takes to the first event of an answer.
-const FIRST_AFTER: Span = Span::from_millis(20);
+const FIRST_EVENT_AFTER: Span = Span::from_millis(20);
 
 /// How long after an endpoint began to run it a request that crashes it does so.
 const CRASH_AFTER: Span = Span::from_millis(70);
@@ -28,15 +28,18 @@
 
 impl World {
     /// A request reaches an endpoint, which runs it or puts it in line.
-    pub(super) fn begin(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
-        let seen = self.outcomes.get_mut(&(node, id)).expect("it came");
-        seen.decided += 1;
+    pub(super) fn start_run(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
+        let outcome = self
+            .outcomes
+            .get_mut(&(node, id))
+            .expect("the request arrived");
+        outcome.decided += 1;
         if self.ended.contains(endpoint) {
             let refused = self.now + self.shape.latency;
-            self.plan(refused, Event::Broken(node, id, End::NotSent));
+            self.schedule(refused, Event::AttemptBroken(node, id, End::NotSent));
             return;
         }
-        let fingerprint = seen.fingerprint;
+        let fingerprint = outcome.fingerprint;
         let arrivals = self.arrivals.entry(endpoint.clone()).or_default();
         arrivals.push(self.now);
         if self.crashing.contains(&fingerprint) {
@@ -44,26 +47,26 @@
         }
         let engine = self.engines.entry(endpoint.clone()).or_default();
         if engine.running.len() >= self.shape.slots as usize {
-            seen.queued = true;
+            outcome.queued = true;
             engine.waiting.push_back((node, id));
             return;
         }
-        seen.began = Some(self.now);
+        outcome.began = Some(self.now);
         engine.running.push((node, id));
         if self.crashing.contains(&fingerprint) {
             let crash = Event::Crash(endpoint.clone(), Some(fingerprint));
-            self.plan(self.now + CRASH_AFTER, crash);
+            self.schedule(self.now + CRASH_AFTER, crash);
         }
         // Calls differ in length by as much as they take at the least.
         let spread = hash::chain(id.0, &node.to_le_bytes()) % self.shape.call_time.0;
         let call = Span(self.shape.call_time.0 / 2 + spread);
-        let first = Event::First(node, id, endpoint.clone());
-        self.plan(self.now + FIRST_AFTER, first);
-        self.plan(self.now + call, Event::Done(node, id, endpoint.clone()));
+        let first = Event::FirstEvent(node, id, endpoint.clone());
+        self.schedule(self.now + FIRST_EVENT_AFTER, first);
+        self.schedule(self.now + call, Event::Finish(node, id, endpoint.clone()));
     }
 
     /// A run ends well, and the next in line begins.
-    pub(super) fn finish(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
+    pub(super) fn finish_run(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let Some(engine) = self.engines.get_mut(endpoint) else {
             return;
         };
@@ -71,17 +74,20 @@
             return;
         };
         engine.running.remove(at);
-        self.outcomes.get_mut(&(node, id)).expect("it came").whole = true;
+        self.outcomes
+            .get_mut(&(node, id))
+            .expect("the request arrived")
+            .whole = true;
         if let Some(dispatcher) = self.nodes.get_mut(&node) {
             dispatcher.end(self.now, id, End::Whole);
-            self.settle(node);
+            self.apply_decisions(node);
         }
         let engine = self.engines.get_mut(endpoint).expect("it runs there");
         let Some((node, id)) = engine.waiting.pop_front() else {
             return;
         };
         let decided = self.outcomes[&(node, id)].decided;
-        self.begin(node, id, endpoint);
+        self.start_run(node, id, endpoint);
         // It arrived and was decided before it waited here.
         self.arrivals.get_mut(endpoint).expect("it arrived").pop();
         if self
@@ -90,6 +96,9 @@
         {
             self.crash_arrivals.pop();
         }
-        self.outcomes.get_mut(&(node, id)).expect("it came").decided = decided;
+        self.outcomes
+            .get_mut(&(node, id))
+            .expect("the request arrived")
+            .decided = decided;
     }
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/links.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/links.rs
@@ -7,13 +7,13 @@
 use woadstage_types::unit::Time;
 
 /// Lists that a node gives at once.
-const GIVEN_AT_ONCE: u64 = 3;
+const MAX_TRANSFERS: u64 = 3;
 
 /// How long a node rests that was declined.
-pub const DECLINED_FOR: Span = Span::from_millis(80);
+pub const DECLINE_PAUSE: Span = Span::from_millis(80);
 
 /// How long the platform takes for one read beside the bytes: six pages of 4 ms.
-const READ_TAKES: Span = Span::from_millis(24);
+const READ_TIME: Span = Span::from_millis(24);
 
 /// What a whole list costs and what links carry, in bytes and bytes a second.
 #[derive(Debug, Clone, Copy)]
@@ -34,7 +34,7 @@
     rates: Rates,
     /// When the platform's link is free.
     free_at: Time,
-    giving: BTreeMap<u16, u64>,
+    transfers: BTreeMap<u16, u64>,
     /// Nodes that read or take a list.
     pub busy: BTreeSet<u16>,
     /// Reads of the platform.
@@ -49,7 +49,7 @@
         Links {
             rates,
             free_at: Time(0),
-            giving: BTreeMap::new(),
+            transfers: BTreeMap::new(),
             busy: BTreeSet::new(),
             reads: 0,
             given: 0,
@@ -60,30 +60,30 @@
     pub fn read(&mut self, now: Time) -> Time {
         self.reads += 1;
         let begun = now.max(self.free_at);
-        self.free_at = begun + takes(self.rates.read, self.rates.platform);
-        let own = begun + takes(self.rates.read, self.rates.node);
-        self.free_at.max(own) + READ_TAKES
+        self.free_at = begun + transfer_time(self.rates.read, self.rates.platform);
+        let own = begun + transfer_time(self.rates.read, self.rates.node);
+        self.free_at.max(own) + READ_TIME
     }
 
     /// When a node has given a list; none where it gives to enough others.
-    pub fn try_give(&mut self, now: Time, from: u16) -> Option<Time> {
-        let giving = self.giving.entry(from).or_default();
-        if *giving >= GIVEN_AT_ONCE {
+    pub fn try_start_transfer(&mut self, now: Time, from: u16) -> Option<Time> {
+        let transfers = self.transfers.entry(from).or_default();
+        if *transfers >= MAX_TRANSFERS {
             return None;
         }
-        *giving += 1;
+        *transfers += 1;
         self.given += 1;
-        Some(now + takes(self.rates.list * *giving, self.rates.node))
+        Some(now + transfer_time(self.rates.list * *transfers, self.rates.node))
     }
 
     /// A node has given a list.
-    pub fn end_giving(&mut self, from: u16) {
-        if let Some(giving) = self.giving.get_mut(&from) {
-            *giving = giving.saturating_sub(1);
+    pub fn end_transfer(&mut self, from: u16) {
+        if let Some(transfers) = self.transfers.get_mut(&from) {
+            *transfers = transfers.saturating_sub(1);
         }
     }
 }
 
-fn takes(bytes: u64, rate: u64) -> Span {
+fn transfer_time(bytes: u64, rate: u64) -> Span {
     Span(bytes * 1_000_000 / rate.max(1))
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/lists.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/lists.rs
@@ -9,7 +9,7 @@
 use woadstage_dispatch::protocol::Protocol;
 
 use super::Event;
-use super::TRANSFER;
+use super::TRANSFER_TIME;
 use super::World;
 use super::address;
 use super::links;
@@ -19,16 +19,16 @@
     pub fn publish(&mut self, list: List, readers: &[u16]) {
         self.list = Arc::new(list);
         for node in readers {
-            let list = self.to_read(*node);
+            let list = self.list_for(*node);
             if let Some(dispatcher) = self.nodes.get_mut(node) {
                 dispatcher.set_endpoints(self.now, list);
-                self.settle(*node);
+                self.apply_decisions(*node);
             }
         }
     }
 
     /// The list as a node's build reads it.
-    pub(super) fn to_read(&self, node: u16) -> Arc<List> {
+    pub(super) fn list_for(&self, node: u16) -> Arc<List> {
         match self.previous_build.contains(&node) {
             true => Arc::new(List {
                 era: Era::default(),
@@ -61,11 +61,11 @@
     }
 
     /// A node that is behind takes the list from another, or reads it.
-    pub(super) fn follow(&mut self, node: u16, ahead: Option<u16>) {
+    pub(super) fn catch_up(&mut self, node: u16, ahead: Option<u16>) {
         let now = self.now;
         let Some(links) = &mut self.links else {
             if let Some(from) = ahead {
-                self.plan(now + TRANSFER, Event::Take { node, from });
+                self.schedule(now + TRANSFER_TIME, Event::Transfer { node, from });
             }
             return;
         };
@@ -78,24 +78,24 @@
         if dispatcher.reading(now) != Reading::Resting {
             links.busy.insert(node);
             let read = links.read(now);
-            self.plan(read, Event::Read(node));
+            self.schedule(read, Event::Read(node));
         } else if let Some(from) = ahead {
             links.busy.insert(node);
-            match links.try_give(now, from) {
-                Some(given) => self.plan(given, Event::Take { node, from }),
-                None => self.plan(now + links::DECLINED_FOR, Event::Declined(node)),
+            match links.try_start_transfer(now, from) {
+                Some(given) => self.schedule(given, Event::Transfer { node, from }),
+                None => self.schedule(now + links::DECLINE_PAUSE, Event::Declined(node)),
             }
         }
     }
 
-    pub(super) fn note_free(&mut self, node: u16) {
+    pub(super) fn mark_idle(&mut self, node: u16) {
         if let Some(links) = &mut self.links {
             links.busy.remove(&node);
         }
     }
 
     /// A node takes the list of endpoints from another.
-    pub(super) fn take(&mut self, node: u16, from: u16) {
+    pub(super) fn transfer_list(&mut self, node: u16, from: u16) {
         if self.cut_off.contains(&node) || self.cut_off.contains(&from) {
             return;
         }
@@ -124,7 +124,7 @@
         let list = Arc::new(difference.into_list(&base));
         if let Some(dispatcher) = self.nodes.get_mut(&node) {
             dispatcher.set_endpoints(self.now, list);
-            self.settle(node);
+            self.apply_decisions(node);
         }
     }
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -50,16 +50,16 @@
 pub mod notices;
 
 /// Time between two ticks of a node.
-const TICK_EVERY: Span = Span::from_millis(20);
+const TICK_INTERVAL: Span = Span::from_millis(20);
 
 /// The timeout of the route of all requests.
 const TIMEOUT: Span = Span::from_secs(8);
 
 /// Within which time nodes start that start together.
-const STARTS_WITHIN: Span = Span::from_millis(300);
+const START_SPREAD: Span = Span::from_millis(300);
 
 /// How long a transfer of a list takes from node to node.
-const TRANSFER: Span = Span::from_millis(10);
+const TRANSFER_TIME: Span = Span::from_millis(10);
 
 /// The shape of a fleet.
 #[derive(Debug, Clone)]
@@ -101,8 +101,8 @@
         node: u16,
         job: Box<Job>,
     },
-    First(u16, job::Id, id::Endpoint),
-    Take {
+    FirstEvent(u16, job::Id, id::Endpoint),
+    Transfer {
         node: u16,
         from: u16,
     },
@@ -112,19 +112,19 @@
     Boot(u16),
     /// A node that was declined may ask again.
     Declined(u16),
-    Done(u16, job::Id, id::Endpoint),
+    Finish(u16, job::Id, id::Endpoint),
     /// An endpoint ends, as what it runs crashes it, or by itself.
     Crash(id::Endpoint, Option<Fingerprint>),
     /// A node sees that its attempt broke.
-    Broken(u16, job::Id, End),
+    AttemptBroken(u16, job::Id, End),
     /// A node sees that its request was turned away.
-    TurnedAway(u16, job::Id, id::Endpoint),
+    Rejected(u16, job::Id, id::Endpoint),
     /// A node finds that nothing listens where its attempt broke.
-    Refused(u16, id::Endpoint),
+    ConnectionRefused(u16, id::Endpoint),
     /// Another endpoint starts in the place of one that ended.
-    Back(id::Endpoint),
+    Replace(id::Endpoint),
     /// The platform lists an endpoint no more.
-    Lapse(id::Endpoint),
+    Unlist(id::Endpoint),
 }
 
 /// An endpoint's end under a request that crashes it.
@@ -136,7 +136,7 @@
     pub fingerprint: Fingerprint,
 }
 
-/// What was seen of one request.
+/// What was outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outcome {
     /// What it asks for.
@@ -171,9 +171,9 @@
     pub without_platform: BTreeSet<u16>,
     /// When requests arrived at each endpoint.
     pub arrivals: HashMap<id::Endpoint, Vec<Time>>,
-    events: BinaryHeap<Reverse<(Time, u64)>>,
-    what: HashMap<u64, Event>,
-    next: u64,
+    queue: BinaryHeap<Reverse<(Time, u64)>>,
+    scheduled: HashMap<u64, Event>,
+    next_number: u64,
     /// The time.
     pub now: Time,
     /// Requests by node and name there.
@@ -205,7 +205,7 @@
     /// What else they say of themselves.
     pub notices: Notices,
     /// Callers who have tried again.
-    returned: BTreeSet<Fingerprint>,
+    retried: BTreeSet<Fingerprint>,
 }
 
 /// The address of a node.
@@ -248,8 +248,8 @@
         world.links = Some(Links::new(rates));
         let all = world.shape.nodes * world.shape.centres;
         for node in 0..all {
-            let after = hash::of(&node.to_be_bytes()) % STARTS_WITHIN.0;
-            world.plan(world.now + Span(after), Event::Boot(node));
+            let after = hash::of(&node.to_be_bytes()) % START_SPREAD.0;
+            world.schedule(world.now + Span(after), Event::Boot(node));
         }
         world
     }
@@ -261,9 +261,9 @@
             list: Arc::default(),
             without_platform: BTreeSet::new(),
             arrivals: HashMap::new(),
-            events: BinaryHeap::new(),
-            what: HashMap::new(),
-            next: 0,
+            queue: BinaryHeap::new(),
+            scheduled: HashMap::new(),
+            next_number: 0,
             now: at(0),
             outcomes: HashMap::new(),
             cut_off: BTreeSet::new(),
@@ -279,7 +279,7 @@
             jobs: HashMap::new(),
             rate_limits: HashMap::new(),
             notices: Notices::default(),
-            returned: BTreeSet::new(),
+            retried: BTreeSet::new(),
             shape,
         };
         world.list = list(1, &world.endpoints());
@@ -325,11 +325,11 @@
         });
         dispatcher.set_configuration(self.now, self.configuration());
         if !self.without_platform.contains(&node) && self.links.is_none() {
-            dispatcher.set_endpoints(self.now, self.to_read(node));
+            dispatcher.set_endpoints(self.now, self.list_for(node));
         }
         self.nodes.insert(node, dispatcher);
-        let first = Span(hash::of(&node.to_le_bytes()) % TICK_EVERY.0);
-        self.plan(self.now + first, Event::Tick(node));
+        let first = Span(hash::of(&node.to_le_bytes()) % TICK_INTERVAL.0);
+        self.schedule(self.now + first, Event::Tick(node));
     }
 
     /// Ends a node and whatever it runs at once.
@@ -339,39 +339,39 @@
             engine.waiting.retain(|(of, _)| *of != node);
         }
         let gone: Vec<u64> = self
-            .what
+            .scheduled
             .iter()
             .filter(|(_, event)| matches!(event, Event::Tick(of) if *of == node))
             .map(|(number, _)| *number)
             .collect();
         for number in gone {
-            self.what.remove(&number);
+            self.scheduled.remove(&number);
         }
     }
 
-    fn plan(&mut self, when: Time, event: Event) {
-        self.next += 1;
-        self.events.push(Reverse((when, self.next)));
-        self.what.insert(self.next, event);
+    fn schedule(&mut self, when: Time, event: Event) {
+        self.next_number += 1;
+        self.queue.push(Reverse((when, self.next_number)));
+        self.scheduled.insert(self.next_number, event);
     }
 
     /// A request comes to a node after a while.
     pub fn arrive(&mut self, after: Span, node: u16, make: impl FnOnce(Time) -> Job) {
         let when = self.now + after;
         let job = Box::new(make(when));
-        self.plan(when, Event::Arrive { node, job });
+        self.schedule(when, Event::Arrive { node, job });
     }
 
     /// Lets time pass.
     pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
-        while let Some(Reverse((when, number))) = self.events.peek().copied() {
+        while let Some(Reverse((when, number))) = self.queue.peek().copied() {
             if when > until {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now = when;
-            if let Some(event) = self.what.remove(&number) {
+            if let Some(event) = self.scheduled.remove(&number) {
                 self.handle(event);
             }
         }
@@ -386,26 +386,26 @@
                     return;
                 };
                 dispatcher.tick(now);
-                let ahead = dispatcher.ahead_opt(now, Document::Endpoints, self.next);
+                let ahead = dispatcher.ahead_opt(now, Document::Endpoints, self.next_number);
                 for (status, due) in dispatcher.statuses(now) {
                     for to in due {
                         let message = Box::new(Message::Status(Box::new(status.clone())));
                         self.send(node, to, message);
                     }
                 }
-                self.follow(node, ahead.map(to_node));
-                self.plan(now + TICK_EVERY, Event::Tick(node));
-                self.settle(node);
+                self.catch_up(node, ahead.map(to_node));
+                self.schedule(now + TICK_INTERVAL, Event::Tick(node));
+                self.apply_decisions(node);
             }
             Event::Boot(node) => self.boot(node, 1),
             Event::Read(node) => {
-                self.note_free(node);
-                let list = self.to_read(node);
+                self.mark_idle(node);
+                let list = self.list_for(node);
                 if let Some(dispatcher) = self.nodes.get_mut(&node) {
                     dispatcher.set_endpoints(now, list);
                 }
             }
-            Event::Declined(node) => self.note_free(node),
+            Event::Declined(node) => self.mark_idle(node),
             Event::Message { from, to, message } => self.receive(from, to, *message),
             Event::Arrive { node, job } => {
                 let Some(dispatcher) = self.nodes.get_mut(&node) else {
@@ -418,7 +418,7 @@
                     first_try: arrived - tried_for,
                     ..*job
                 };
-                let seen = Outcome {
+                let outcome = Outcome {
                     fingerprint: job.fingerprint,
                     arrived,
                     began: None,
@@ -430,40 +430,40 @@
                     broken: false,
                 };
                 let id = dispatcher.enter(now, job.clone());
-                self.outcomes.insert((node, id), seen);
+                self.outcomes.insert((node, id), outcome);
                 self.jobs.insert((node, id), job);
-                self.settle(node);
+                self.apply_decisions(node);
             }
-            Event::First(node, id, endpoint) => {
+            Event::FirstEvent(node, id, endpoint) => {
                 let notice = self.read_notice(node, &endpoint);
                 if let Some(dispatcher) = self.nodes.get_mut(&node) {
                     dispatcher.take_notice(now, id, &notice);
                     dispatcher.progress(now, id, 1);
-                    self.settle(node);
+                    self.apply_decisions(node);
                 }
             }
-            Event::Take { node, from } => {
-                self.note_free(node);
+            Event::Transfer { node, from } => {
+                self.mark_idle(node);
                 if let Some(links) = &mut self.links {
-                    links.end_giving(from);
+                    links.end_transfer(from);
                 }
-                self.take(node, from);
+                self.transfer_list(node, from);
             }
-            Event::Done(node, id, endpoint) => self.finish(node, id, &endpoint),
+            Event::Finish(node, id, endpoint) => self.finish_run(node, id, &endpoint),
             Event::Crash(endpoint, under) => self.crash(&endpoint, under),
-            Event::Broken(node, id, end) => self.break_off(node, id, end),
-            Event::TurnedAway(node, id, endpoint) => self.take_refusal(node, id, &endpoint),
-            Event::Refused(node, endpoint) => {
+            Event::AttemptBroken(node, id, end) => self.handle_broken(node, id, end),
+            Event::Rejected(node, id, endpoint) => self.handle_rejection(node, id, &endpoint),
+            Event::ConnectionRefused(node, endpoint) => {
                 let list = self.list.endpoints.iter();
                 let found = list.clone().find(|one| one.name == endpoint);
                 let number = found.map(Endpoint::to_number);
                 if let Some((dispatcher, number)) = self.nodes.get_mut(&node).zip(number) {
                     dispatcher.note_endpoint_ended(now, number);
-                    self.settle(node);
+                    self.apply_decisions(node);
                 }
             }
-            Event::Back(endpoint) => self.replace(&endpoint),
-            Event::Lapse(endpoint) => {
+            Event::Replace(endpoint) => self.replace(&endpoint),
+            Event::Unlist(endpoint) => {
                 let mut list = (*self.list).clone();
                 list.revision += 1;
                 list.endpoints.retain(|one| one.name != endpoint);
@@ -498,13 +498,13 @@
             Message::Findings(findings) => dispatcher.take_findings(now, &findings),
             Message::Reserve(_) | Message::Reserved(_) | Message::Release(_) => {}
         }
-        self.settle(to);
+        self.apply_decisions(to);
     }
 
     fn send(&mut self, from: u16, to: SocketAddrV4, message: Box<Message>) {
         self.findings_bytes += findings_bytes(&message);
-        self.next += 1;
-        let drawn = hash::of(&self.next.to_le_bytes()) % 100;
+        self.next_number += 1;
+        let drawn = hash::of(&self.next_number.to_le_bytes()) % 100;
         if drawn < self.shape.loss_percent {
             return;
         }
@@ -515,14 +515,14 @@
         if self.partition_of.is_some_and(|part| part(from) != part(to)) {
             return;
         }
-        self.plan(
+        self.schedule(
             self.now + self.shape.latency,
             Event::Message { from, to, message },
         );
     }
 
     /// Takes what a node decided and wants sent.
-    fn settle(&mut self, node: u16) {
+    fn apply_decisions(&mut self, node: u16) {
         let Some(dispatcher) = self.nodes.get_mut(&node) else {
             return;
         };
@@ -534,12 +534,15 @@
         }
         for decision in decisions {
             match decision {
-                Decision::Start { job, endpoint, .. } => self.reach(node, job, &endpoint.name),
+                Decision::Start { job, endpoint, .. } => self.deliver(node, job, &endpoint.name),
                 Decision::Refuse { job, refusal } => {
-                    let seen = self.outcomes.get_mut(&(node, job)).expect("it came");
-                    seen.refused = true;
-                    seen.barred = refusal.code == Code::Barred;
-                    seen.decided += 1;
+                    let outcome = self
+                        .outcomes
+                        .get_mut(&(node, job))
+                        .expect("the request arrived");
+                    outcome.refused = true;
+                    outcome.barred = refusal.code == Code::Barred;
+                    outcome.decided += 1;
                 }
             }
         }
@@ -547,15 +550,16 @@
 
     /// Requests that came since a moment to the nodes that `is` says.
     pub fn arrived_at(&self, since: Time, is: impl Fn(u16) -> bool) -> Vec<Outcome> {
-        let seen = self.outcomes.iter();
-        let there = seen.filter(|((node, _), one)| is(*node) && one.arrived >= since);
+        let outcome = self.outcomes.iter();
+        let there = outcome.filter(|((node, _), one)| is(*node) && one.arrived >= since);
         there.map(|(_, one)| *one).collect()
     }
 
     /// Requests that came between two moments, counted from the start.
     pub fn arrived_between(&self, from: Time, until: Time) -> Vec<Outcome> {
-        let seen = self.outcomes.values().copied();
-        seen.filter(|one| one.arrived >= from && one.arrived < until)
+        let outcome = self.outcomes.values().copied();
+        outcome
+            .filter(|one| one.arrived >= from && one.arrived < until)
             .collect()
     }
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/notices.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/notices.rs
@@ -16,11 +16,11 @@
 use super::World;
 
 /// How long after an answer said so requests may still go to an endpoint that leaves.
-const LEAVES_WITHIN: Span = Span::from_secs(2);
+const LEAVING_GRACE: Span = Span::from_secs(2);
 
 /// How long after a refusal its rest binds, and the requests that may come in it.
-const RESTS_AFTER: Span = Span::from_millis(500);
-const DURING_REST_MOST: usize = 2;
+const REST_GRACE: Span = Span::from_millis(500);
+const MAX_DURING_REST: usize = 2;
 
 /// How an endpoint turns requests away.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -31,7 +31,7 @@
     pub one_of: u64,
 }
 
-/// One life of a node, and an endpoint that it sends requests to.
+/// One incarnation of a node, and an endpoint that it sends requests to.
 type Pair = (u16, u32, id::Endpoint);
 
 /// What endpoints say, and what nodes that were told then did.
@@ -42,9 +42,9 @@
     /// Endpoints that turn requests away.
     pub rejecting: HashMap<id::Endpoint, Rejecting>,
     /// How often each node was started.
-    lives: HashMap<u16, u32>,
+    incarnations: HashMap<u16, u32>,
     /// When a node first got an answer by which an endpoint leaves.
-    told: HashMap<Pair, Time>,
+    told_at: HashMap<Pair, Time>,
     /// When a node was turned away, and for how long the endpoint wants nothing.
     refusals: HashMap<Pair, Vec<(Time, Span)>>,
     /// When requests of a node reached an endpoint, and when those had come.
@@ -53,13 +53,13 @@
 
 impl Notices {
     fn pair(&self, node: u16, endpoint: &id::Endpoint) -> Pair {
-        let life = self.lives.get(&node).copied().unwrap_or(0);
-        (node, life, endpoint.clone())
+        let incarnation = self.incarnations.get(&node).copied().unwrap_or(0);
+        (node, incarnation, endpoint.clone())
     }
 
     /// A node starts and knows nothing of before.
     pub(super) fn start(&mut self, node: u16) {
-        *self.lives.entry(node).or_default() += 1;
+        *self.incarnations.entry(node).or_default() += 1;
     }
 
     /// True where an endpoint turns a request away.
@@ -72,8 +72,8 @@
     /// leaves.
     fn late(&self) -> usize {
         let late = self.sent.iter().map(|(pair, sent)| {
-            let told = self.told.get(pair);
-            let is_late = |came: &Time| told.is_some_and(|told| *came > *told + LEAVES_WITHIN);
+            let told = self.told_at.get(pair);
+            let is_late = |came: &Time| told.is_some_and(|told| *came > *told + LEAVING_GRACE);
             sent.iter().filter(|(_, came)| is_late(came)).count()
         });
         late.sum()
@@ -81,7 +81,7 @@
 
     /// Fails where an endpoint that leaves got a request too late, or said so to nobody.
     pub fn assert_leaving_respected(&self) {
-        assert!(!self.told.is_empty(), "nobody was told");
+        assert!(!self.told_at.is_empty(), "nobody was told");
         assert_eq!(self.late(), 0);
     }
 
@@ -90,7 +90,7 @@
         let most = self.refusals.iter().filter_map(|(pair, refusals)| {
             let sent = self.sent.get(pair)?;
             let within = refusals.iter().map(|(at, rest)| {
-                let rests = |when: &Time| *when > *at + RESTS_AFTER && *when < *at + *rest;
+                let rests = |when: &Time| *when > *at + REST_GRACE && *when < *at + *rest;
                 sent.iter().filter(|(when, _)| rests(when)).count()
             });
             within.max()
@@ -103,7 +103,7 @@
     pub fn assert_rest_respected(&self) {
         assert!(!self.refusals.is_empty(), "nobody was turned away");
         let most = self.most_during_rest();
-        assert!(most <= DURING_REST_MOST, "{most} in one rest");
+        assert!(most <= MAX_DURING_REST, "{most} in one rest");
     }
 }
 
@@ -116,7 +116,7 @@
         let leaving = self.notices.leaving.contains(endpoint);
         if leaving {
             let pair = self.notices.pair(node, endpoint);
-            self.notices.told.entry(pair).or_insert(self.now);
+            self.notices.told_at.entry(pair).or_insert(self.now);
         }
         let limit = self.rate_limits.get(endpoint).copied();
         Notice {
@@ -127,29 +127,32 @@
     }
 
     /// A request reaches an endpoint, which turns it away or runs it.
-    pub(super) fn reach(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
-        let seen = &self.outcomes[&(node, id)];
-        let (came, decided) = (seen.arrived, seen.decided);
+    pub(super) fn deliver(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
+        let outcome = &self.outcomes[&(node, id)];
+        let (came, decided) = (outcome.arrived, outcome.decided);
         let pair = self.notices.pair(node, endpoint);
         let sent = self.notices.sent.entry(pair.clone()).or_default();
         sent.push((self.now, came));
         let drawn = hash::chain(id.0 + u64::from(decided), &node.to_le_bytes());
         if !self.notices.refuses(endpoint, drawn) {
-            self.begin(node, id, endpoint);
+            self.start_run(node, id, endpoint);
             return;
         }
         let rest = self.notices.rejecting[endpoint].rest;
         let refusals = self.notices.refusals.entry(pair).or_default();
         refusals.push((self.now, rest));
-        self.outcomes.get_mut(&(node, id)).expect("it came").decided += 1;
+        self.outcomes
+            .get_mut(&(node, id))
+            .expect("the request arrived")
+            .decided += 1;
         let arrivals = self.arrivals.entry(endpoint.clone()).or_default();
         arrivals.push(self.now);
         let heard = self.now + self.shape.latency;
-        self.plan(heard, Event::TurnedAway(node, id, endpoint.clone()));
+        self.schedule(heard, Event::Rejected(node, id, endpoint.clone()));
     }
 
     /// A node learns that its request was turned away.
-    pub(super) fn take_refusal(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
+    pub(super) fn handle_rejection(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let reads = !self.previous_build.contains(&node);
         let refusing = self.notices.rejecting.get(endpoint).filter(|_| reads);
         let rest = refusing.map(|one| one.rest);
@@ -164,9 +167,12 @@
         dispatcher.take_notice(self.now, id, &notice);
         let next = dispatcher.end(self.now, id, End::Full);
         if next != Next::Again {
-            let seen = self.outcomes.get_mut(&(node, id)).expect("it came");
-            seen.refused = true;
+            let outcome = self
+                .outcomes
+                .get_mut(&(node, id))
+                .expect("the request arrived");
+            outcome.refused = true;
         }
-        self.settle(node);
+        self.apply_decisions(node);
     }
 }
