--- a/crates/dispatch/tests/dispatch/fleet/builds.rs
+++ b/crates/dispatch/tests/dispatch/fleet/builds.rs
@@ -1,5 +1,5 @@
-//! Nodes of the build before and of this one, side by side: they hear each other, and
-//! each slot, quota and list has its owners and readers among all of them.
+//! Nodes of the previous build and of this one in one fleet. They hear each other, and
+//! the owners of slots and quotas and the readers of lists are among all of them.
 
 use woadstage_dispatch::edition::Era;
 use woadstage_dispatch::endpoint::List;
@@ -7,8 +7,8 @@
 
 use super::*;
 
-/// Requests in a hundred that may more come to an endpoint without a free slot, or be late,
-/// than while the same nodes are restarted under one build.
+/// The percentage of requests by which a mixed fleet may do worse than a fleet of one build
+/// under the same restarts: sent to an endpoint without a free slot, or late.
 const MAX_WORSE_PERCENT: f64 = 1.0;
 
 fn fleet() -> World {
@@ -22,82 +22,86 @@
 }
 
 /// Restarts a node under the other build.
-fn change_build(world: &mut World, node: u16, life: u64) {
+fn change_build(world: &mut World, node: u16, incarnation: u64) {
     world.kill(node);
     if !world.previous_build.remove(&node) {
         world.previous_build.insert(node);
     }
-    world.boot(node, life);
+    world.boot(node, incarnation);
 }
 
-/// A roll: how many nodes are restarted at once, how many of all before it stops, and
-/// whether it goes back then.
+/// A rolling update of the fleet.
 #[derive(Clone, Copy)]
-struct Roll {
+struct Rollout {
+    /// The number of nodes that are restarted at once.
     at_once: usize,
+    /// The number of nodes that are updated before the rollout stops.
     changed: usize,
-    back: bool,
+    /// Whether the updated nodes are rolled back in the end.
+    rollback: bool,
 }
 
 #[rstest]
 #[case::one_at_a_time(1, 78, false)]
 #[case::six_at_a_time(6, 78, false)]
 #[case::stopped_half_way(3, 39, false)]
-#[case::back_again(6, 39, true)]
-fn slots_are_given_once_and_lists_reach_all(
+#[case::rolled_back(6, 39, true)]
+fn slots_are_granted_once_and_all_nodes_get_the_list(
     #[case] at_once: usize,
     #[case] changed: usize,
-    #[case] back: bool,
+    #[case] rollback: bool,
 ) {
-    let roll = Roll {
+    let rollout = Rollout {
         at_once,
         changed,
-        back,
+        rollback,
     };
-    let two = outcomes_of(roll, change_build);
-    let one = outcomes_of(roll, restart);
-    let percent = |outcomes: &[Outcome], is: fn(&Outcome) -> bool| share(outcomes, is) * 100.0;
+    let mixed = outcomes_of(rollout, change_build);
+    let single = outcomes_of(rollout, restart);
+    let percent =
+        |outcomes: &[Outcome], matches: fn(&Outcome) -> bool| share(outcomes, matches) * 100.0;
     let queued = |outcomes: &[Outcome]| percent(outcomes, |one| one.queued);
     let in_time = |outcomes: &[Outcome]| percent(outcomes, is_in_time);
-    let (with_two, with_one) = (queued(&two), queued(&one));
+    let (with_mixed, with_single) = (queued(&mixed), queued(&single));
     assert!(
-        with_two <= with_one + MAX_WORSE_PERCENT,
-        "{with_two}, {with_one}"
+        with_mixed <= with_single + MAX_WORSE_PERCENT,
+        "{with_mixed}, {with_single}"
     );
-    let (with_two, with_one) = (in_time(&two), in_time(&one));
+    let (with_mixed, with_single) = (in_time(&mixed), in_time(&single));
     assert!(
-        with_two >= with_one - MAX_WORSE_PERCENT,
-        "{with_two}, {with_one}"
+        with_mixed >= with_single - MAX_WORSE_PERCENT,
+        "{with_mixed}, {with_single}"
     );
 }
 
 /// Restarts a node under its own build.
-fn restart(world: &mut World, node: u16, life: u64) {
+fn restart(world: &mut World, node: u16, incarnation: u64) {
     world.kill(node);
-    world.boot(node, life);
+    world.boot(node, incarnation);
 }
 
-/// The requests that come during a roll, after which all nodes have the newest list.
-fn outcomes_of(roll: Roll, replace: fn(&mut World, u16, u64)) -> Vec<Outcome> {
-    let Roll {
+/// Runs a rollout, asserts that all nodes have the newest list in the end, and returns the
+/// outcomes of the requests that arrived meanwhile.
+fn outcomes_of(rollout: Rollout, replace: fn(&mut World, u16, u64)) -> Vec<Outcome> {
+    let Rollout {
         at_once,
         changed,
-        back,
-    } = roll;
+        rollback,
+    } = rollout;
     let mut world = fleet();
     let all = all_nodes(&world);
-    // Four fifths of what the endpoints can do.
+    // Four fifths of the capacity of the endpoints.
     load(&mut world, MODEL, 380, Span::from_secs(20), &all);
     world.run_for(SECOND);
     let from = world.now;
-    let mut turns: Vec<&[u16]> = all[..changed].chunks(at_once).collect();
-    if back {
-        turns.extend(all[..changed].chunks(at_once));
+    let mut batches: Vec<&[u16]> = all[..changed].chunks(at_once).collect();
+    if rollback {
+        batches.extend(all[..changed].chunks(at_once));
     }
-    let pause = Span(Span::from_secs(12).0 / turns.len() as u64);
-    for (life, turn) in (2..).zip(turns) {
-        for node in turn {
-            replace(&mut world, *node, life);
+    let pause = Span(Span::from_secs(12).0 / batches.len() as u64);
+    for (incarnation, batch) in (2..).zip(batches) {
+        for node in batch {
+            replace(&mut world, *node, incarnation);
         }
         world.run_for(pause);
         let list = List {
@@ -115,9 +119,9 @@
     world.arrived_between(from, world.now)
 }
 
-/// All are killed while half are of either build.
+/// All nodes are killed while half of them run each build.
 #[test]
-fn a_mass_restart_in_the_middle() {
+fn a_mass_restart_in_the_middle_of_a_rollout() {
     let mut world = fleet();
     let all = all_nodes(&world);
     for node in all.iter().filter(|node| *node % 2 == 0) {
@@ -131,9 +135,9 @@
     assert_queued(&outcomes, 3.0);
 }
 
-/// What crashes endpoints is barred by all, whichever build saw the ends.
+/// All nodes bar a request that crashes endpoints, whichever build saw the crashes.
 #[test]
-fn a_request_that_crashes_endpoints_is_barred_by_both() {
+fn a_request_that_crashes_endpoints_is_barred_by_both_builds() {
     let crashing = Fingerprint(0xc4a5);
     let mut world = fleet();
     let all = all_nodes(&world);
@@ -151,7 +155,7 @@
         });
     }
     world.run_for(Span::from_secs(9));
-    let third = world.crashes.get(2).map_or(world.now, |one| one.when);
+    let third = world.crashes.get(2).map_or(world.now, |crash| crash.when);
     let late = world.crash_arrivals.iter();
     let late = late.filter(|(at, _, _)| at.since(third) > Span::from_secs(3));
     assert!(late.count() <= 3, "{} crashes", world.crashes.len());
--- a/crates/dispatch/tests/dispatch/fleet/drill.rs
+++ b/crates/dispatch/tests/dispatch/fleet/drill.rs
@@ -1,5 +1,5 @@
-//! The platform comes back with an older copy of what it had acknowledged, while nodes
-//! serve, are cut off, and start.
+//! The platform is restored from a copy older than the writes it had acknowledged, while
+//! nodes serve requests, are partitioned, and start.
 
 use woadstage_dispatch::edition::Era;
 use woadstage_dispatch::endpoint::Endpoint;
@@ -8,11 +8,13 @@
 
 use super::*;
 
-/// Until when all nodes that are not cut off have a list of the new era.
+/// The time within which all nodes that are not partitioned have a list of the new era.
 const IN_FORCE_WITHIN: Span = Span::from_secs(1);
 
-/// The revision of the list before, and how many writes of it are lost.
+/// The revision of the list before the restore.
 const REVISION: u64 = 1_000;
+
+/// The number of writes that the restore loses.
 const LOST_WRITES: u64 = 60;
 
 fn fleet(nodes: u16, centres: u16) -> World {
@@ -24,9 +26,9 @@
     })
 }
 
-/// Publishes a list with the writes that are lost later: some endpoints ended, some are
-/// leaving, and a data centre is evacuated. Gives the copy from before.
-fn write(world: &mut World) -> List {
+/// Publishes a list with the writes that the restore loses: some endpoints ended, some are
+/// leaving, and a data centre is evacuated. Returns the copy from before.
+fn publish_lost_writes(world: &mut World) -> List {
     let copy = List {
         era: Era(1),
         revision: REVISION - LOST_WRITES,
@@ -46,21 +48,24 @@
     copy
 }
 
-/// The number in an endpoint's name.
+/// Returns the number in an endpoint's name.
 fn number(endpoint: &Endpoint) -> u64 {
     let digits = endpoint.name.as_str().trim_start_matches('e');
     digits.parse().expect("a number")
 }
 
+/// Whether an endpoint ended in the lost writes.
 fn has_ended(endpoint: &Endpoint) -> bool {
     number(endpoint).is_multiple_of(5)
 }
 
+/// Whether an endpoint is leaving in the lost writes.
 fn is_leaving(endpoint: &Endpoint) -> bool {
     number(endpoint) % 5 == 1
 }
 
-/// Requests that reached what a list had named as ended, leaving or evacuated.
+/// Returns the number of requests sent to endpoints that ended, are leaving or are in the
+/// evacuated data centre.
 fn misrouted(world: &World, copy: &List, since: Time) -> usize {
     let closed = copy.endpoints.iter().filter(|one| {
         let evacuated = one.data_centre == id::DataCentre::new("dc0");
@@ -70,39 +75,40 @@
     arrivals.flatten().filter(|at| **at > since).count()
 }
 
-/// Nodes that run and have no list of an era yet.
+/// Whether a running node has no list of an era yet.
 fn are_behind(world: &World, era: u64, nodes: &[u16]) -> bool {
     let mut running = nodes.iter().filter_map(|node| world.nodes.get(node));
     running.any(|node| node.edition().era < Era(era))
 }
 
-/// The platform comes back; what was lost is written again after so long.
+/// The platform is restored, and the lost writes are repeated after `again_after`
+/// milliseconds.
 #[rstest]
 #[case::nodes_7(7, 1, 200)]
-#[case::nodes_7_away_for_long(7, 1, 2_000)]
+#[case::nodes_7_repeated_late(7, 1, 2_000)]
 #[case::nodes_78(26, 3, 200)]
-#[case::nodes_78_away_for_long(26, 3, 2_000)]
+#[case::nodes_78_repeated_late(26, 3, 2_000)]
 #[case::nodes_414(46, 9, 2_000)]
-fn what_was_known_holds_until_it_is_written_again(
+fn lost_writes_hold_until_they_are_repeated(
     #[case] nodes: u16,
     #[case] centres: u16,
     #[case] again_after: u64,
 ) {
     let mut world = fleet(nodes, centres);
     let all = all_nodes(&world);
-    // Three in ten of what the endpoints can do; of them four in ten close.
+    // Three tenths of the capacity of the endpoints, four tenths of which are closed.
     let rate = 36 * u64::from(centres);
     load(&mut world, MODEL, rate, Span::from_secs(9), &all);
-    let copy = write(&mut world);
+    let copy = publish_lost_writes(&mut world);
     let since = world.now;
-    // Nothing is left in a fleet of one data centre.
+    // In a fleet of one data centre the evacuation leaves no endpoint.
     let served = centres > 1;
-    let drill = List {
+    let restored = List {
         era: Era(2),
         settled: false,
         ..copy.clone()
     };
-    world.publish_to_readers(drill.clone());
+    world.publish_to_readers(restored.clone());
     let from = world.now;
     while are_behind(&world, 2, &all) {
         world.run_for(Span::from_millis(20));
@@ -110,7 +116,7 @@
     }
     world.run_for(Span::from_millis(again_after));
     assert_eq!(misrouted(&world, &copy, since), 0);
-    // All is written again, under revisions that were given out before.
+    // All writes are repeated, under revisions that were used before.
     let again = List {
         revision: copy.revision + 3,
         settled: true,
@@ -124,7 +130,7 @@
             })
             .collect(),
         evacuated: vec![id::DataCentre::new("dc0")],
-        ..drill
+        ..restored
     };
     world.publish_to_readers(again);
     world.run_for(Span::from_secs(2));
@@ -134,12 +140,12 @@
     assert_eq!(began > 0.9, served, "{began}");
 }
 
-/// A quarter of the nodes is cut off in the meantime, and others start in the window.
+/// A quarter of the nodes is partitioned during the restore, and another quarter restarts.
 #[test]
-fn nodes_that_were_cut_off_or_start_take_the_new_era() {
+fn partitioned_and_starting_nodes_adopt_the_new_era() {
     let mut world = fleet(26, 3);
     let all = all_nodes(&world);
-    let copy = write(&mut world);
+    let copy = publish_lost_writes(&mut world);
     let since = world.now;
     let cut: Vec<u16> = all.iter().copied().filter(|node| node % 4 == 1).collect();
     world.cut_off = cut.iter().copied().collect();
@@ -147,12 +153,12 @@
     for node in &killed {
         world.kill(*node);
     }
-    let drill = List {
+    let restored = List {
         era: Era(2),
         settled: false,
         ..copy.clone()
     };
-    world.publish_to_readers(drill);
+    world.publish_to_readers(restored);
     for node in &killed {
         world.boot(*node, 2);
     }
@@ -170,14 +176,15 @@
     assert_eq!(misrouted(&world, &copy, since), 0);
 }
 
-/// Every other node runs the build before, which cannot know of the drill: no new one
-/// is led back by it, neither at once nor as its revisions are passed.
+/// Every other node runs the previous build, which knows no eras. No node of this build
+/// goes back to the older list because of it, neither at once nor when the new revisions
+/// exceed those that the previous build has.
 #[test]
-fn the_build_before_leads_nobody_back() {
+fn the_previous_build_sets_no_node_back() {
     let mut world = fleet(26, 3);
     let all = all_nodes(&world);
     world.previous_build = all.iter().copied().filter(|node| node % 2 == 1).collect();
-    let copy = write(&mut world);
+    let copy = publish_lost_writes(&mut world);
     let since = world.now;
     let new: Vec<u16> = all.iter().copied().filter(|node| node % 2 == 0).collect();
     for step in 0..4 {
@@ -193,7 +200,7 @@
                 .collect(),
             ..copy.clone()
         };
-        // Some of either build read.
+        // Nodes of both builds read the list.
         world.publish(list, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
         world.run_for(SECOND);
         assert!(!are_behind(&world, 2, &new), "step {step}");
@@ -201,7 +208,7 @@
         world.run_for(SECOND);
         assert_eq!(misrouted(&world, &copy, since), 0, "step {step}");
     }
-    // Once the count has passed all that the build before knew, it follows again.
+    // Once the revisions exceed all that the previous build knew, it follows again.
     let newest = world.nodes.values().map(|node| node.edition().revision);
     let newest: Vec<u64> = newest.collect();
     assert!(newest.iter().all(|one| *one == newest[0]), "{newest:?}");
--- a/crates/dispatch/tests/dispatch/fleet/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What many nodes do together, in virtual time.
+//! Tests of many nodes together in a simulated fleet with virtual time.
 
 use rstest::rstest;
 use woadstage_dispatch::job::Job;
@@ -30,7 +30,7 @@
 
 const SECOND: Span = Span::from_secs(1);
 
-/// Two data centres with two cells each.
+/// A fleet of two data centres with two cells each.
 fn shape() -> Shape {
     Shape {
         nodes: 36,
@@ -47,7 +47,7 @@
     }
 }
 
-/// One cell, as of a fleet of seven hosts.
+/// A fleet of seven hosts in one cell.
 fn small() -> Shape {
     Shape {
         nodes: 7,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Three data centres with a cell each.
+/// A fleet of three data centres with one cell each.
 fn middle() -> Shape {
     Shape {
         nodes: 24,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The fleet two years on, with a tenth of its endpoints.
+/// A fleet of the expected size in two years, with a tenth of its endpoints.
 fn large() -> Shape {
     Shape {
         nodes: 46,
@@ -80,7 +80,7 @@
     }
 }
 
-/// A request of the least protected rank that is in time within half a second.
+/// Returns a request of the lowest priority with an objective of half a second.
 fn request(service: &'static str) -> impl Fn(Time) -> Job {
     move |when| Job {
         objective: Span::from_millis(500),
@@ -88,7 +88,7 @@
     }
 }
 
-/// Sends requests for a span from now on, so many a second, to nodes by chance.
+/// Sends requests to random nodes at an average rate for a span from now on.
 fn load(world: &mut World, service: &'static str, per_second: u64, span: Span, nodes: &[u16]) {
     let count = per_second * span.0 / SECOND.0;
     for number in 0..count {
@@ -99,7 +99,7 @@
     }
 }
 
-/// A fleet whose nodes have met and have served such a load for a second.
+/// Starts a fleet and runs it under such a load for a second.
 fn under_load(shape: Shape, service: &'static str, per_second: u64, span: Span) -> World {
     let mut world = World::start(shape);
     let nodes = all_nodes(&world);
@@ -108,7 +108,7 @@
     world
 }
 
-/// Serves such a load, and gives the requests that came meanwhile.
+/// Serves such a load and returns the outcomes of the requests that arrived meanwhile.
 fn serve(
     world: &mut World,
     service: &'static str,
@@ -122,19 +122,19 @@
     world.arrived_between(from, world.now)
 }
 
-/// At least so many of a hundred requests were in time.
+/// Asserts the least percentage of requests that met their objective.
 fn assert_in_time(outcomes: &[Outcome], percent: f64) {
     let in_time = share(outcomes, is_in_time) * 100.0;
     assert!(in_time >= percent, "{in_time} in 100");
 }
 
-/// At the most so many of a hundred went to an endpoint without a free slot.
+/// Asserts the greatest percentage of requests sent to an endpoint without a free slot.
 fn assert_queued(outcomes: &[Outcome], percent: f64) {
     let queued = share(outcomes, |one| one.queued) * 100.0;
     assert!(queued <= percent, "{queued} in 100");
 }
 
-/// Kills nodes at once, and starts them again after a span.
+/// Kills nodes at once and restarts them after a span.
 fn kill_for(world: &mut World, nodes: &[u16], span: Span) {
     for node in nodes {
         world.kill(*node);
@@ -149,50 +149,54 @@
     world.nodes.keys().copied().collect()
 }
 
-/// The share of requests that one says so of.
-fn share(outcomes: &[Outcome], is: impl Fn(&Outcome) -> bool) -> f64 {
-    let count = outcomes.iter().filter(|one| is(one)).count();
+/// Returns the share of outcomes that match a predicate.
+fn share(outcomes: &[Outcome], matches: impl Fn(&Outcome) -> bool) -> f64 {
+    let count = outcomes.iter().filter(|outcome| matches(outcome)).count();
     count as f64 / outcomes.len().max(1) as f64
 }
 
-fn is_in_time(outcomes: &Outcome) -> bool {
-    let since = |at: Time| at.since(outcomes.arrived);
-    outcomes
+/// Whether a request met the objective of half a second.
+fn is_in_time(outcome: &Outcome) -> bool {
+    let since = |at: Time| at.since(outcome.arrived);
+    outcome
         .began
         .is_some_and(|at| since(at) <= Span::from_millis(500))
 }
 
-/// Each request was sent or refused once, and no slot stays taken.
+/// Asserts that each request was sent or refused once and that all slots are free again.
 fn assert_all_finished(world: &mut World) {
     assert_all_finished_within(world, Span::from_secs(20));
 }
 
-/// The same after so long.
+/// Asserts the same after a span.
 fn assert_all_finished_within(world: &mut World, span: Span) {
     world.run_for(span);
-    for (name, outcomes) in &world.outcomes {
-        assert_eq!(outcomes.decided, 1, "{name:?} {outcomes:?}");
+    for (name, outcome) in &world.outcomes {
+        assert_eq!(outcome.decided, 1, "{name:?} {outcome:?}");
     }
     for (node, dispatcher) in &world.nodes {
         assert_eq!(dispatcher.held(), 0, "node {node}");
         assert_eq!(dispatcher.held_for_others(), 0, "node {node}");
         let running = dispatcher.summaries(world.now);
-        assert!(running.iter().all(|one| one.running == 0), "node {node}");
+        assert!(
+            running.iter().all(|summary| summary.running == 0),
+            "node {node}"
+        );
     }
 }
 
 #[test]
-fn slots_are_not_given_twice() {
+fn no_slot_is_granted_twice() {
     let mut world = World::start(shape());
-    // Four fifths of what 32 endpoints with 4 slots of 400 ms can do.
+    // Four fifths of the capacity of 32 endpoints with 4 slots and calls of 400 ms.
     let nodes = all_nodes(&world);
     let outcomes = serve(&mut world, MODEL, 256, Span::from_secs(6), &nodes);
     assert_queued(&outcomes, 1.0);
     assert_in_time(&outcomes, 98.0);
     assert_all_finished(&mut world);
-    // A question, a slot, the first event and the end; some wait, and ask again.
-    let each = world.messages as f64 / outcomes.len() as f64;
-    assert!(each <= 5.0, "{each} messages a request");
+    // A request, a grant, the first event and the end; some wait and ask again.
+    let messages = world.messages as f64 / outcomes.len() as f64;
+    assert!(messages <= 5.0, "{messages} messages a request");
 }
 
 #[test]
@@ -215,7 +219,7 @@
     let mut world = World::start(shape());
     let mut nodes = all_nodes(&world);
     nodes.retain(|node| world.centre(*node) == 0);
-    // Half as much again as the endpoints of the data centre can do.
+    // One and a half times the capacity of the endpoints of the data centre.
     serve(&mut world, MODEL, 240, SECOND, &nodes);
     let outcomes = serve(&mut world, MODEL, 240, Span::from_secs(5), &nodes);
     assert_in_time(&outcomes, 95.0);
@@ -233,31 +237,30 @@
         ..shape()
     });
     let nodes = all_nodes(&world);
-    // Three quarters of what 24 slots can do.
+    // Three quarters of the capacity of 24 slots.
     let outcomes = serve(&mut world, SERVICE, 300, Span::from_secs(5), &nodes);
     assert_queued(&outcomes, 1.0);
     assert_in_time(&outcomes, 99.0);
     assert_all_finished(&mut world);
 }
 
-/// A burst of half as much again as the endpoints can do, of callers whose deadlines
-/// are all the route's timeout, or lie from 85 to 100 in 100 of it: 68 and 67 in 100 are
-/// in time. With 80 in 100 of the latter taken for callers that return, whom nobody
-/// refuses for a wait beyond their objective, 41 are.
+/// A burst of one and a half times the capacity, by callers whose deadline is the route's
+/// timeout or 85 to 100 % of it. If callers with shorter deadlines count as retrying, they
+/// are not refused for a wait beyond their objective, and far fewer are served in time.
 #[rstest]
-#[case::of_the_route(100)]
-#[case::of_their_own(85)]
-fn a_burst_of_callers_with_deadlines(#[case] least: u64) {
+#[case::the_timeout_of_the_route(100)]
+#[case::deadlines_of_their_own(85)]
+fn a_burst_of_callers_with_deadlines(#[case] least_percent: u64) {
     let mut world = World::start(shape());
     let nodes = all_nodes(&world);
     let per_second = |world: &mut World, per_second: u64, seconds: u64| {
         let span = Span::from_secs(seconds);
         for number in 0..per_second * seconds {
             let drawn = hash::chain(world.now.0, &number.to_le_bytes());
-            let part = least + (drawn >> 16) % (101 - least);
+            let percent = least_percent + (drawn >> 16) % (101 - least_percent);
             let node = nodes[(drawn >> 32) as usize % nodes.len()];
             world.arrive(Span(drawn % span.0), node, |when| Job {
-                deadline: when + Span(Span::from_secs(8).0 * part / 100),
+                deadline: when + Span(Span::from_secs(8).0 * percent / 100),
                 ..request(MODEL)(when)
             });
         }
@@ -271,10 +274,10 @@
     assert_all_finished(&mut world);
 }
 
-/// Calls that are short beside the way between nodes: 24 slots of 15 ms could do
-/// 1,600 a second; where each stands idle until its owner has heard of a call's end and
-/// the next node of its grant, 85 in 100 of these callers are served in time, and with
-/// requests on their way to busy slots all but 3.
+/// Calls of 15 ms are short compared with the latency between nodes of 3 ms. A slot must
+/// not stay idle until its owner hears of a call's end and the next node of its grant:
+/// requests are sent to busy slots in advance, as otherwise too few are served in time.
+/// The 24 slots can serve 1,600 calls a second.
 #[test]
 fn slots_of_short_calls_do_not_stand_idle() {
     let mut world = World::start(Shape {
@@ -306,7 +309,7 @@
     assert_all_finished(&mut world);
 }
 
-/// Nodes that die at once while requests wait, and come back.
+/// Nodes are killed at once while requests wait, and restarted.
 #[rstest]
 #[case::one_in_six(6)]
 #[case::every_second(2)]
@@ -327,7 +330,7 @@
 }
 
 #[test]
-fn nodes_that_are_cut_off_decide_alone_and_join_again() {
+fn partitioned_nodes_decide_alone_and_rejoin() {
     let mut world = World::start(shape());
     let nodes = all_nodes(&world);
     load(&mut world, MODEL, 160, Span::from_secs(12), &nodes);
@@ -345,9 +348,9 @@
     assert_all_finished(&mut world);
 }
 
-/// The fleet of five data centres, half of whose nodes lose power at once.
+/// Half of the nodes of a fleet of five data centres lose power at once.
 #[test]
-fn half_of_a_fleet_of_295_dies_and_returns() {
+fn half_of_a_fleet_of_295_nodes_is_killed_and_restarted() {
     let mut world = World::start(Shape {
         nodes: 59,
         centres: 5,
@@ -359,7 +362,7 @@
     let (killed, left): (Vec<u16>, Vec<u16>) = nodes
         .iter()
         .partition(|node| (**node / 5).is_multiple_of(2));
-    // A third of what the endpoints can do.
+    // A third of the capacity of the endpoints.
     load(&mut world, MODEL, 800, Span::from_secs(4), &left);
     world.run_for(SECOND);
     let at = world.now;
@@ -367,6 +370,6 @@
     world.run_for(Span::from_secs(2));
     let outcomes = world.arrived_between(at, world.now);
     assert_in_time(&outcomes, 95.0);
-    // What runs is over by then, and what was lost is asked for.
+    // By then all calls have ended and lost reports were requested again.
     assert_all_finished_within(&mut world, Span::from_secs(5));
 }
--- a/crates/dispatch/tests/dispatch/fleet/start.rs
+++ b/crates/dispatch/tests/dispatch/fleet/start.rs
@@ -1,10 +1,10 @@
-//! All nodes start together and know nothing.
+//! All nodes of a fleet start together without a list of endpoints.
 
 use super::world::links::Rates;
 use super::*;
 
-/// 2,998 endpoints: 1.1 MB from the platform, 132 kB from a node; hosts of 20 Mbit/s
-/// before a platform of 1,000 Mbit/s.
+/// A list of 2,998 endpoints is 1.1 MB from the platform and 132 kB from a node. Hosts have
+/// links of 20 Mbit/s and the platform one of 1,000 Mbit/s.
 const RATES: Rates = Rates {
     read: 1_100_000,
     list: 132_000,
@@ -12,12 +12,13 @@
     node: 2_500_000,
 };
 
-/// All nodes have a list after this time, of which 600 ms go by until 585 nodes that
-/// start within 300 ms have met and one has read. Each read alone they would need the
-/// platform's link for 9 ms each: 5.2 s at 585 nodes and 8.8 s at 1,000.
+/// The time within which all nodes have a list. It takes 600 ms until 585 nodes that start
+/// within 300 ms have discovered each other and one has read the list. If every node read
+/// it, the platform's link would be busy for 9 ms each: 5.2 s at 585 nodes, 8.8 s at 1,000.
 const LIST_WITHIN: Span = Span::from_secs(2);
 
-/// Reads of one data centre: two are meant to, and some more do before they have met.
+/// The maximum number of reads by a data centre. Two nodes are meant to read the list, and
+/// some more do before the nodes have discovered each other.
 const MAX_READS: usize = 8;
 
 #[rstest]
@@ -31,7 +32,7 @@
 #[case::nodes_414(46, 9)]
 #[case::nodes_585(117, 5)]
 #[case::nodes_1000(200, 5)]
-fn few_read_and_all_have_a_list_soon(#[case] nodes: u16, #[case] centres: u16) {
+fn few_nodes_read_the_list_and_all_have_it_soon(#[case] nodes: u16, #[case] centres: u16) {
     let shape = Shape {
         nodes,
         centres,
@@ -51,7 +52,7 @@
     eprintln!(
         "{all}: {} {:?}",
         world.now.since(from),
-        world.links.as_ref().map(|l| (l.reads, l.given))
+        world.links.as_ref().map(|links| (links.reads, links.given))
     );
     let reads = world.links.as_ref().map_or(0, |links| links.reads);
     assert!(reads <= MAX_READS * usize::from(centres), "{reads} reads");
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -136,7 +136,7 @@
     pub fingerprint: Fingerprint,
 }
 
-/// What was outcome of one request.
+/// The outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outcome {
     /// What it asks for.
