--- a/crates/dispatch/tests/dispatch/fleet/world/ends.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/ends.rs
@@ -1,5 +1,4 @@
-//! Endpoints that end, as what they run crashes them or by themselves, and others that
-//! start in their place.
+//! Endpoints that end, by themselves or crashed by a request, and their replacements.
 
 use woadstage_dispatch::dispatcher::Next;
 use woadstage_dispatch::endpoint::Endpoint;
@@ -14,22 +13,22 @@
 use super::Event;
 use super::World;
 
-/// How long after an endpoint's end another starts in its place.
+/// The time from an endpoint's end to the start of its replacement.
 const REPLACE_AFTER: Span = Span::from_secs(2);
 
-/// How long the platform lists an endpoint that has ended.
+/// How long the platform still lists an endpoint that has ended.
 const UNLIST_AFTER: Span = Span::from_millis(3_600);
 
-/// How long after its request broke a caller tries again.
+/// The time after which a caller retries a broken request.
 const RETRY_AFTER: Span = Span::from_millis(300);
 
 impl World {
-    /// Ends an endpoint after a while, whatever it runs.
+    /// Ends an endpoint after a delay, whatever it runs.
     pub fn end_endpoint(&mut self, after: Span, endpoint: &id::Endpoint) {
         self.schedule(self.now + after, Event::Crash(endpoint.clone(), None));
     }
 
-    /// An endpoint ends: whoever has a request there sees its connection close.
+    /// Ends an endpoint, which closes the connections of all its requests.
     pub(super) fn crash(&mut self, endpoint: &id::Endpoint, under: Option<Fingerprint>) {
         if !self.ended.insert(endpoint.clone()) {
             return;
@@ -49,7 +48,7 @@
         self.schedule(when + UNLIST_AFTER, Event::Unlist(endpoint.clone()));
     }
 
-    /// Another endpoint starts, with a name of its own.
+    /// Starts the replacement of an endpoint under a new name.
     pub(super) fn replace(&mut self, endpoint: &id::Endpoint) {
         let mut list = (*self.list).clone();
         list.revision += 1;
@@ -64,8 +63,8 @@
         self.publish_to_readers(list);
     }
 
-    /// An attempt of a node broke. Where it is not sent again, its caller tries once
-    /// more, at another node.
+    /// Handles a broken attempt. If the node does not repeat it, the caller retries once, at
+    /// another node.
     pub(super) fn handle_broken(&mut self, node: u16, id: job::Id, end: End) {
         let Some(dispatcher) = self.nodes.get_mut(&node) else {
             return;
--- a/crates/dispatch/tests/dispatch/fleet/world/engine.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/engine.rs
@@ -1,4 +1,4 @@
-//! Endpoints of a fleet in virtual time: what runs and what waits there.
+//! Simulated endpoints and the requests that run and wait there.
 
 use std::collections::VecDeque;
 
@@ -11,23 +11,23 @@
 use super::Event;
 use super::World;
 
-/// How long an endpoint takes to the first event of an answer.
+/// The time to the first event of an answer.
 const FIRST_EVENT_AFTER: Span = Span::from_millis(20);
 
-/// How long after an endpoint began to run it a request that crashes it does so.
+/// The time after which a crashing request ends the endpoint that runs it.
 const CRASH_AFTER: Span = Span::from_millis(70);
 
-/// One endpoint: what runs and what waits there.
+/// The requests of one endpoint.
 #[derive(Debug, Default)]
 pub struct Engine {
-    /// What runs.
+    /// The requests that run.
     pub running: Vec<(u16, job::Id)>,
-    /// What waits.
+    /// The requests that wait, the oldest first.
     pub waiting: VecDeque<(u16, job::Id)>,
 }
 
 impl World {
-    /// A request reaches an endpoint, which runs it or puts it in line.
+    /// Runs a request at an endpoint, or queues it if all slots are taken.
     pub(super) fn start_run(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let outcome = self
             .outcomes
@@ -57,7 +57,7 @@
             let crash = Event::Crash(endpoint.clone(), Some(fingerprint));
             self.schedule(self.now + CRASH_AFTER, crash);
         }
-        // Calls differ in length by as much as they take at the least.
+        // Call times vary from half to one and a half times the configured time.
         let spread = hash::chain(id.0, &node.to_le_bytes()) % self.shape.call_time.0;
         let call = Span(self.shape.call_time.0 / 2 + spread);
         let first = Event::FirstEvent(node, id, endpoint.clone());
@@ -65,7 +65,7 @@
         self.schedule(self.now + call, Event::Finish(node, id, endpoint.clone()));
     }
 
-    /// A run ends well, and the next in line begins.
+    /// Completes a request and starts the next that waits.
     pub(super) fn finish_run(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let Some(engine) = self.engines.get_mut(endpoint) else {
             return;
@@ -88,7 +88,7 @@
         };
         let decided = self.outcomes[&(node, id)].decided;
         self.start_run(node, id, endpoint);
-        // It arrived and was decided before it waited here.
+        // Its arrival and decision were counted before it waited here.
         self.arrivals.get_mut(endpoint).expect("it arrived").pop();
         if self
             .crashing
--- a/crates/dispatch/tests/dispatch/fleet/world/links.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/links.rs
@@ -1,4 +1,4 @@
-//! The platform's link and those of nodes, as far as lists of endpoints fill them.
+//! The load of endpoint lists on the links of the platform and the nodes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,21 +6,21 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// Lists that a node gives at once.
+/// The maximum number of lists that a node sends at once.
 const MAX_TRANSFERS: u64 = 3;
 
-/// How long a node rests that was declined.
+/// The time after which a node may ask again once its transfer was declined.
 pub const DECLINE_PAUSE: Span = Span::from_millis(80);
 
-/// How long the platform takes for one read beside the bytes: six pages of 4 ms.
+/// The time of a read beside the transfer: six pages of 4 ms each.
 const READ_TIME: Span = Span::from_millis(24);
 
-/// What a whole list costs and what links carry, in bytes and bytes a second.
+/// The sizes of a whole list in bytes, and the rates of links in bytes a second.
 #[derive(Debug, Clone, Copy)]
 pub struct Rates {
-    /// The list as the platform gives it.
+    /// The list as sent by the platform.
     pub read: u64,
-    /// The same from a node.
+    /// The list as sent by a node.
     pub list: u64,
     /// The platform's link.
     pub platform: u64,
@@ -28,23 +28,23 @@
     pub node: u64,
 }
 
-/// Lists on their way.
+/// The transfers in progress.
 #[derive(Debug)]
 pub struct Links {
     rates: Rates,
-    /// When the platform's link is free.
+    /// When the platform's link becomes free.
     free_at: Time,
     transfers: BTreeMap<u16, u64>,
-    /// Nodes that read or take a list.
+    /// The nodes that are receiving a list.
     pub busy: BTreeSet<u16>,
-    /// Reads of the platform.
+    /// The number of reads from the platform.
     pub reads: usize,
-    /// Lists that went from node to node.
+    /// The number of lists sent from node to node.
     pub given: usize,
 }
 
 impl Links {
-    /// Nothing is on its way.
+    /// Creates idle links.
     pub fn new(rates: Rates) -> Links {
         Links {
             rates,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// When a read that begins now is over.
+    /// Starts a read and returns when it ends.
     pub fn read(&mut self, now: Time) -> Time {
         self.reads += 1;
         let begun = now.max(self.free_at);
@@ -65,7 +65,8 @@
         self.free_at.max(own) + READ_TIME
     }
 
-    /// When a node has given a list; none where it gives to enough others.
+    /// Starts a transfer from a node and returns when it ends, or `None` if the node already
+    /// sends the maximum number of lists.
     pub fn try_start_transfer(&mut self, now: Time, from: u16) -> Option<Time> {
         let transfers = self.transfers.entry(from).or_default();
         if *transfers >= MAX_TRANSFERS {
@@ -76,7 +77,7 @@
         Some(now + transfer_time(self.rates.list * *transfers, self.rates.node))
     }
 
-    /// A node has given a list.
+    /// Ends a transfer from a node.
     pub fn end_transfer(&mut self, from: u16) {
         if let Some(transfers) = self.transfers.get_mut(&from) {
             *transfers = transfers.saturating_sub(1);
--- a/crates/dispatch/tests/dispatch/fleet/world/lists.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/lists.rs
@@ -1,4 +1,4 @@
-//! Lists of endpoints: published, read, and taken by one node from another.
+//! Lists of endpoints: publishing, reads and transfers between nodes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::links;
 
 impl World {
-    /// Publishes another list of endpoints, which some nodes read at once.
+    /// Publishes a list of endpoints that some nodes read at once.
     pub fn publish(&mut self, list: List, readers: &[u16]) {
         self.list = Arc::new(list);
         for node in readers {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The list as a node's build reads it.
+    /// Returns the list as a node's build reads it.
     pub(super) fn list_for(&self, node: u16) -> Arc<List> {
         match self.previous_build.contains(&node) {
             true => Arc::new(List {
@@ -44,7 +44,7 @@
         self.publish(list, &readers);
     }
 
-    /// Two nodes of each data centre, and of each part of it, which read the platform.
+    /// Returns two nodes of each data centre and partition, which read from the platform.
     fn readers(&self) -> Vec<u16> {
         let mut near: BTreeMap<(u16, u16), Vec<u16>> = BTreeMap::new();
         for node in self.nodes.keys().copied() {
@@ -60,7 +60,7 @@
         near.into_values().flatten().collect()
     }
 
-    /// A node that is behind takes the list from another, or reads it.
+    /// Lets an outdated node transfer the list from another or read it from the platform.
     pub(super) fn catch_up(&mut self, node: u16, ahead: Option<u16>) {
         let now = self.now;
         let Some(links) = &mut self.links else {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A node takes the list of endpoints from another.
+    /// Transfers the list of endpoints from another node.
     pub(super) fn transfer_list(&mut self, node: u16, from: u16) {
         if self.cut_off.contains(&node) || self.cut_off.contains(&from) {
             return;
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -1,5 +1,5 @@
-//! A large fleet in virtual time: nodes that exchange messages with a delay,
-//! and endpoints that work on as many requests as they have slots.
+//! A simulated fleet in virtual time: nodes that exchange messages with a latency, and
+//! endpoints that run as many requests as they have slots.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -49,46 +49,46 @@
 mod lists;
 pub mod notices;
 
-/// Time between two ticks of a node.
+/// The time between two ticks of a node.
 const TICK_INTERVAL: Span = Span::from_millis(20);
 
 /// The timeout of the route of all requests.
 const TIMEOUT: Span = Span::from_secs(8);
 
-/// Within which time nodes start that start together.
+/// The time over which the starts of nodes that start together are spread.
 const START_SPREAD: Span = Span::from_millis(300);
 
-/// How long a transfer of a list takes from node to node.
+/// The time of a list transfer between nodes.
 const TRANSFER_TIME: Span = Span::from_millis(10);
 
-/// The shape of a fleet.
+/// The size and properties of a fleet.
 #[derive(Debug, Clone)]
 pub struct Shape {
-    /// Nodes of each data centre.
+    /// The number of nodes in each data centre.
     pub nodes: u16,
-    /// Data centres.
+    /// The number of data centres.
     pub centres: u16,
-    /// Endpoints of each data centre.
+    /// The number of endpoints in each data centre.
     pub endpoints: u16,
-    /// Slots of each endpoint.
+    /// The number of slots of each endpoint.
     pub slots: u32,
-    /// Their service.
+    /// The service of all endpoints.
     pub service: &'static str,
-    /// How long a call takes.
+    /// The average time of a call.
     pub call_time: Span,
-    /// How long a message is on its way.
+    /// The latency of messages.
     pub latency: Span,
-    /// Messages of a hundred that are lost.
+    /// The percentage of messages that are lost.
     pub loss_percent: u64,
-    /// What endpoints bear while they are cold.
+    /// The bound on requests to cold endpoints.
     pub cold: Option<cold::Bound>,
-    /// What is not run any more.
+    /// When crashing requests are barred.
     pub quarantine: quarantine::Options,
     /// The region of each data centre.
     pub regions: region::Map,
 }
 
-/// What happens at some moment.
+/// A scheduled event.
 #[derive(Debug, Clone)]
 enum Event {
     Tick(u16),
@@ -106,24 +106,24 @@
         node: u16,
         from: u16,
     },
-    /// A node has read the list of endpoints.
+    /// A node has read the list of endpoints from the platform.
     Read(u16),
-    /// A node boots.
+    /// A node starts.
     Boot(u16),
-    /// A node that was declined may ask again.
+    /// A node whose transfer was declined may ask again.
     Declined(u16),
     Finish(u16, job::Id, id::Endpoint),
-    /// An endpoint ends, as what it runs crashes it, or by itself.
+    /// An endpoint ends by itself, or is crashed by a request.
     Crash(id::Endpoint, Option<Fingerprint>),
-    /// A node sees that its attempt broke.
+    /// A node learns that its attempt broke.
     AttemptBroken(u16, job::Id, End),
-    /// A node sees that its request was turned away.
+    /// A node learns that its request was rejected.
     Rejected(u16, job::Id, id::Endpoint),
-    /// A node finds that nothing listens where its attempt broke.
+    /// A node's connection to an ended endpoint is refused.
     ConnectionRefused(u16, id::Endpoint),
-    /// Another endpoint starts in the place of one that ended.
+    /// The replacement of an ended endpoint starts.
     Replace(id::Endpoint),
-    /// The platform lists an endpoint no more.
+    /// The platform removes an endpoint from its list.
     Unlist(id::Endpoint),
 }
 
@@ -132,7 +132,7 @@
 pub struct Crash {
     /// When it ended.
     pub when: Time,
-    /// What crashed it.
+    /// The request that crashed it.
     pub fingerprint: Fingerprint,
 }
 
@@ -141,25 +141,25 @@
 pub struct Outcome {
     /// What it asks for.
     pub fingerprint: Fingerprint,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Time,
-    /// When an endpoint began to work on it.
+    /// When an endpoint began to run it.
     pub began: Option<Time>,
-    /// True once it was refused.
+    /// Whether it was refused.
     pub refused: bool,
-    /// True once it was refused as endpoints ended under what it asks for.
+    /// Whether it was refused because it crashes endpoints.
     pub barred: bool,
     /// How often it was sent or refused.
     pub decided: u32,
-    /// True where it waited at an endpoint.
+    /// Whether it waited at an endpoint.
     pub queued: bool,
-    /// True once its whole answer came.
+    /// Whether its whole answer arrived.
     pub whole: bool,
-    /// True once its last attempt broke.
+    /// Whether its last attempt broke.
     pub broken: bool,
 }
 
-/// A fleet, its endpoints and the requests that came.
+/// A fleet, its endpoints and the requests that arrived.
 pub struct World {
     shape: Shape,
     /// Nodes that run.
@@ -167,54 +167,55 @@
     engines: HashMap<id::Endpoint, Engine>,
     /// The list of endpoints that the platform publishes.
     pub list: Arc<List>,
-    /// Nodes that the platform turns away.
+    /// Nodes without access to the platform.
     pub without_platform: BTreeSet<u16>,
     /// When requests arrived at each endpoint.
     pub arrivals: HashMap<id::Endpoint, Vec<Time>>,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
     scheduled: HashMap<u64, Event>,
     next_number: u64,
-    /// The time.
+    /// The virtual time.
     pub now: Time,
-    /// Requests by node and name there.
+    /// The outcomes of requests, by node and id there.
     pub outcomes: HashMap<(u16, job::Id), Outcome>,
-    /// Nodes whose messages reach nobody, and whom none reach.
+    /// Nodes that neither send nor receive messages.
     pub cut_off: BTreeSet<u16>,
-    /// Nodes that run a build which says nothing of eras and reads nothing of them.
+    /// Nodes on the previous build, which neither sends nor reads eras, rate limits and
+    /// notices.
     pub previous_build: BTreeSet<u16>,
-    /// Lists on their way, where nodes start without one.
+    /// The list transfers of a fleet whose nodes start without a list.
     pub links: Option<Links>,
-    /// The part of a fleet that a node belongs to, where parts do not hear each other.
+    /// The network partition of a node, if the fleet is partitioned.
     pub partition_of: Option<fn(u16) -> u16>,
-    /// Messages that were sent, but for statuses.
+    /// The number of messages sent, without statuses.
     pub messages: usize,
-    /// Bytes of what nodes said of requests that endpoints ended under.
+    /// The bytes of findings sent about crashing requests.
     pub findings_bytes: usize,
-    /// What crashes the endpoints that run it.
+    /// The requests that crash the endpoints that run them.
     pub crashing: BTreeSet<Fingerprint>,
     /// Endpoints that ended.
     ended: BTreeSet<id::Endpoint>,
-    /// Ends under requests that crash endpoints.
+    /// The crashes of endpoints by requests.
     pub crashes: Vec<Crash>,
-    /// When a request that crashes endpoints reached one, from which node.
+    /// When crashing requests reached endpoints, and from which node.
     pub crash_arrivals: Vec<(Time, u16, Fingerprint)>,
-    /// What callers ask for, who try once more when their request breaks.
+    /// The requests that callers retry once if they break.
     jobs: HashMap<(u16, job::Id), Job>,
-    /// What endpoints name in their answers.
+    /// The rate limits that endpoints announce.
     pub rate_limits: HashMap<id::Endpoint, Limit>,
-    /// What else they say of themselves.
+    /// The other conditions that endpoints announce.
     pub notices: Notices,
-    /// Callers who have tried again.
+    /// The requests that were retried.
     retried: BTreeSet<Fingerprint>,
 }
 
-/// The address of a node.
+/// Returns the address of a node.
 fn address(node: u16) -> SocketAddrV4 {
     let [high, low] = node.to_be_bytes();
     SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), 7_600)
 }
 
-/// Bytes that a message takes for findings.
+/// Returns the bytes of findings in a message.
 fn findings_bytes(message: &Message) -> usize {
     let findings = match message {
         Message::Status(status) => &status.findings,
@@ -231,7 +232,7 @@
 }
 
 impl World {
-    /// A fleet whose nodes have met.
+    /// Starts a fleet and lets its nodes discover each other.
     pub fn start(shape: Shape) -> World {
         let mut world = World::new(shape);
         let all = world.shape.nodes * world.shape.centres;
@@ -242,7 +243,7 @@
         world
     }
 
-    /// A fleet whose nodes all start within 300 ms, and have no list yet.
+    /// Creates a fleet whose nodes all start within 300 ms and have no list yet.
     pub fn start_together(shape: Shape, rates: Rates) -> World {
         let mut world = World::new(shape);
         world.links = Some(Links::new(rates));
@@ -286,12 +287,12 @@
         world
     }
 
-    /// The data centre of a node.
+    /// Returns the data centre of a node.
     pub fn centre(&self, node: u16) -> u16 {
         node % self.shape.centres
     }
 
-    /// The endpoints at first.
+    /// Returns the initial endpoints.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         let all = self.shape.endpoints * self.shape.centres;
         let make = |number: u16| Endpoint {
@@ -309,7 +310,7 @@
         Arc::new(configuration)
     }
 
-    /// Starts a node, in one of its lives.
+    /// Starts a node under an incarnation.
     pub fn boot(&mut self, node: u16, life: u64) {
         self.notices.start(node);
         let all = self.shape.nodes * self.shape.centres;
@@ -355,14 +356,14 @@
         self.scheduled.insert(self.next_number, event);
     }
 
-    /// A request comes to a node after a while.
+    /// Lets a request arrive at a node after a delay.
     pub fn arrive(&mut self, after: Span, node: u16, make: impl FnOnce(Time) -> Job) {
         let when = self.now + after;
         let job = Box::new(make(when));
         self.schedule(when, Event::Arrive { node, job });
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a span.
     pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         while let Some(Reverse((when, number))) = self.queue.peek().copied() {
@@ -521,7 +522,7 @@
         );
     }
 
-    /// Takes what a node decided and wants sent.
+    /// Carries out a node's decisions and sends its messages.
     fn apply_decisions(&mut self, node: u16) {
         let Some(dispatcher) = self.nodes.get_mut(&node) else {
             return;
@@ -548,14 +549,14 @@
         }
     }
 
-    /// Requests that came since a moment to the nodes that `is` says.
+    /// Returns the outcomes of requests that arrived since a time at matching nodes.
     pub fn arrived_at(&self, since: Time, is: impl Fn(u16) -> bool) -> Vec<Outcome> {
         let outcome = self.outcomes.iter();
         let there = outcome.filter(|((node, _), one)| is(*node) && one.arrived >= since);
         there.map(|(_, one)| *one).collect()
     }
 
-    /// Requests that came between two moments, counted from the start.
+    /// Returns the outcomes of requests that arrived from one time until before another.
     pub fn arrived_between(&self, from: Time, until: Time) -> Vec<Outcome> {
         let outcome = self.outcomes.values().copied();
         outcome
--- a/crates/dispatch/tests/dispatch/fleet/world/notices.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in answers: that they leave, and that they want rest.
+//! Conditions that endpoints announce in answers: leaving, and rest after a rejection.
 
 use std::collections::HashMap;
 
@@ -15,39 +15,41 @@
 use super::Event;
 use super::World;
 
-/// How long after an answer said so requests may still go to an endpoint that leaves.
+/// How long requests may still be sent to an endpoint after it announced that it leaves.
 const LEAVING_GRACE: Span = Span::from_secs(2);
 
-/// How long after a refusal its rest binds, and the requests that may come in it.
+/// The time after a rejection from which the node has to respect the rest.
 const REST_GRACE: Span = Span::from_millis(500);
+
+/// The maximum number of requests from a node during one rest.
 const MAX_DURING_REST: usize = 2;
 
-/// How an endpoint turns requests away.
+/// How an endpoint rejects requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rejecting {
-    /// For how long it wants nothing from a node that it turned away.
+    /// The rest for which it asks a rejected node.
     pub rest: Span,
-    /// One request of so many is turned away.
+    /// One in this many requests is rejected.
     pub one_of: u64,
 }
 
-/// One incarnation of a node, and an endpoint that it sends requests to.
+/// A node, its incarnation, and an endpoint that it sends requests to.
 type Pair = (u16, u32, id::Endpoint);
 
-/// What endpoints say, and what nodes that were told then did.
+/// What endpoints announce, and the requests that nodes sent afterwards.
 #[derive(Debug, Default)]
 pub struct Notices {
-    /// Endpoints whose answers say that they leave.
+    /// The endpoints that announce that they leave.
     pub leaving: Vec<id::Endpoint>,
-    /// Endpoints that turn requests away.
+    /// The endpoints that reject requests.
     pub rejecting: HashMap<id::Endpoint, Rejecting>,
     /// How often each node was started.
     incarnations: HashMap<u16, u32>,
-    /// When a node first got an answer by which an endpoint leaves.
+    /// When a node first learnt that an endpoint leaves.
     told_at: HashMap<Pair, Time>,
-    /// When a node was turned away, and for how long the endpoint wants nothing.
+    /// When a node was rejected, and the rest that the endpoint asked for.
     refusals: HashMap<Pair, Vec<(Time, Span)>>,
-    /// When requests of a node reached an endpoint, and when those had come.
+    /// When requests of a node reached an endpoint, and when they arrived at the node.
     sent: HashMap<Pair, Vec<(Time, Time)>>,
 }
 
@@ -57,19 +59,19 @@
         (node, incarnation, endpoint.clone())
     }
 
-    /// A node starts and knows nothing of before.
+    /// Records a start of a node, which forgets all announcements.
     pub(super) fn start(&mut self, node: u16) {
         *self.incarnations.entry(node).or_default() += 1;
     }
 
-    /// True where an endpoint turns a request away.
+    /// Whether an endpoint rejects a request.
     fn refuses(&self, endpoint: &id::Endpoint, drawn: u64) -> bool {
         let refusing = self.rejecting.get(endpoint);
         refusing.is_some_and(|one| hash::of(&drawn.to_le_bytes()).is_multiple_of(one.one_of))
     }
 
-    /// Requests that came later than allowed after their node was told that the endpoint
-    /// leaves.
+    /// Returns the number of requests sent although they arrived later than the grace time
+    /// after the announcement.
     fn late(&self) -> usize {
         let late = self.sent.iter().map(|(pair, sent)| {
             let told = self.told_at.get(pair);
@@ -79,13 +81,13 @@
         late.sum()
     }
 
-    /// Fails where an endpoint that leaves got a request too late, or said so to nobody.
+    /// Asserts that a leaving endpoint was announced and got no late request.
     pub fn assert_leaving_respected(&self) {
-        assert!(!self.told_at.is_empty(), "nobody was told");
+        assert!(!self.told_at.is_empty(), "no node learnt of it");
         assert_eq!(self.late(), 0);
     }
 
-    /// The most requests that reached an endpoint from one node while it rested for it.
+    /// Returns the most requests from one node to an endpoint during a rest.
     fn most_during_rest(&self) -> usize {
         let most = self.refusals.iter().filter_map(|(pair, refusals)| {
             let sent = self.sent.get(pair)?;
@@ -98,17 +100,16 @@
         most.max().unwrap_or(0)
     }
 
-    /// Fails where an endpoint that rests got more requests from a node than it may, or
-    /// turned nobody away.
+    /// Asserts that requests were rejected and that nodes respected the rest.
     pub fn assert_rest_respected(&self) {
-        assert!(!self.refusals.is_empty(), "nobody was turned away");
+        assert!(!self.refusals.is_empty(), "no request was rejected");
         let most = self.most_during_rest();
         assert!(most <= MAX_DURING_REST, "{most} in one rest");
     }
 }
 
 impl World {
-    /// What the head of an endpoint's answer to a node says.
+    /// Returns what the head of an endpoint's answer to a node announces.
     pub(super) fn read_notice(&mut self, node: u16, endpoint: &id::Endpoint) -> Notice {
         if self.previous_build.contains(&node) {
             return Notice::default();
@@ -126,7 +127,7 @@
         }
     }
 
-    /// A request reaches an endpoint, which turns it away or runs it.
+    /// Delivers a request to an endpoint, which rejects or runs it.
     pub(super) fn deliver(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let outcome = &self.outcomes[&(node, id)];
         let (came, decided) = (outcome.arrived, outcome.decided);
@@ -151,7 +152,7 @@
         self.schedule(heard, Event::Rejected(node, id, endpoint.clone()));
     }
 
-    /// A node learns that its request was turned away.
+    /// Tells a node that its request was rejected.
     pub(super) fn handle_rejection(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let reads = !self.previous_build.contains(&node);
         let refusing = self.notices.rejecting.get(endpoint).filter(|_| reads);
