--- a/crates/dispatch/tests/dispatch/fleet/world/engine.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/engine.rs
@@ -60,7 +60,7 @@
         // Call times vary from half to one and a half times the configured time.
         let spread = hash::chain(id.0, &node.to_le_bytes()) % self.shape.call_time.0;
         let call = Span(self.shape.call_time.0 / 2 + spread);
-        let first = Event::FirstEvent(node, id, endpoint.clone());
+        let first = Event::FirstOutput(node, id, endpoint.clone());
         self.schedule(self.now + FIRST_EVENT_AFTER, first);
         self.schedule(self.now + call, Event::Finish(node, id, endpoint.clone()));
     }
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -101,7 +101,7 @@
         node: u16,
         job: Box<Job>,
     },
-    FirstEvent(u16, job::Id, id::Endpoint),
+    FirstOutput(u16, job::Id, id::Endpoint),
     Transfer {
         node: u16,
         from: u16,
@@ -435,7 +435,7 @@
                 self.jobs.insert((node, id), job);
                 self.apply_decisions(node);
             }
-            Event::FirstEvent(node, id, endpoint) => {
+            Event::FirstOutput(node, id, endpoint) => {
                 let notice = self.read_notice(node, &endpoint);
                 if let Some(dispatcher) = self.nodes.get_mut(&node) {
                     dispatcher.take_notice(now, id, &notice);
