--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -134,7 +134,7 @@
     /// a rate limit.
     pub(super) fn spacing_opt(&self, now: Time, worker: &Worker) -> Option<Span> {
         let limit = worker.rate_limit.limit_opt()?;
-        Some(self.members.reach(now).stretch(limit.to_interval()))
+        Some(self.members.reach(now).scale_interval(limit.to_interval()))
     }
 
     /// Whether a slot may be used: not if the endpoint has a rate limit and the slot's
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -22,7 +22,7 @@
 use crate::message::Waiting;
 use crate::parts::Digest;
 use crate::protocol::Protocol;
-use crate::quota::Speaker;
+use crate::quota::Reporter;
 use crate::section;
 use crate::section::Difference;
 use crate::worker::Reports;
@@ -62,7 +62,7 @@
     /// Handles another node's status. The load it reports counts from the next tick on,
     /// which keeps a status cheap to handle in a large fleet.
     pub fn receive_status(&mut self, now: Time, from: SocketAddrV4, mut status: Status) -> News {
-        self.accounts.begin(now);
+        self.accounts.note_start(now);
         let findings = std::mem::take(&mut status.findings);
         let rate_limits = std::mem::take(&mut status.rate_limits);
         let notices = std::mem::take(&mut status.notices);
@@ -73,7 +73,7 @@
         if news == News::Old {
             return news;
         }
-        let reporter = Speaker {
+        let reporter = Reporter {
             address: from,
             incarnation,
             known: news == News::Known,
@@ -84,7 +84,8 @@
             let customer =
                 table.and_then(|table| table.customer_by_number_opt(usage_entry.customer));
             let quota = customer.and_then(|customer| customer.quota.as_ref());
-            self.accounts.hear(now, reporter, usage_entry, quota, reach);
+            self.accounts
+                .record_peer_usage(now, reporter, usage_entry, quota, reach);
         }
         self.receive_rate_limits(now, &rate_limits);
         self.receive_announcements(now, &notices);
@@ -124,7 +125,7 @@
     pub fn statuses(&mut self, now: Time) -> Vec<(Status, Vec<SocketAddrV4>)> {
         let occasion = Occasion {
             urgent: self.urgent,
-            pressed: self.accounts.is_pressed(now),
+            pressed: self.accounts.is_usage_high(now),
             news: self.news,
         };
         let due = self.members.due(now, occasion);
@@ -330,7 +331,9 @@
     /// Returns which nodes read the platform, as seen by this node.
     pub fn role(&self, now: Time) -> Reading {
         match self.list.revision {
-            0 => self.members.first_reading(now, self.accounts.met_at()),
+            0 => self
+                .members
+                .first_reading(now, self.accounts.discovery_ends_at()),
             _ => self.members.reading(now),
         }
     }
--- a/crates/dispatch/src/dispatcher/start_cold.rs
+++ b/crates/dispatch/src/dispatcher/start_cold.rs
@@ -35,6 +35,6 @@
     /// heard. `None` if the service has no limit.
     pub(super) fn cold_interval_opt(&self, now: Time, pool: &Pool) -> Option<Span> {
         let interval = pool.cold?.interval;
-        Some(self.members.reach(now).stretch(interval))
+        Some(self.members.reach(now).scale_interval(interval))
     }
 }
--- a/crates/dispatch/tests/dispatch/fleet/evacuate.rs
+++ b/crates/dispatch/tests/dispatch/fleet/evacuate.rs
@@ -74,7 +74,7 @@
         .iter()
         .copied()
         .filter(|node| (node / centres).is_multiple_of(3));
-    world.turned_away = rejected.collect();
+    world.without_platform = rejected.collect();
     load(&mut world, MODEL, 500, Span::from_secs(5), &all);
     world.run_for(SECOND);
     let list = evacuated(&world, &["dc0"]);
@@ -107,10 +107,10 @@
     world.run_for(SECOND);
     let from = world.now;
     world.run_for(Span::from_secs(4));
-    let here: Vec<Seen> = world.seen_at(from, |node| node % 3 == 0);
+    let here: Vec<Outcome> = world.arrived_at(from, |node| node % 3 == 0);
     assert_in_time(&here, 97.0);
-    assert_in_time(&world.between(from, world.now), 97.0);
-    assert_all_over(&mut world);
+    assert_in_time(&world.arrived_between(from, world.now), 97.0);
+    assert_all_finished(&mut world);
 }
 
 /// Evacuates one data centre after the other; each evacuation lifts the one before.
@@ -130,7 +130,7 @@
     }
     let list = evacuated(&world, &[]);
     world.publish_to_readers(list);
-    assert_all_over(&mut world);
+    assert_all_finished(&mut world);
 }
 
 /// An evacuation is lifted during a burst. The endpoints are cold by then, whether or not
@@ -167,6 +167,6 @@
     let seen = serve(&mut world, MODEL, 200, SECOND, &all);
     world.run_for(SECOND);
     assert!(seen.iter().all(|one| one.began.is_none()));
-    let refused = world.between(Time(0), world.now);
+    let refused = world.arrived_between(Time(0), world.now);
     assert!(refused.iter().all(|one| one.refused));
 }
--- a/crates/dispatch/tests/dispatch/fleet/region_bound.rs
+++ b/crates/dispatch/tests/dispatch/fleet/region_bound.rs
@@ -67,8 +67,8 @@
     let from = world.now;
     world.run_for(Span::from_secs(5));
     assert_eq!(arrivals_in_the_south(&world), 0);
-    assert_in_time(&world.between(from, world.now), 95.0);
-    assert_all_over(&mut world);
+    assert_in_time(&world.arrived_between(from, world.now), 95.0);
+    assert_all_finished(&mut world);
 }
 
 /// While the south hears nothing of the north, it is divided into cells anew. Its nodes may
@@ -82,12 +82,12 @@
     let all = all_nodes(&world);
     load_north(&mut world, 100, Span::from_secs(9), &all);
     world.run_for(SECOND);
-    world.part = Some(part);
+    world.partition_of = Some(part);
     world.run_for(Span::from_secs(4));
-    world.part = None;
+    world.partition_of = None;
     world.run_for(Span::from_secs(4));
     assert_eq!(arrivals_in_the_south(&world), 0);
-    assert_all_over(&mut world);
+    assert_all_finished(&mut world);
 }
 
 /// With the whole region evacuated, the requests are refused.
@@ -105,7 +105,7 @@
     let from = world.now;
     load_north(&mut world, 100, SECOND, &all);
     world.run_for(Span::from_secs(3));
-    let seen = world.between(from, world.now);
+    let seen = world.arrived_between(from, world.now);
     assert!(seen.iter().all(|one| one.refused && one.began.is_none()));
     assert_eq!(arrivals_in_the_south(&world), 0);
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/engine.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/engine.rs
@@ -1,4 +1,4 @@
-//! Endpoints of a fleet in virtual time: what runs and what waits there.
+//! Simulated endpoints and the requests that run and wait there.
 
 use std::collections::VecDeque;
 
@@ -11,59 +11,62 @@
 use super::Event;
 use super::World;
 
-/// How long an endpoint takes to the first event of an answer.
-const FIRST_AFTER: Span = Span::from_millis(20);
+/// The time to the first event of an answer.
+const FIRST_EVENT_AFTER: Span = Span::from_millis(20);
 
-/// How long after an endpoint began to run it a request that crashes it does so.
+/// The time after which a crashing request ends the endpoint that runs it.
 const CRASH_AFTER: Span = Span::from_millis(70);
 
-/// One endpoint: what runs and what waits there.
+/// The requests of one endpoint.
 #[derive(Debug, Default)]
 pub struct Engine {
-    /// What runs.
+    /// The requests that run.
     pub running: Vec<(u16, job::Id)>,
-    /// What waits.
+    /// The requests that wait, the oldest first.
     pub waiting: VecDeque<(u16, job::Id)>,
 }
 
 impl World {
-    /// A request reaches an endpoint, which runs it or puts it in line.
-    pub(super) fn begin(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
-        let seen = self.seen.get_mut(&(node, id)).expect("it came");
-        seen.decided += 1;
+    /// Runs a request at an endpoint, or queues it if all slots are taken.
+    pub(super) fn start_run(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
+        let outcome = self
+            .outcomes
+            .get_mut(&(node, id))
+            .expect("the request arrived");
+        outcome.decided += 1;
         if self.ended.contains(endpoint) {
-            let refused = self.now + self.shape.way;
-            self.plan(refused, Event::Broken(node, id, End::NotSent));
+            let refused = self.now + self.shape.latency;
+            self.schedule(refused, Event::AttemptBroken(node, id, End::NotSent));
             return;
         }
-        let fingerprint = seen.fingerprint;
+        let fingerprint = outcome.fingerprint;
         let arrivals = self.arrivals.entry(endpoint.clone()).or_default();
         arrivals.push(self.now);
         if self.crashing.contains(&fingerprint) {
-            self.reached.push((self.now, node, fingerprint));
+            self.crash_arrivals.push((self.now, node, fingerprint));
         }
         let engine = self.engines.entry(endpoint.clone()).or_default();
         if engine.running.len() >= self.shape.slots as usize {
-            seen.queued = true;
+            outcome.queued = true;
             engine.waiting.push_back((node, id));
             return;
         }
-        seen.began = Some(self.now);
+        outcome.began = Some(self.now);
         engine.running.push((node, id));
         if self.crashing.contains(&fingerprint) {
             let crash = Event::Crash(endpoint.clone(), Some(fingerprint));
-            self.plan(self.now + CRASH_AFTER, crash);
+            self.schedule(self.now + CRASH_AFTER, crash);
         }
-        // Calls differ in length by as much as they take at the least.
-        let spread = hash::chain(id.0, &node.to_le_bytes()) % self.shape.call.0;
-        let call = Span(self.shape.call.0 / 2 + spread);
-        let first = Event::First(node, id, endpoint.clone());
-        self.plan(self.now + FIRST_AFTER, first);
-        self.plan(self.now + call, Event::Done(node, id, endpoint.clone()));
+        // Call times vary from half to one and a half times the configured time.
+        let spread = hash::chain(id.0, &node.to_le_bytes()) % self.shape.call_time.0;
+        let call = Span(self.shape.call_time.0 / 2 + spread);
+        let first = Event::FirstOutput(node, id, endpoint.clone());
+        self.schedule(self.now + FIRST_EVENT_AFTER, first);
+        self.schedule(self.now + call, Event::Finish(node, id, endpoint.clone()));
     }
 
-    /// A run ends well, and the next in line begins.
-    pub(super) fn finish(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
+    /// Completes a request and starts the next that waits.
+    pub(super) fn finish_run(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let Some(engine) = self.engines.get_mut(endpoint) else {
             return;
         };
@@ -71,22 +74,31 @@
             return;
         };
         engine.running.remove(at);
-        self.seen.get_mut(&(node, id)).expect("it came").whole = true;
+        self.outcomes
+            .get_mut(&(node, id))
+            .expect("the request arrived")
+            .whole = true;
         if let Some(dispatcher) = self.nodes.get_mut(&node) {
             dispatcher.end(self.now, id, End::Whole);
-            self.settle(node);
+            self.apply_decisions(node);
         }
         let engine = self.engines.get_mut(endpoint).expect("it runs there");
         let Some((node, id)) = engine.waiting.pop_front() else {
             return;
         };
-        let decided = self.seen[&(node, id)].decided;
-        self.begin(node, id, endpoint);
-        // It arrived and was decided before it waited here.
+        let decided = self.outcomes[&(node, id)].decided;
+        self.start_run(node, id, endpoint);
+        // Its arrival and decision were counted before it waited here.
         self.arrivals.get_mut(endpoint).expect("it arrived").pop();
-        if self.crashing.contains(&self.seen[&(node, id)].fingerprint) {
-            self.reached.pop();
+        if self
+            .crashing
+            .contains(&self.outcomes[&(node, id)].fingerprint)
+        {
+            self.crash_arrivals.pop();
         }
-        self.seen.get_mut(&(node, id)).expect("it came").decided = decided;
+        self.outcomes
+            .get_mut(&(node, id))
+            .expect("the request arrived")
+            .decided = decided;
     }
 }
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -1,5 +1,5 @@
-//! A large fleet in virtual time: nodes that exchange messages with a delay,
-//! and endpoints that work on as many requests as they have slots.
+//! A simulated fleet in virtual time: nodes that exchange messages with a latency, and
+//! endpoints that run as many requests as they have slots.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -49,46 +49,46 @@
 mod lists;
 pub mod notices;
 
-/// Time between two ticks of a node.
-const TICK_EVERY: Span = Span::from_millis(20);
+/// The time between two ticks of a node.
+const TICK_INTERVAL: Span = Span::from_millis(20);
 
 /// The timeout of the route of all requests.
 const TIMEOUT: Span = Span::from_secs(8);
 
-/// Within which time nodes start that start together.
-const STARTS_WITHIN: Span = Span::from_millis(300);
+/// The time over which the starts of nodes that start together are spread.
+const START_SPREAD: Span = Span::from_millis(300);
 
-/// How long a transfer of a list takes from node to node.
-const TRANSFER: Span = Span::from_millis(10);
+/// The time of a list transfer between nodes.
+const TRANSFER_TIME: Span = Span::from_millis(10);
 
-/// The shape of a fleet.
+/// The size and properties of a fleet.
 #[derive(Debug, Clone)]
 pub struct Shape {
-    /// Nodes of each data centre.
+    /// The number of nodes in each data centre.
     pub nodes: u16,
-    /// Data centres.
+    /// The number of data centres.
     pub centres: u16,
-    /// Endpoints of each data centre.
+    /// The number of endpoints in each data centre.
     pub endpoints: u16,
-    /// Slots of each endpoint.
+    /// The number of slots of each endpoint.
     pub slots: u32,
-    /// Their service.
+    /// The service of all endpoints.
     pub service: &'static str,
-    /// How long a call takes.
-    pub call: Span,
-    /// How long a message is on its way.
-    pub way: Span,
-    /// Messages of a hundred that are lost.
-    pub lost: u64,
-    /// What endpoints bear while they are cold.
+    /// The average time of a call.
+    pub call_time: Span,
+    /// The latency of messages.
+    pub latency: Span,
+    /// The percentage of messages that are lost.
+    pub loss_percent: u64,
+    /// The bound on requests to cold endpoints.
     pub cold: Option<cold::Bound>,
-    /// What is not run any more.
+    /// When crashing requests are barred.
     pub quarantine: quarantine::Options,
     /// The region of each data centre.
     pub regions: region::Map,
 }
 
-/// What happens at some moment.
+/// A scheduled event.
 #[derive(Debug, Clone)]
 enum Event {
     Tick(u16),
@@ -101,30 +101,30 @@
         node: u16,
         job: Box<Job>,
     },
-    First(u16, job::Id, id::Endpoint),
-    Take {
+    FirstOutput(u16, job::Id, id::Endpoint),
+    Transfer {
         node: u16,
         from: u16,
     },
-    /// A node has read the list of endpoints.
+    /// A node has read the list of endpoints from the platform.
     Read(u16),
-    /// A node boots.
+    /// A node starts.
     Boot(u16),
-    /// A node that was declined may ask again.
+    /// A node whose transfer was declined may ask again.
     Declined(u16),
-    Done(u16, job::Id, id::Endpoint),
-    /// An endpoint ends, as what it runs crashes it, or by itself.
+    Finish(u16, job::Id, id::Endpoint),
+    /// An endpoint ends by itself, or is crashed by a request.
     Crash(id::Endpoint, Option<Fingerprint>),
-    /// A node sees that its attempt broke.
-    Broken(u16, job::Id, End),
-    /// A node sees that its request was turned away.
-    TurnedAway(u16, job::Id, id::Endpoint),
-    /// A node finds that nothing listens where its attempt broke.
-    Refused(u16, id::Endpoint),
-    /// Another endpoint starts in the place of one that ended.
-    Back(id::Endpoint),
-    /// The platform lists an endpoint no more.
-    Lapse(id::Endpoint),
+    /// A node learns that its attempt broke.
+    AttemptBroken(u16, job::Id, End),
+    /// A node learns that its request was rejected.
+    Rejected(u16, job::Id, id::Endpoint),
+    /// A node's connection to an ended endpoint is refused.
+    ConnectionRefused(u16, id::Endpoint),
+    /// The replacement of an ended endpoint starts.
+    Replace(id::Endpoint),
+    /// The platform removes an endpoint from its list.
+    Unlist(id::Endpoint),
 }
 
 /// An endpoint's end under a request that crashes it.
@@ -132,34 +132,34 @@
 pub struct Crash {
     /// When it ended.
     pub when: Time,
-    /// What crashed it.
+    /// The request that crashed it.
     pub fingerprint: Fingerprint,
 }
 
-/// What was seen of one request.
+/// The outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Seen {
+pub struct Outcome {
     /// What it asks for.
     pub fingerprint: Fingerprint,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Time,
-    /// When an endpoint began to work on it.
+    /// When an endpoint began to run it.
     pub began: Option<Time>,
-    /// True once it was refused.
+    /// Whether it was refused.
     pub refused: bool,
-    /// True once it was refused as endpoints ended under what it asks for.
+    /// Whether it was refused because it crashes endpoints.
     pub barred: bool,
     /// How often it was sent or refused.
     pub decided: u32,
-    /// True where it waited at an endpoint.
+    /// Whether it waited at an endpoint.
     pub queued: bool,
-    /// True once its whole answer came.
+    /// Whether its whole answer arrived.
     pub whole: bool,
-    /// True once its last attempt broke.
+    /// Whether its last attempt broke.
     pub broken: bool,
 }
 
-/// A fleet, its endpoints and the requests that came.
+/// A fleet, its endpoints and the requests that arrived.
 pub struct World {
     shape: Shape,
     /// Nodes that run.
@@ -167,55 +167,56 @@
     engines: HashMap<id::Endpoint, Engine>,
     /// The list of endpoints that the platform publishes.
     pub list: Arc<List>,
-    /// Nodes that the platform turns away.
-    pub turned_away: BTreeSet<u16>,
+    /// Nodes without access to the platform.
+    pub without_platform: BTreeSet<u16>,
     /// When requests arrived at each endpoint.
     pub arrivals: HashMap<id::Endpoint, Vec<Time>>,
-    events: BinaryHeap<Reverse<(Time, u64)>>,
-    what: HashMap<u64, Event>,
-    next: u64,
-    /// The time.
+    queue: BinaryHeap<Reverse<(Time, u64)>>,
+    scheduled: HashMap<u64, Event>,
+    next_number: u64,
+    /// The virtual time.
     pub now: Time,
-    /// Requests by node and name there.
-    pub seen: HashMap<(u16, job::Id), Seen>,
-    /// Nodes whose messages reach nobody, and whom none reach.
+    /// The outcomes of requests, by node and id there.
+    pub outcomes: HashMap<(u16, job::Id), Outcome>,
+    /// Nodes that neither send nor receive messages.
     pub cut_off: BTreeSet<u16>,
-    /// Nodes that run a build which says nothing of eras and reads nothing of them.
-    pub before: BTreeSet<u16>,
-    /// Lists on their way, where nodes start without one.
+    /// Nodes on the previous build, which neither sends nor reads eras, rate limits and
+    /// notices.
+    pub previous_build: BTreeSet<u16>,
+    /// The list transfers of a fleet whose nodes start without a list.
     pub links: Option<Links>,
-    /// The part of a fleet that a node belongs to, where parts do not hear each other.
-    pub part: Option<fn(u16) -> u16>,
-    /// Messages that were sent, but for statuses.
+    /// The network partition of a node, if the fleet is partitioned.
+    pub partition_of: Option<fn(u16) -> u16>,
+    /// The number of messages sent, without statuses.
     pub messages: usize,
-    /// Bytes of what nodes said of requests that endpoints ended under.
-    pub findings: usize,
-    /// What crashes the endpoints that run it.
+    /// The bytes of findings sent about crashing requests.
+    pub findings_bytes: usize,
+    /// The requests that crash the endpoints that run them.
     pub crashing: BTreeSet<Fingerprint>,
     /// Endpoints that ended.
     ended: BTreeSet<id::Endpoint>,
-    /// Ends under requests that crash endpoints.
+    /// The crashes of endpoints by requests.
     pub crashes: Vec<Crash>,
-    /// When a request that crashes endpoints reached one, from which node.
-    pub reached: Vec<(Time, u16, Fingerprint)>,
-    /// What callers ask for, who try once more when their request breaks.
+    /// When crashing requests reached endpoints, and from which node.
+    pub crash_arrivals: Vec<(Time, u16, Fingerprint)>,
+    /// The requests that callers retry once if they break.
     jobs: HashMap<(u16, job::Id), Job>,
-    /// What endpoints name in their answers.
-    pub limits: HashMap<id::Endpoint, Limit>,
-    /// What else they say of themselves.
+    /// The rate limits that endpoints announce.
+    pub rate_limits: HashMap<id::Endpoint, Limit>,
+    /// The other conditions that endpoints announce.
     pub notices: Notices,
-    /// Callers who have tried again.
-    returned: BTreeSet<Fingerprint>,
+    /// The requests that were retried.
+    retried: BTreeSet<Fingerprint>,
 }
 
-/// The address of a node.
+/// Returns the address of a node.
 fn address(node: u16) -> SocketAddrV4 {
     let [high, low] = node.to_be_bytes();
     SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), 7_600)
 }
 
-/// Bytes that a message takes for findings.
-fn findings_length(message: &Message) -> usize {
+/// Returns the bytes of findings in a message.
+fn findings_bytes(message: &Message) -> usize {
     let findings = match message {
         Message::Status(status) => &status.findings,
         Message::Findings(findings) => findings,
@@ -231,7 +232,7 @@
 }
 
 impl World {
-    /// A fleet whose nodes have met.
+    /// Starts a fleet and lets its nodes discover each other.
     pub fn start(shape: Shape) -> World {
         let mut world = World::new(shape);
         let all = world.shape.nodes * world.shape.centres;
@@ -242,14 +243,14 @@
         world
     }
 
-    /// A fleet whose nodes all start within 300 ms, and have no list yet.
+    /// Creates a fleet whose nodes all start within 300 ms and have no list yet.
     pub fn start_together(shape: Shape, rates: Rates) -> World {
         let mut world = World::new(shape);
         world.links = Some(Links::new(rates));
         let all = world.shape.nodes * world.shape.centres;
         for node in 0..all {
-            let after = hash::of(&node.to_be_bytes()) % STARTS_WITHIN.0;
-            world.plan(world.now + Span(after), Event::Boot(node));
+            let after = hash::of(&node.to_be_bytes()) % START_SPREAD.0;
+            world.schedule(world.now + Span(after), Event::Boot(node));
         }
         world
     }
@@ -259,39 +260,39 @@
             nodes: BTreeMap::new(),
             engines: HashMap::new(),
             list: Arc::default(),
-            turned_away: BTreeSet::new(),
+            without_platform: BTreeSet::new(),
             arrivals: HashMap::new(),
-            events: BinaryHeap::new(),
-            what: HashMap::new(),
-            next: 0,
+            queue: BinaryHeap::new(),
+            scheduled: HashMap::new(),
+            next_number: 0,
             now: at(0),
-            seen: HashMap::new(),
+            outcomes: HashMap::new(),
             cut_off: BTreeSet::new(),
-            before: BTreeSet::new(),
+            previous_build: BTreeSet::new(),
             links: None,
-            part: None,
+            partition_of: None,
             messages: 0,
-            findings: 0,
+            findings_bytes: 0,
             crashing: BTreeSet::new(),
             ended: BTreeSet::new(),
             crashes: Vec::new(),
-            reached: Vec::new(),
+            crash_arrivals: Vec::new(),
             jobs: HashMap::new(),
-            limits: HashMap::new(),
+            rate_limits: HashMap::new(),
             notices: Notices::default(),
-            returned: BTreeSet::new(),
+            retried: BTreeSet::new(),
             shape,
         };
         world.list = list(1, &world.endpoints());
         world
     }
 
-    /// The data centre of a node.
+    /// Returns the data centre of a node.
     pub fn centre(&self, node: u16) -> u16 {
         node % self.shape.centres
     }
 
-    /// The endpoints at first.
+    /// Returns the initial endpoints.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         let all = self.shape.endpoints * self.shape.centres;
         let make = |number: u16| Endpoint {
@@ -309,7 +310,7 @@
         Arc::new(configuration)
     }
 
-    /// Starts a node, in one of its lives.
+    /// Starts a node under an incarnation.
     pub fn boot(&mut self, node: u16, life: u64) {
         self.notices.start(node);
         let all = self.shape.nodes * self.shape.centres;
@@ -324,12 +325,12 @@
             ..options(1)
         });
         dispatcher.set_configuration(self.now, self.configuration());
-        if !self.turned_away.contains(&node) && self.links.is_none() {
-            dispatcher.set_endpoints(self.now, self.to_read(node));
+        if !self.without_platform.contains(&node) && self.links.is_none() {
+            dispatcher.set_endpoints(self.now, self.list_for(node));
         }
         self.nodes.insert(node, dispatcher);
-        let first = Span(hash::of(&node.to_le_bytes()) % TICK_EVERY.0);
-        self.plan(self.now + first, Event::Tick(node));
+        let first = Span(hash::of(&node.to_le_bytes()) % TICK_INTERVAL.0);
+        self.schedule(self.now + first, Event::Tick(node));
     }
 
     /// Ends a node and whatever it runs at once.
@@ -339,39 +340,39 @@
             engine.waiting.retain(|(of, _)| *of != node);
         }
         let gone: Vec<u64> = self
-            .what
+            .scheduled
             .iter()
             .filter(|(_, event)| matches!(event, Event::Tick(of) if *of == node))
             .map(|(number, _)| *number)
             .collect();
         for number in gone {
-            self.what.remove(&number);
+            self.scheduled.remove(&number);
         }
     }
 
-    fn plan(&mut self, when: Time, event: Event) {
-        self.next += 1;
-        self.events.push(Reverse((when, self.next)));
-        self.what.insert(self.next, event);
+    fn schedule(&mut self, when: Time, event: Event) {
+        self.next_number += 1;
+        self.queue.push(Reverse((when, self.next_number)));
+        self.scheduled.insert(self.next_number, event);
     }
 
-    /// A request comes to a node after a while.
+    /// Lets a request arrive at a node after a delay.
     pub fn arrive(&mut self, after: Span, node: u16, make: impl FnOnce(Time) -> Job) {
         let when = self.now + after;
         let job = Box::new(make(when));
-        self.plan(when, Event::Arrive { node, job });
+        self.schedule(when, Event::Arrive { node, job });
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a span.
     pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
-        while let Some(Reverse((when, number))) = self.events.peek().copied() {
+        while let Some(Reverse((when, number))) = self.queue.peek().copied() {
             if when > until {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now = when;
-            if let Some(event) = self.what.remove(&number) {
+            if let Some(event) = self.scheduled.remove(&number) {
                 self.handle(event);
             }
         }
@@ -386,26 +387,26 @@
                     return;
                 };
                 dispatcher.tick(now);
-                let ahead = dispatcher.newer_peer_opt(now, Document::Endpoints, self.next);
+                let ahead = dispatcher.newer_peer_opt(now, Document::Endpoints, self.next_number);
                 for (status, due) in dispatcher.statuses(now) {
                     for to in due {
                         let message = Box::new(Message::Status(Box::new(status.clone())));
                         self.send(node, to, message);
                     }
                 }
-                self.follow(node, ahead.map(to_node));
-                self.plan(now + TICK_EVERY, Event::Tick(node));
-                self.settle(node);
+                self.catch_up(node, ahead.map(to_node));
+                self.schedule(now + TICK_INTERVAL, Event::Tick(node));
+                self.apply_decisions(node);
             }
             Event::Boot(node) => self.boot(node, 1),
             Event::Read(node) => {
-                self.note_free(node);
-                let list = self.to_read(node);
+                self.mark_idle(node);
+                let list = self.list_for(node);
                 if let Some(dispatcher) = self.nodes.get_mut(&node) {
                     dispatcher.set_endpoints(now, list);
                 }
             }
-            Event::Declined(node) => self.note_free(node),
+            Event::Declined(node) => self.mark_idle(node),
             Event::Message { from, to, message } => self.receive(from, to, *message),
             Event::Arrive { node, job } => {
                 let Some(dispatcher) = self.nodes.get_mut(&node) else {
@@ -418,7 +419,7 @@
                     first_try: arrived - tried_for,
                     ..*job
                 };
-                let seen = Seen {
+                let outcome = Outcome {
                     fingerprint: job.fingerprint,
                     arrived,
                     began: None,
@@ -430,40 +431,40 @@
                     broken: false,
                 };
                 let id = dispatcher.enter(now, job.clone());
-                self.seen.insert((node, id), seen);
+                self.outcomes.insert((node, id), outcome);
                 self.jobs.insert((node, id), job);
-                self.settle(node);
+                self.apply_decisions(node);
             }
-            Event::First(node, id, endpoint) => {
+            Event::FirstOutput(node, id, endpoint) => {
                 let notice = self.read_notice(node, &endpoint);
                 if let Some(dispatcher) = self.nodes.get_mut(&node) {
                     dispatcher.apply_notice(now, id, &notice);
                     dispatcher.progress(now, id, 1);
-                    self.settle(node);
+                    self.apply_decisions(node);
                 }
             }
-            Event::Take { node, from } => {
-                self.note_free(node);
+            Event::Transfer { node, from } => {
+                self.mark_idle(node);
                 if let Some(links) = &mut self.links {
-                    links.end_giving(from);
+                    links.end_transfer(from);
                 }
-                self.take(node, from);
+                self.transfer_list(node, from);
             }
-            Event::Done(node, id, endpoint) => self.finish(node, id, &endpoint),
+            Event::Finish(node, id, endpoint) => self.finish_run(node, id, &endpoint),
             Event::Crash(endpoint, under) => self.crash(&endpoint, under),
-            Event::Broken(node, id, end) => self.break_off(node, id, end),
-            Event::TurnedAway(node, id, endpoint) => self.take_refusal(node, id, &endpoint),
-            Event::Refused(node, endpoint) => {
+            Event::AttemptBroken(node, id, end) => self.handle_broken(node, id, end),
+            Event::Rejected(node, id, endpoint) => self.handle_rejection(node, id, &endpoint),
+            Event::ConnectionRefused(node, endpoint) => {
                 let list = self.list.endpoints.iter();
                 let found = list.clone().find(|one| one.name == endpoint);
                 let number = found.map(Endpoint::to_number);
                 if let Some((dispatcher, number)) = self.nodes.get_mut(&node).zip(number) {
                     dispatcher.note_endpoint_ended(now, number);
-                    self.settle(node);
+                    self.apply_decisions(node);
                 }
             }
-            Event::Back(endpoint) => self.replace(&endpoint),
-            Event::Lapse(endpoint) => {
+            Event::Replace(endpoint) => self.replace(&endpoint),
+            Event::Unlist(endpoint) => {
                 let mut list = (*self.list).clone();
                 list.revision += 1;
                 list.endpoints.retain(|one| one.name != endpoint);
@@ -480,10 +481,11 @@
         let from = address(from);
         match message {
             Message::Status(mut status) => {
-                if self.before.contains(&to_node(from)) {
+                if self.previous_build.contains(&to_node(from)) {
                     status.protocol = Protocol::FIRST;
                 }
-                if self.before.contains(&to) || self.before.contains(&to_node(from)) {
+                if self.previous_build.contains(&to) || self.previous_build.contains(&to_node(from))
+                {
                     status.endpoints.era = Era::default();
                     status.rate_limits.clear();
                     status.notices.clear();
@@ -497,31 +499,31 @@
             Message::Findings(findings) => dispatcher.take_findings(now, &findings),
             Message::Reserve(_) | Message::Reserved(_) | Message::Release(_) => {}
         }
-        self.settle(to);
+        self.apply_decisions(to);
     }
 
     fn send(&mut self, from: u16, to: SocketAddrV4, message: Box<Message>) {
-        self.findings += findings_length(&message);
-        self.next += 1;
-        let drawn = hash::of(&self.next.to_le_bytes()) % 100;
-        if drawn < self.shape.lost {
+        self.findings_bytes += findings_bytes(&message);
+        self.next_number += 1;
+        let drawn = hash::of(&self.next_number.to_le_bytes()) % 100;
+        if drawn < self.shape.loss_percent {
             return;
         }
         let to = to_node(to);
         if self.cut_off.contains(&from) || self.cut_off.contains(&to) {
             return;
         }
-        if self.part.is_some_and(|part| part(from) != part(to)) {
+        if self.partition_of.is_some_and(|part| part(from) != part(to)) {
             return;
         }
-        self.plan(
-            self.now + self.shape.way,
+        self.schedule(
+            self.now + self.shape.latency,
             Event::Message { from, to, message },
         );
     }
 
-    /// Takes what a node decided and wants sent.
-    fn settle(&mut self, node: u16) {
+    /// Carries out a node's decisions and sends its messages.
+    fn apply_decisions(&mut self, node: u16) {
         let Some(dispatcher) = self.nodes.get_mut(&node) else {
             return;
         };
@@ -533,28 +535,32 @@
         }
         for decision in decisions {
             match decision {
-                Decision::Start { job, endpoint, .. } => self.reach(node, job, &endpoint.name),
+                Decision::Start { job, endpoint, .. } => self.deliver(node, job, &endpoint.name),
                 Decision::Refuse { job, refusal } => {
-                    let seen = self.seen.get_mut(&(node, job)).expect("it came");
-                    seen.refused = true;
-                    seen.barred = refusal.code == Code::Barred;
-                    seen.decided += 1;
+                    let outcome = self
+                        .outcomes
+                        .get_mut(&(node, job))
+                        .expect("the request arrived");
+                    outcome.refused = true;
+                    outcome.barred = refusal.code == Code::Barred;
+                    outcome.decided += 1;
                 }
             }
         }
     }
 
-    /// Requests that came since a moment to the nodes that `is` says.
-    pub fn seen_at(&self, since: Time, is: impl Fn(u16) -> bool) -> Vec<Seen> {
-        let seen = self.seen.iter();
-        let there = seen.filter(|((node, _), one)| is(*node) && one.arrived >= since);
+    /// Returns the outcomes of requests that arrived since a time at matching nodes.
+    pub fn arrived_at(&self, since: Time, is: impl Fn(u16) -> bool) -> Vec<Outcome> {
+        let outcome = self.outcomes.iter();
+        let there = outcome.filter(|((node, _), one)| is(*node) && one.arrived >= since);
         there.map(|(_, one)| *one).collect()
     }
 
-    /// Requests that came between two moments, counted from the start.
-    pub fn between(&self, from: Time, until: Time) -> Vec<Seen> {
-        let seen = self.seen.values().copied();
-        seen.filter(|one| one.arrived >= from && one.arrived < until)
+    /// Returns the outcomes of requests that arrived from one time until before another.
+    pub fn arrived_between(&self, from: Time, until: Time) -> Vec<Outcome> {
+        let outcome = self.outcomes.values().copied();
+        outcome
+            .filter(|one| one.arrived >= from && one.arrived < until)
             .collect()
     }
 }
