--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -115,7 +115,7 @@
         job: &Job,
         worker: &Worker,
     ) -> Option<Unusable> {
-        if !worker.is_staying() {
+        if !worker.is_present() {
             // This node's list is newer than the owner's.
             return Some(Unusable {
                 end: End::NotThere,
@@ -153,7 +153,7 @@
         });
         match worker {
             Some(worker) => {
-                worker.rests_until = worker.rests_until.max(now + UNUSABLE_FOR);
+                worker.backoff_until = worker.backoff_until.max(now + UNUSABLE_FOR);
                 self.submit(now, id, job);
             }
             None => self.enqueue(now, id, job),
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -101,7 +101,7 @@
         let Some(pool) = self.pools.get(&job.target) else {
             return alone;
         };
-        let each = pool.shared || self.is_limited_throughout(now, pool, job);
+        let each = pool.shared || self.is_fully_rate_limited(now, pool, job);
         let endpoint = match each {
             true => self.shared_worker(now, pool, job),
             false => None,
@@ -111,7 +111,7 @@
             return alone;
         }
         let owner = match self.is_displaced(pool, job) {
-            true => self.host_owner(now, pool, job, self.next_question),
+            true => self.fallback_owner(now, pool, job, self.next_question),
             false => self.slot_owner(now, pool, endpoint),
         };
         match owner {
@@ -142,7 +142,7 @@
     fn shared_worker<'a>(&self, now: Time, pool: &'a Pool, job: &Job) -> Option<&'a Worker> {
         let options = &self.options.worker;
         let usable = pool.workers.iter().filter(|worker| {
-            worker.takes_work(now, options)
+            worker.accepts_work(now, options)
                 && !job.history.tried.contains(&worker.number)
                 && self.may_run_at(job, worker)
         });
@@ -289,7 +289,7 @@
             self.withdraw(id);
             return;
         };
-        if job.latest() <= now + self.options.policy.least_left {
+        if job.expires_at() <= now + self.options.policy.least_left {
             let refusal = self.too_late(now, job);
             self.withdraw(id);
             self.refuse(now, id, None, refusal);
@@ -337,11 +337,11 @@
         let Some((pool, job)) = pool.zip(question.job.as_ref()) else {
             return false;
         };
-        if self.members.cell().whole && !self.is_limited_throughout(now, pool, job) {
+        if self.members.cell().whole && !self.is_fully_rate_limited(now, pool, job) {
             return false;
         }
         if self.is_displaced(pool, job) {
-            let mut hosts = self.host_owners(now, pool, job).into_iter();
+            let mut hosts = self.fallback_owners(now, pool, job).into_iter();
             return hosts.any(|(owner, _)| owner == question.owner);
         }
         self.slot_owner(now, pool, question.endpoint) == Owner::Other(question.owner)
@@ -374,7 +374,7 @@
         let waiting = pool.queue.iter();
         let is_stuck = |number| {
             let worker = self.worker_opt(target, number);
-            !worker.is_some_and(|worker| worker.takes_work(now, &self.options.worker))
+            !worker.is_some_and(|worker| worker.accepts_work(now, &self.options.worker))
         };
         let stuck =
             waiting.filter(|(_, job)| job.origin.is_none() && job.only.is_some_and(is_stuck));
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -45,7 +45,7 @@
         let own = &self.options.data_centre;
         self.list.is_evacuated(own)
             || !self.options.regions.allows(&job.bound, own)
-            || pool.is_left_by_cell()
+            || pool.is_cell_leaving()
     }
 
     /// True where an endpoint is in a region in which a request may run.
@@ -55,7 +55,7 @@
     }
 
     /// True where another node is in a region in which a request may run.
-    pub(super) fn may_run_near(&self, job: &Job, node: SocketAddrV4) -> bool {
+    pub(super) fn may_run_on(&self, job: &Job, node: SocketAddrV4) -> bool {
         let centre = self.members.data_centre_opt(node);
         let allows = |centre| self.options.regions.allows_number(&job.bound, centre);
         job.bound.is_free() || centre.is_some_and(allows)
@@ -70,7 +70,7 @@
         let displaced = pool.queue.iter().filter(|(_, job)| {
             job.origin.is_none()
                 && self.is_displaced(pool, job)
-                && !self.host_owners(now, pool, job).is_empty()
+                && !self.fallback_owners(now, pool, job).is_empty()
         });
         let displaced: Vec<job::Id> = displaced.map(|(id, _)| id).collect();
         for id in displaced {
@@ -86,8 +86,8 @@
     /// The owner of slots in another cell in whose queue a request of a displaced
     /// cell waits: another for each `turn`, more often the one whose cell has more
     /// slots.
-    pub(super) fn host_owner(&self, now: Time, pool: &Pool, job: &Job, turn: u64) -> Owner {
-        let hosts = self.host_owners(now, pool, job);
+    pub(super) fn fallback_owner(&self, now: Time, pool: &Pool, job: &Job, turn: u64) -> Owner {
+        let hosts = self.fallback_owners(now, pool, job);
         let all: u64 = hosts.iter().map(|(_, slots)| u64::from(*slots)).sum();
         let drawn = hash::chain(self.options.incarnation, &turn.to_le_bytes());
         let Some(mut at) = drawn.checked_rem(all) else {
@@ -105,7 +105,7 @@
 
     /// Owners of slots in cells of data centres that are not evacuated and where a
     /// request may run, with the slots that each has.
-    pub(super) fn host_owners(
+    pub(super) fn fallback_owners(
         &self,
         now: Time,
         pool: &Pool,
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -53,14 +53,14 @@
         self.next_job += 1;
         let id = job::Id(self.next_job);
         self.budget.earn(now, &job.target);
-        pool(&mut self.pools, &self.options.warm, &job.target);
+        pool(&mut self.pools, &self.options.prefix_cache, &job.target);
         self.submit(now, id, job);
         id
     }
 
     /// Puts a request in this node's queue, unless it is refused at the door.
     pub(super) fn enqueue(&mut self, now: Time, id: job::Id, job: Job) {
-        let refusal = match job.is_newcomer() {
+        let refusal = match job.is_untried() {
             true => self.verdict(now, &job),
             false => None,
         };
@@ -132,11 +132,11 @@
             });
         }
         // For one that was refused before, late is better than never.
-        let most = match job.is_returning() {
+        let most = match job.is_caller_retry() {
             true => job.patience.0 as f64,
             false => job.objective.0 as f64 * self.options.policy.refuse_beyond,
         };
-        let answer = self.pools.get(&job.target).map(Pool::usual_answer);
+        let answer = self.pools.get(&job.target).map(Pool::typical_response_time);
         let expected = (wait + answer.unwrap_or(Span::ZERO)).0 as f64;
         (wait > Span::ZERO && expected > most).then(|| Refusal {
             code: Code::TooLate,
@@ -173,15 +173,18 @@
     /// The time in which the slots of all usable endpoints would take up what
     /// waits now, here and on other nodes, and does not go behind this rank.
     fn wait_by_slots(&self, now: Time, pool: &Pool, rank: Rank) -> Span {
-        let goes_before = |other: Rank| other <= rank;
-        let here = pool.queue.counts().filter(|(other, _)| goes_before(*other));
+        let is_preferred_to = |other: Rank| other <= rank;
+        let here = pool
+            .queue
+            .counts()
+            .filter(|(other, _)| is_preferred_to(*other));
         let here: usize = here.map(|(_, count)| count).sum();
         let others = self.others_waiting(now, pool.number);
-        let others = others.filter(|waiting| goes_before(waiting.rank));
+        let others = others.filter(|waiting| is_preferred_to(waiting.rank));
         let others: usize = others.map(|waiting| usize::from(waiting.count)).sum();
         let waiting = here + others;
         let slots = pool.usable_slots(now, &self.options.worker).max(1);
-        Span((waiting as f64 * pool.call / f64::from(slots)) as u64)
+        Span((waiting as f64 * pool.call_us / f64::from(slots)) as u64)
     }
 
     /// What waits for a service on other nodes of this cell, as heard lately.
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -55,7 +55,7 @@
     /// ends, and those of the cell, which send requests there, where it moves.
     fn spread_limit(&mut self, before: Option<Limit>, after: Option<Limit>) {
         self.urgent = true;
-        self.news |= before.is_none() || after.is_none();
+        self.has_news |= before.is_none() || after.is_none();
     }
 
     /// Keeps what another node tells until it is looked at together with its load.
@@ -124,7 +124,7 @@
         };
         let limited = pool.workers.iter().enumerate();
         let limited = limited.filter(|(_, worker)| worker.is_rate_limited());
-        let others = limited.filter(|(_, worker)| !self.keeps_limit(now, pool, worker, permit));
+        let others = limited.filter(|(_, worker)| !self.owns_rate_limit(now, pool, worker, permit));
         others.map(|(at, _)| at).collect()
     }
 
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -99,7 +99,7 @@
         let options = &self.options.worker;
         endpoint.is_none_or(|number| {
             let worker = self.worker_opt(target, number);
-            worker.is_some_and(|worker| worker.lends(now, options))
+            worker.is_some_and(|worker| worker.is_lendable(now, options))
         })
     }
 
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -54,6 +54,8 @@
 use crate::message::Message;
 use crate::notice;
 use crate::parts;
+use crate::prefix_cache;
+use crate::prefix_cache::PrefixCache;
 use crate::quarantine;
 use crate::quarantine::Registry;
 use crate::queue::Queue;
@@ -65,17 +67,13 @@
 use crate::section;
 use crate::table::Table;
 use crate::turnaround::Turnaround;
-use crate::warm;
-use crate::warm::Warm;
 use crate::worker;
 use crate::worker::Worker;
 
 mod answer;
-mod begin;
 mod borrow;
 mod decision;
 mod displace;
-mod doubt;
 mod enter;
 mod keep_rate_limit;
 mod lend;
@@ -86,10 +84,12 @@
 mod predict;
 mod publish;
 mod query;
+mod rejection;
 mod reserve;
 mod retry;
 mod share;
 mod spare;
+mod start;
 mod start_cold;
 mod suspect;
 mod take_notice;
@@ -125,7 +125,7 @@
     /// Bounds of what is learnt of endpoints.
     pub worker: worker::Options,
     /// Bounds of prompt hints.
-    pub warm: warm::Options,
+    pub prefix_cache: prefix_cache::Options,
     /// Bounds of membership.
     pub member: member::Options,
     /// How far quotas may be exceeded.
@@ -176,24 +176,24 @@
     workers: Vec<Worker>,
     index: HashMap<id::Endpoint, usize>,
     queue: Queue,
-    warm: Warm,
+    prefix_cache: PrefixCache,
     /// The share of prompts that were seen before, whole.
-    recurring: f64,
+    repeat_ratio: f64,
     /// When requests of each rank were lately sent.
     starts: HashMap<Rank, VecDeque<Time>>,
     /// Usual time to the first event, in microseconds.
-    first: f64,
+    first_event_us: f64,
     /// The longest pauses between two events, as a multiple of the engine's
     /// step.
     longest_pause: f64,
     /// Usual time between two events of a stream, in microseconds.
-    step: f64,
+    step_us: f64,
     /// How long streams are beside what their callers estimate.
     lengths: Lengths,
     /// Usual time for reading one prompt token, in microseconds.
-    prefill: f64,
+    prefill_us: f64,
     /// Usual time of a whole call, in microseconds.
-    call: f64,
+    call_us: f64,
     /// How long its slots stand idle between calls of other nodes.
     turnaround: Turnaround,
     /// When one of its endpoints was last open; none where none was yet.
@@ -250,9 +250,9 @@
     cut_off: bool,
     urgent: bool,
     /// True while documents have come into force of which nobody was told.
-    news: bool,
-    ticked: Time,
-    arranged: Time,
+    has_news: bool,
+    ticked_at: Time,
+    arranged_at: Time,
     decisions: Vec<Decision>,
 }
 
@@ -297,9 +297,9 @@
             leaving: false,
             cut_off: false,
             urgent: false,
-            news: false,
-            ticked: Time(0),
-            arranged: Time(0),
+            has_news: false,
+            ticked_at: Time(0),
+            arranged_at: Time(0),
             decisions: Vec::new(),
         }
     }
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -12,35 +12,35 @@
 use crate::job::End;
 use crate::job::Job;
 use crate::lease;
-use crate::worker::PACE_LEAST;
-use crate::worker::PACE_MOST;
+use crate::worker::MAX_PACE;
+use crate::worker::MIN_PACE;
 
 /// Prompt tokens under which a first event says little of the reading speed.
-const LEARN_FROM: u64 = 400;
+const MIN_SAMPLE_TOKENS: u64 = 400;
 
 /// Bounds of the time for reading one prompt token, in microseconds: from a
 /// million tokens a second down to a thousand.
-const PREFILL_LEAST: f64 = 1.0;
-const PREFILL_MOST: f64 = 1_000.0;
+const MIN_PREFILL_US: f64 = 1.0;
+const MAX_PREFILL_US: f64 = 1_000.0;
 
 /// Weight of one observation in what is usual for a service.
-const NEWEST: f64 = 0.03;
+const SAMPLE_WEIGHT: f64 = 0.03;
 
 /// Weight of a pause longer than the longest that are expected, and of a
 /// shorter one: about one in fifty is longer.
-const PAUSE_LONGER: f64 = 0.2;
-const PAUSE_SHORTER: f64 = 0.002;
+const LONGER_PAUSE_WEIGHT: f64 = 0.2;
+const SHORTER_PAUSE_WEIGHT: f64 = 0.002;
 
 /// The longest pause that counts, as a multiple of a step: longer ones are
 /// those of an endpoint that stands still.
-const LONGEST_PAUSE: f64 = 10.0;
+const MAX_PAUSE_STEPS: f64 = 10.0;
 
 /// How often the owner of a slot is told that a stream goes on: more than twice
 /// in the silence after which it would take the endpoint to stand still.
-const REPORT_EVERY: Span = Span::from_millis(400);
+const REPORT_INTERVAL: Span = Span::from_millis(400);
 
 /// Events after which the time between them is looked at.
-const MARK: u32 = 4;
+const EVENTS_PER_SAMPLE: u32 = 4;
 
 impl Dispatcher {
     /// Events of a stream were seen.
@@ -51,7 +51,7 @@
         let Some(pool) = self.pools.get_mut(&run.job.target) else {
             return;
         };
-        pool.workers[run.worker].heard = now;
+        pool.workers[run.worker].last_progress = now;
         if run.job.origin.is_none() {
             pool.workers[run.worker].rest.serve(run.started);
         }
@@ -59,7 +59,7 @@
         let first = run.first.is_none();
         let told = match first {
             true => Some(lease::Event::First),
-            false if now.since(run.reported) >= REPORT_EVERY => Some(lease::Event::Progress),
+            false if now.since(run.reported) >= REPORT_INTERVAL => Some(lease::Event::Progress),
             false => None,
         };
         let told = run.lease.zip(told);
@@ -71,7 +71,7 @@
             }
             run.last = now;
             run.events += events;
-            if run.events >= MARK {
+            if run.events >= EVENTS_PER_SAMPLE {
                 learn_events(pool, run, now);
             }
         }
@@ -95,7 +95,7 @@
             return;
         };
         let worker = &mut pool.workers[run.worker];
-        worker.heard = now;
+        worker.last_progress = now;
         if run.first.is_none() {
             run.first = Some(now);
             worker.pending = worker.pending.saturating_sub(run.uncached);
@@ -141,7 +141,7 @@
             // attempt, which may be free of blame: it is charged once. With each of them
             // charged, six callers that returned after such a moment were refused on a
             // day played with ten hosts, and without none.
-            End::Lost | End::Late if !run.job.history.broke => {
+            End::Lost | End::Late if !run.job.history.connection_broke => {
                 let pool = self.pools.get(&run.job.target);
                 if let Some(worker) = pool.and_then(|pool| pool.workers.get(run.worker)) {
                     let number = worker.number;
@@ -194,7 +194,7 @@
         }
         match end {
             End::Whole | End::Rejected => {
-                worker.succeed(now);
+                worker.record_success(now);
                 learn_call(pool, &run, now);
                 learn_length(pool, &run);
                 if run.job.origin.is_none() {
@@ -202,18 +202,18 @@
                     self.durations.learn(&run.job.route, took);
                 }
             }
-            End::Fault => worker.fault(now),
-            End::Full => worker.fill(now, options),
+            End::Fault => worker.record_fault(now),
+            End::Full => worker.record_full(now, options),
             End::NotThere => worker.gone_at = Some(now),
             End::NotSent | End::Lost => {
                 let number = worker.number;
-                worker.fail(now, end == End::NotSent, options);
-                pool.warm.forget(number);
+                worker.record_failure(now, end == End::NotSent, options);
+                pool.prefix_cache.remove_endpoint(number);
             }
             // That the time ran out says little of an endpoint that shows
             // progress with other requests.
-            End::Late if now.since(worker.heard) > options.silence => {
-                worker.fail(now, false, options);
+            End::Late if now.since(worker.last_progress) > options.stall_timeout => {
+                worker.record_failure(now, false, options);
             }
             End::Late | End::Abandoned => {}
         }
@@ -230,11 +230,11 @@
 
     fn next_attempt(&mut self, now: Time, job: &mut Job, end: End) -> Next {
         if end == End::NotSent {
-            job.history.unsent += 1;
+            job.history.connect_failures += 1;
         } else {
             job.history.sent += 1;
             job.history.may_have_run |= !end.is_not_run();
-            job.history.broke |= end == End::Lost;
+            job.history.connection_broke |= end == End::Lost;
         }
         if job.history.may_have_run && !job.repeatable {
             return Next::Final(Cause::MayHaveRun);
@@ -242,7 +242,7 @@
         if end == End::Lost && self.quarantine.is_suspect(job.fingerprint) {
             return Next::Final(Cause::Suspect);
         }
-        let unsent = job.history.unsent >= self.options.policy.connects;
+        let unsent = job.history.connect_failures >= self.options.policy.connects;
         if unsent || job.history.sent >= job.attempts {
             return Next::Final(Cause::Attempts);
         }
@@ -261,40 +261,45 @@
     /// Nodes that share what may be sent again.
     pub(super) fn budget_nodes(&self, now: Time) -> usize {
         let reach = self.members.reach(now);
-        if reach.alone { ALONE } else { reach.nodes }
+        if reach.alone {
+            ASSUMED_NODES
+        } else {
+            reach.nodes
+        }
     }
 }
 
 /// Nodes that share the budget as long as none was heard.
-const ALONE: usize = 8;
+const ASSUMED_NODES: usize = 8;
 
 fn learn_first(pool: &mut Pool, run: &mut Run, now: Time) {
     run.first = Some(now);
     run.marked = now;
     run.last = now;
     let after = now.since(run.started).0 as f64;
-    pool.first += (after - pool.first) * NEWEST;
+    pool.first_event_us += (after - pool.first_event_us) * SAMPLE_WEIGHT;
     let worker = &mut pool.workers[run.worker];
     worker.pending = worker.pending.saturating_sub(run.uncached);
     let tokens = run.uncached + run.ahead;
     // Of a request that waited there for a slot the time says nothing of reading.
-    if pool.engine && tokens >= LEARN_FROM && !run.queued {
-        let reading = after - worker.step.unwrap_or(pool.step);
-        let seen = reading / tokens as f64 / worker.pace.max(PACE_LEAST);
-        pool.prefill += (seen.clamp(PREFILL_LEAST, PREFILL_MOST) - pool.prefill) * NEWEST;
+    if pool.engine && tokens >= MIN_SAMPLE_TOKENS && !run.queued {
+        let reading = after - worker.step_us.unwrap_or(pool.step_us);
+        let seen = reading / tokens as f64 / worker.pace.max(MIN_PACE);
+        pool.prefill_us +=
+            (seen.clamp(MIN_PREFILL_US, MAX_PREFILL_US) - pool.prefill_us) * SAMPLE_WEIGHT;
     }
 }
 
 /// Learns how much longer than a step the longest pauses are: from a longer one
 /// at once, from shorter ones slowly.
 fn learn_pause(pool: &mut Pool, run: &Run, now: Time) {
-    let Some(step) = pool.workers[run.worker].step else {
+    let Some(step) = pool.workers[run.worker].step_us else {
         return;
     };
-    let ratio = (now.since(run.last).0 as f64 / step.max(1.0)).min(LONGEST_PAUSE);
+    let ratio = (now.since(run.last).0 as f64 / step.max(1.0)).min(MAX_PAUSE_STEPS);
     let weight = match ratio > pool.longest_pause {
-        true => PAUSE_LONGER,
-        false => PAUSE_SHORTER,
+        true => LONGER_PAUSE_WEIGHT,
+        false => SHORTER_PAUSE_WEIGHT,
     };
     pool.longest_pause += (ratio - pool.longest_pause) * weight;
 }
@@ -312,10 +317,10 @@
 
 fn learn_step(pool: &mut Pool, worker: usize, gap: f64, now: Time) {
     let step = pool.workers[worker].learn_step(now, gap);
-    pool.step += (step - pool.step) * NEWEST;
-    let usual = pool.step.max(1.0);
+    pool.step_us += (step - pool.step_us) * SAMPLE_WEIGHT;
+    let usual = pool.step_us.max(1.0);
     let worker = &mut pool.workers[worker];
-    worker.pace = (step / usual).clamp(PACE_LEAST, PACE_MOST);
+    worker.pace = (step / usual).clamp(MIN_PACE, MAX_PACE);
 }
 
 fn learn_length(pool: &mut Pool, run: &Run) {
@@ -327,7 +332,7 @@
 fn learn_call(pool: &mut Pool, run: &Run, now: Time) {
     let micros = now.since(run.started).0 as f64;
     if !pool.engine {
-        pool.workers[run.worker].learn_pace(now, micros / pool.call.max(1.0));
+        pool.workers[run.worker].learn_pace(now, micros / pool.call_us.max(1.0));
     }
-    pool.call += (micros - pool.call) * NEWEST;
+    pool.call_us += (micros - pool.call_us) * SAMPLE_WEIGHT;
 }
--- a/crates/dispatch/src/dispatcher/permit.rs
+++ b/crates/dispatch/src/dispatcher/permit.rs
@@ -19,17 +19,17 @@
 /// Whether this node may send requests to the bounded endpoints of a service.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Permit {
-    right: Right,
+    authority: Scope_,
     reach: Reach,
 }
 
 /// To which of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Right {
+enum Scope_ {
     /// To all that are its cell's, or to none.
-    All(bool),
+    Service(bool),
     /// To those whose slots it owns one by one.
-    Each,
+    PerEndpoint,
 }
 
 impl Dispatcher {
@@ -38,19 +38,19 @@
     pub(super) fn permit_opt(&self, now: Time, pool: &Pool) -> Option<Permit> {
         let is_bounded = |worker: &Worker| pool.is_cold(now, worker) || worker.is_rate_limited();
         pool.workers.iter().any(is_bounded).then(|| Permit {
-            right: self.right(now, pool),
+            authority: self.authority(now, pool),
             reach: self.members.reach(now),
         })
     }
 
-    fn right(&self, now: Time, pool: &Pool) -> Right {
+    fn authority(&self, now: Time, pool: &Pool) -> Scope_ {
         if self.accounts.is_meeting(now) {
-            return Right::All(false);
+            return Scope_::Service(false);
         }
         if pool.shared || self.members.cell().whole {
-            return Right::Each;
+            return Scope_::PerEndpoint;
         }
-        Right::All(self.slot_owner(now, pool, None) == Owner::Own)
+        Scope_::Service(self.slot_owner(now, pool, None) == Owner::Own)
     }
 
     /// True unless an endpoint has a bound by which it must not be sent a request now.
@@ -65,37 +65,44 @@
             return true;
         };
         let cold = pool.is_cold(now, worker);
-        let may_while_cold = || worker.cold.may_start(now) && self.owns_cold(now, worker, permit);
-        (!cold || may_while_cold()) && self.may_start_limited(now, pool, worker, permit)
+        let may_while_cold =
+            || worker.cold.may_start(now) && self.owns_cold_start(now, worker, permit);
+        (!cold || may_while_cold()) && self.may_start_rate_limited(now, pool, worker, permit)
     }
 
-    fn owns_cold(&self, now: Time, worker: &Worker, permit: Permit) -> bool {
+    fn owns_cold_start(&self, now: Time, worker: &Worker, permit: Permit) -> bool {
         let key = u64::from(worker.number);
-        match permit.right {
-            Right::All(may) => may,
-            Right::Each => self.members.owner(now, Scope::Fleet, key) == Owner::Own,
+        match permit.authority {
+            Scope_::Service(may) => may,
+            Scope_::PerEndpoint => self.members.owner(now, Scope::Fleet, key) == Owner::Own,
         }
     }
 
-    fn may_start_limited(&self, now: Time, pool: &Pool, worker: &Worker, permit: Permit) -> bool {
+    fn may_start_rate_limited(
+        &self,
+        now: Time,
+        pool: &Pool,
+        worker: &Worker,
+        permit: Permit,
+    ) -> bool {
         let Some(limit) = worker.rate_limit.limit_opt() else {
             return true;
         };
         let spacing = permit.reach.stretch(limit.to_interval());
-        worker.rate_limit.may_start(now, spacing) && self.keeps_limit(now, pool, worker, permit)
+        worker.rate_limit.may_start(now, spacing) && self.owns_rate_limit(now, pool, worker, permit)
     }
 
     /// True where this node keeps the rate limit of an endpoint.
-    pub(super) fn keeps_limit(
+    pub(super) fn owns_rate_limit(
         &self,
         now: Time,
         pool: &Pool,
         worker: &Worker,
         permit: Permit,
     ) -> bool {
-        match permit.right {
-            Right::All(may) => may,
-            Right::Each => self.slot_owner(now, pool, Some(worker.number)) == Owner::Own,
+        match permit.authority {
+            Scope_::Service(may) => may,
+            Scope_::PerEndpoint => self.slot_owner(now, pool, Some(worker.number)) == Owner::Own,
         }
     }
 
@@ -104,13 +111,13 @@
     ///
     /// Without it an owner's own callers alone would use what its endpoints take, and those
     /// of a node that owns none would not be served at all.
-    pub(super) fn is_limited_throughout(&self, now: Time, pool: &Pool, job: &Job) -> bool {
+    pub(super) fn is_fully_rate_limited(&self, now: Time, pool: &Pool, job: &Job) -> bool {
         if !self.members.cell().whole {
             return false;
         }
         let options = &self.options.worker;
         let open = pool.workers.iter().filter(|worker| {
-            worker.takes_work(now, options)
+            worker.accepts_work(now, options)
                 && !job.history.tried.contains(&worker.number)
                 && self.may_run_at(job, worker)
         });
--- a/crates/dispatch/src/dispatcher/predict.rs
+++ b/crates/dispatch/src/dispatcher/predict.rs
@@ -13,10 +13,10 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Forecast {
     /// Until its first event.
-    pub first: f64,
+    pub first_event_us: f64,
     /// The longest pause that reading its prompt puts between two events of the
     /// streams that run there.
-    pub pause: f64,
+    pub pause_us: f64,
 }
 
 /// By how much a stream may be longer than expected: callers' estimates are right
@@ -28,16 +28,16 @@
     pub(super) fn usable(&self, now: Time, options: &worker::Options) -> usize {
         let usable = self.workers.iter();
         usable
-            .filter(|worker| worker.own_cell && worker.takes_work(now, options))
+            .filter(|worker| worker.own_cell && worker.accepts_work(now, options))
             .count()
     }
 
     /// True where this cell has endpoints and all of them leave.
-    pub(super) fn is_left_by_cell(&self) -> bool {
-        let near = self.workers.iter();
-        let mut near = near.filter(|worker| worker.own_cell && worker.listed);
-        let first = near.next();
-        first.is_some_and(Worker::is_leaving) && near.all(Worker::is_leaving)
+    pub(super) fn is_cell_leaving(&self) -> bool {
+        let cell_endpoints = self.workers.iter();
+        let mut cell_endpoints = cell_endpoints.filter(|worker| worker.own_cell && worker.listed);
+        let first = cell_endpoints.next();
+        first.is_some_and(Worker::is_leaving) && cell_endpoints.all(Worker::is_leaving)
     }
 
     /// Endpoints of which something holds, of those that the platform lists.
@@ -61,7 +61,7 @@
     /// Slots of the endpoints of this cell that take work now.
     pub(super) fn usable_slots(&self, now: Time, options: &worker::Options) -> u32 {
         let usable = self.workers.iter();
-        let usable = usable.filter(|worker| worker.own_cell && worker.takes_work(now, options));
+        let usable = usable.filter(|worker| worker.own_cell && worker.accepts_work(now, options));
         usable.map(|worker| self.slots_of(now, worker)).sum()
     }
 
@@ -78,18 +78,18 @@
     /// tokens of its prompt.
     pub(super) fn forecast(&self, worker: &Worker, unread: f64) -> Forecast {
         let step = self.step_of(worker);
-        let before = (worker.pending + worker.others_pending) as f64;
-        let reading = self.prefill * worker.pace * (before + unread);
+        let before = (worker.pending + worker.remote_pending) as f64;
+        let reading = self.prefill_us * worker.pace * (before + unread);
         Forecast {
-            first: reading + self.slot_wait(worker) + step,
-            pause: (step + reading).min(step * self.longest_pause),
+            first_event_us: reading + self.slot_wait(worker) + step,
+            pause_us: (step + reading).min(step * self.longest_pause),
         }
     }
 
     /// The time to the first event of a request at an idle engine of the usual
     /// speed, in microseconds.
-    pub(super) fn soonest_first(&self, job: &Job) -> f64 {
-        self.prefill * job.prompt.tokens as f64 + self.step
+    pub(super) fn min_first_event_time(&self, job: &Job) -> f64 {
+        self.prefill_us * job.prompt.tokens as f64 + self.step_us
     }
 
     /// Events that a stream is expected to have, by its caller's estimate; nothing
@@ -97,7 +97,7 @@
     pub(super) fn events_opt(&self, job: &Job) -> Option<f64> {
         let estimated = job.prompt.output_hint?;
         self.lengths
-            .per_token_opt()
+            .events_per_token_opt()
             .map(|per_token| per_token * estimated as f64)
     }
 
@@ -107,16 +107,16 @@
     /// objective and was answered after it: on a day of bursts played with 295 nodes
     /// 1,871 were late beside 1,199 in time in the worst two seconds, and 2,052 beside
     /// 1,514 with it and the order that goes with it.
-    pub(super) fn usual_answer(&self) -> Span {
+    pub(super) fn typical_response_time(&self) -> Span {
         match self.engine {
-            true => Span(self.first as u64),
-            false => Span(self.call as u64),
+            true => Span(self.first_event_us as u64),
+            false => Span(self.call_us as u64),
         }
     }
 
     /// An engine's time between two events of a stream, in microseconds.
     pub(super) fn step_of(&self, worker: &Worker) -> f64 {
-        worker.step.unwrap_or(self.step)
+        worker.step_us.unwrap_or(self.step_us)
     }
 
     /// The time between two events beyond which a request's stream is not over
@@ -125,18 +125,18 @@
     /// that hold a slot until they are cut off: on a day played with 295 nodes
     /// without it, 489 of 11,073 streams of the least protected route failed, most
     /// of them so.
-    pub(super) fn slowest_step_opt(
+    pub(super) fn max_step_opt(
         &self,
         now: Time,
         job: &Job,
         options: &worker::Options,
     ) -> Option<f64> {
         let events = self.events_opt(job)?;
-        let left = job.deadline.since(now).0 as f64 - self.first;
+        let left = job.deadline.since(now).0 as f64 - self.first_event_us;
         let most = left / (events * LENGTH_MARGIN).max(1.0);
         let mut usable = self.workers.iter();
         let keeps = usable.any(|worker| {
-            worker.own_cell && worker.takes_work(now, options) && self.step_of(worker) <= most
+            worker.own_cell && worker.accepts_work(now, options) && self.step_of(worker) <= most
         });
         keeps.then_some(most)
     }
@@ -145,13 +145,13 @@
     pub(super) fn slot_wait(&self, worker: &Worker) -> f64 {
         let slots = worker.endpoint.slots.max(1);
         let over = (worker.busy() + 1).saturating_sub(slots);
-        f64::from(over) * self.call * worker.pace / f64::from(slots)
+        f64::from(over) * self.call_us * worker.pace / f64::from(slots)
     }
 
     /// True where streams run at an engine and reading a request's prompt beside
     /// them would make their pauses longer than a `part` of the longest one that
     /// is in time on the request's own route.
-    pub(super) fn disturbs(
+    pub(super) fn delays_streams(
         &self,
         worker: &Worker,
         job: &Job,
@@ -161,6 +161,6 @@
         let Some(pause) = job.pause else {
             return false;
         };
-        worker.busy() > 0 && forecast.pause > pause.0 as f64 * part
+        worker.busy() > 0 && forecast.pause_us > pause.0 as f64 * part
     }
 }
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -20,12 +20,12 @@
 use crate::notice::Update;
 use crate::parts::Head;
 use crate::parts::Part;
+use crate::prefix_cache;
+use crate::prefix_cache::PrefixCache;
 use crate::queue::Queue;
 use crate::section;
 use crate::table::Table;
 use crate::turnaround::Turnaround;
-use crate::warm;
-use crate::warm::Warm;
 use crate::worker::Worker;
 
 /// Time to the first event that is expected at first, in microseconds.
@@ -56,7 +56,7 @@
         }
         let table = Table::new(configuration);
         for service in &table.configuration().services {
-            let pool = pool(&mut self.pools, &self.options.warm, &service.name);
+            let pool = pool(&mut self.pools, &self.options.prefix_cache, &service.name);
             pool.engine = service.engine;
             pool.cold = service.cold;
         }
@@ -65,14 +65,14 @@
         }
         for route in &table.configuration().routes {
             for (target, _) in &route.targets {
-                let pool = pool(&mut self.pools, &self.options.warm, target);
+                let pool = pool(&mut self.pools, &self.options.prefix_cache, target);
                 pool.least_protected = pool.least_protected.max(route.priority);
             }
         }
         self.table = Some(Arc::new(table));
         self.received.clear();
         self.urgent = true;
-        self.news = true;
+        self.has_news = true;
         self.use_list(now);
         true
     }
@@ -112,7 +112,7 @@
         self.memory.note(now, &self.list, &list);
         self.sections = section::Index::new(&list);
         self.list = list;
-        self.news = true;
+        self.has_news = true;
         self.use_list(now);
     }
 
@@ -152,7 +152,11 @@
     /// is another, of which nothing is known.
     fn use_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
         let endpoint = Arc::new(endpoint.clone());
-        let pool = pool(&mut self.pools, &self.options.warm, &endpoint.service);
+        let pool = pool(
+            &mut self.pools,
+            &self.options.prefix_cache,
+            &endpoint.service,
+        );
         let at = pool.index.get(&endpoint.name).copied();
         let at = at.filter(|at| pool.workers[*at].endpoint.born == endpoint.born);
         if let Some(at) = at {
@@ -258,7 +262,7 @@
             let mut kept = Vec::new();
             for (at, worker) in std::mem::take(&mut pool.workers).into_iter().enumerate() {
                 if gone(at, &worker) {
-                    pool.warm.forget(worker.number);
+                    pool.prefix_cache.remove_endpoint(worker.number);
                     if worker.leaving {
                         self.updates.push(Update::new(&worker, Change::Left));
                     }
@@ -286,7 +290,7 @@
 /// A service's pool, made when it is first met.
 pub(super) fn pool<'a>(
     pools: &'a mut HashMap<id::Target, Pool>,
-    warm: &warm::Options,
+    prefix_cache: &prefix_cache::Options,
     target: &id::Target,
 ) -> &'a mut Pool {
     pools.entry(target.clone()).or_insert_with(|| Pool {
@@ -298,15 +302,15 @@
         workers: Vec::new(),
         index: HashMap::new(),
         queue: Queue::default(),
-        warm: Warm::new(warm.clone()),
-        recurring: 0.0,
+        prefix_cache: PrefixCache::new(prefix_cache.clone()),
+        repeat_ratio: 0.0,
         starts: HashMap::new(),
-        first: FIRST,
+        first_event_us: FIRST,
         longest_pause: LONGEST_PAUSE,
-        step: STEP,
+        step_us: STEP,
         lengths: Lengths::default(),
-        prefill: PREFILL,
-        call: CALL,
+        prefill_us: PREFILL,
+        call_us: CALL,
         turnaround: Turnaround::default(),
         open_at: None,
     })
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -21,11 +21,11 @@
 /// How long after its start a node waits for a configuration that others have. Two
 /// seconds and more are allowed until a change is in force; a transfer from a neighbour
 /// of 260 kB takes 0.7 s on 10 Mbit/s beside two others.
-const CATCH_UP_WITHIN: Span = Span::from_secs(1);
+const CATCH_UP_TIMEOUT: Span = Span::from_secs(1);
 
 /// Of so many connections that endpoints take one may be at rest: the rest is for those
 /// in use, and for nodes that have more than their even part.
-const KEPT_OF_TAKEN: usize = 2;
+const IDLE_CONNECTION_DIVISOR: usize = 2;
 
 /// Endpoints that a request is not sent to, by what they said of themselves.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -117,7 +117,7 @@
     /// within the time in which nodes meet, the platform alone is believed.
     fn is_catching_up(&self, now: Time) -> bool {
         let started = self.accounts.started();
-        if now.since(started) >= CATCH_UP_WITHIN || self.members.has_nobody_to_ask() {
+        if now.since(started) >= CATCH_UP_TIMEOUT || self.members.has_nobody_to_ask() {
             return false;
         }
         match self.members.newest_configuration_opt(now) {
@@ -168,11 +168,11 @@
     /// The time within which nearly all requests of a route have their whole
     /// answer; nothing where none was seen.
     pub fn duration_opt(&self, route: &str) -> Option<Span> {
-        self.durations.most_opt(route)
+        self.durations.upper_bound_opt(route)
     }
 
     /// True while at least as many other nodes serve as are stopping.
-    pub fn are_most_others_serving(&self, now: Time) -> bool {
+    pub fn are_most_peers_serving(&self, now: Time) -> bool {
         let others = self.members.fresh(now);
         let (stopping, serving): (Vec<_>, Vec<_>) =
             others.partition(|(_, member)| member.status.leaving);
@@ -200,7 +200,7 @@
             .and_then(|table| table.service_opt(target));
         let taken = service.map_or(0, |service| service.connections as usize);
         let nodes = self.members.reach(now).nodes;
-        (taken / KEPT_OF_TAKEN / nodes.max(1)).max(1)
+        (taken / IDLE_CONNECTION_DIVISOR / nodes.max(1)).max(1)
     }
 
     /// How much of the fleet this node can speak for.
@@ -229,7 +229,11 @@
             target: target.clone(),
             waiting: pool.queue.len(),
             running: pool.workers.iter().map(|worker| worker.running).sum(),
-            others: pool.workers.iter().map(|worker| worker.others).sum(),
+            others: pool
+                .workers
+                .iter()
+                .map(|worker| worker.remote_running)
+                .sum(),
             usable: pool.usable(now, &self.options.worker),
             endpoints: pool.workers.iter().filter(|worker| worker.listed).count(),
             rate_limited: pool.count_listed(Worker::is_rate_limited),
--- a/crates/dispatch/src/dispatcher/doubt.rs
+++ b/crates/dispatch/src/dispatcher/rejection.rs
@@ -12,66 +12,71 @@
 
 /// Which endpoints are chosen first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Turn {
+pub(super) enum Preference {
     /// It is time to see whether the endpoint takes requests again.
     Trial,
     /// Nothing speaks against it.
-    Sure,
+    Normal,
     /// It may turn the request away.
-    InDoubt,
+    LastResort,
 }
 
 /// What it would mean for a request to be turned away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Risk {
     /// It is sent to another endpoint.
-    Again,
+    Retried,
     /// It is refused, and may wait for a better endpoint yet.
-    RefusedTooSoon,
+    RefusedEarly,
     /// It is refused, and has waited long enough.
     Refused,
 }
 
 /// The part of its objective for which a request that cannot be sent again waits for an
 /// endpoint that nothing speaks against.
-const WAITS_PART: u64 = 4;
+const OBJECTIVE_DIVISOR: u64 = 4;
 
 impl Dispatcher {
     /// What it would mean for a request to be turned away now.
     pub(super) fn risk(&self, now: Time, pool: &Pool, job: &Job) -> Risk {
         if !pool.workers.iter().any(|worker| worker.is_in_doubt(now)) {
-            return Risk::Again;
+            return Risk::Retried;
         }
         // Each trial under way may need a repeat as well.
         let repeats = self.budget.left(now, &job.target, self.budget_nodes(now));
         let on_trial = |worker: &&Worker| worker.rest.is_on_trial();
         let trials = pool.workers.iter().filter(on_trial).count();
         if job.has_spare_attempt() && repeats > trials as u64 {
-            return Risk::Again;
+            return Risk::Retried;
         }
-        match now.since(job.arrived).0 * WAITS_PART >= job.objective.0 {
+        match now.since(job.arrived).0 * OBJECTIVE_DIVISOR >= job.objective.0 {
             true => Risk::Refused,
-            false => Risk::RefusedTooSoon,
+            false => Risk::RefusedEarly,
         }
     }
 }
 
 impl Risk {
     /// When an endpoint is chosen; none where it is not.
-    pub(super) fn turn_opt(self, now: Time, job: &Job, worker: &Worker) -> Option<Turn> {
+    pub(super) fn preference_opt(
+        self,
+        now: Time,
+        job: &Job,
+        worker: &Worker,
+    ) -> Option<Preference> {
         if !worker.is_in_doubt(now) {
-            return Some(Turn::Sure);
+            return Some(Preference::Normal);
         }
         if job.origin.is_some() {
-            return Some(Turn::InDoubt);
+            return Some(Preference::LastResort);
         }
         if worker.rest.is_on_trial() {
             return None;
         }
         match self {
-            Risk::RefusedTooSoon => None,
-            Risk::Again if worker.rest.is_trial_due(now) => Some(Turn::Trial),
-            Risk::Again | Risk::Refused => Some(Turn::InDoubt),
+            Risk::RefusedEarly => None,
+            Risk::Retried if worker.rest.is_trial_due(now) => Some(Preference::Trial),
+            Risk::Retried | Risk::Refused => Some(Preference::LastResort),
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -111,9 +111,9 @@
         }
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
             let sum = sums.get(&worker.number).copied().unwrap_or_default();
-            worker.others = sum.running;
-            worker.others_pending = sum.pending;
-            worker.others_trouble = sum.trouble;
+            worker.remote_running = sum.running;
+            worker.remote_pending = sum.pending;
+            worker.remote_reports = sum.trouble;
         }
     }
 
@@ -123,14 +123,14 @@
         let occasion = Occasion {
             urgent: self.urgent,
             pressed: self.accounts.is_pressed(now),
-            news: self.news,
+            news: self.has_news,
         };
         let due = self.members.due(now, occasion);
         if due.is_empty() {
             return Vec::new();
         }
         self.urgent = false;
-        self.news = false;
+        self.has_news = false;
         let due = due.into_iter();
         let (newcomers, known): (Vec<_>, Vec<_>) =
             due.partition(|address| self.members.is_newcomer(now, *address));
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -61,7 +61,7 @@
         for id in seeking {
             let job = self.pools.get(target).and_then(|pool| pool.queue.get(id));
             let mut near = owners.iter();
-            let at = near.position(|owner| job.is_some_and(|job| self.may_run_near(job, *owner)));
+            let at = near.position(|owner| job.is_some_and(|job| self.may_run_on(job, *owner)));
             let Some(owner) = at.and_then(|at| owners.remove(at)) else {
                 continue;
             };
--- a/crates/dispatch/src/dispatcher/begin.rs
+++ b/crates/dispatch/src/dispatcher/start.rs
@@ -7,22 +7,22 @@
 use super::Dispatcher;
 use super::Reason;
 use super::Run;
-use super::place::Choice;
+use super::place::Candidate;
 use crate::job;
 use crate::job::Job;
 use crate::lease::Lease;
-use crate::warm;
+use crate::prefix_cache;
 
 /// Starts of one rank that are remembered.
-const STARTS_KEPT: usize = 256;
+const MAX_RECENT_STARTS: usize = 256;
 
 /// Weight of one prompt in the share of those that were seen before.
-const NEWEST: f64 = 0.02;
+const PROMPT_WEIGHT: f64 = 0.02;
 
 impl Dispatcher {
     /// Gives a request an endpoint that was chosen here.
-    pub(super) fn start(&mut self, now: Time, id: job::Id, job: Job, choice: Choice) {
-        let oldest = self.oldest_word(now);
+    pub(super) fn start(&mut self, now: Time, id: job::Id, job: Job, choice: Candidate) {
+        let oldest = self.oldest_status_age(now);
         let Some(pool) = self.pools.get(&job.target) else {
             return;
         };
@@ -30,9 +30,9 @@
         let reason = Reason {
             waited: now.since(job.arrived),
             running: worker.running,
-            others: worker.others,
+            others: worker.remote_running,
             uncached: choice.uncached,
-            unread: worker.pending + worker.others_pending,
+            unread: worker.pending + worker.remote_pending,
             pace: worker.pace,
             oldest,
         };
@@ -61,10 +61,10 @@
         let worker = &mut pool.workers[at];
         let starts = pool.starts.entry(job.rank).or_default();
         starts.push_back(now);
-        if starts.len() > STARTS_KEPT {
+        if starts.len() > MAX_RECENT_STARTS {
             starts.pop_front();
         }
-        let ahead = worker.pending + worker.others_pending;
+        let ahead = worker.pending + worker.remote_pending;
         let queued = worker.busy() >= worker.endpoint.slots;
         worker.start(now, reason.uncached);
         if job.origin.is_none() && worker.is_in_doubt(now) {
@@ -79,10 +79,10 @@
         let endpoint = worker.endpoint.clone();
         let number = worker.number;
         job.history.tried.push(number);
-        let chain = warm::chain(&job.prompt.parts);
-        let seen = f64::from(u8::from(pool.warm.knows(&chain)));
-        pool.recurring += (seen - pool.recurring) * NEWEST;
-        pool.warm.add(now, &chain, number);
+        let chain = prefix_cache::chain(&job.prompt.parts);
+        let seen = f64::from(u8::from(pool.prefix_cache.contains(&chain)));
+        pool.repeat_ratio += (seen - pool.repeat_ratio) * PROMPT_WEIGHT;
+        pool.prefix_cache.record(now, &chain, number);
         let origin = job.origin;
         let run = Run {
             worker: at,
@@ -113,7 +113,7 @@
         }
     }
 
-    fn oldest_word(&self, now: Time) -> Span {
+    fn oldest_status_age(&self, now: Time) -> Span {
         let heard = self
             .members
             .fresh(now)
--- a/crates/dispatch/src/dispatcher/start_cold.rs
+++ b/crates/dispatch/src/dispatcher/start_cold.rs
@@ -24,7 +24,7 @@
         let Some(limit) = worker.rate_limit.limit_opt() else {
             return slots;
         };
-        let at_once = limit.per_second() * Span(self.call as u64).as_secs_f64();
+        let at_once = limit.per_second() * Span(self.call_us as u64).as_secs_f64();
         slots.min(at_once.ceil() as u32)
     }
 }
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -170,7 +170,7 @@
         });
         // Others are to know before the request comes to them.
         self.urgent = true;
-        self.news = true;
+        self.has_news = true;
         if barred {
             self.refuse_barred(now, fingerprint);
         }
@@ -206,7 +206,7 @@
         if job.trial || !self.is_barred(now, job.fingerprint) {
             return None;
         }
-        if !job.is_newcomer() || !self.may_try(now, job.fingerprint) {
+        if !job.is_untried() || !self.may_try(now, job.fingerprint) {
             return Some(self.barred(now, job.fingerprint));
         }
         job.trial = true;
@@ -219,7 +219,7 @@
             barred: true,
         });
         self.urgent = true;
-        self.news = true;
+        self.has_news = true;
         None
     }
 
--- a/crates/dispatch/src/dispatcher/take_notice.rs
+++ b/crates/dispatch/src/dispatcher/take_notice.rs
@@ -49,7 +49,7 @@
         let number = worker.number;
         let new = self.leaving_endpoints.insert(number);
         self.urgent |= new;
-        self.news |= new;
+        self.has_news |= new;
         new.then_some(Change::Leaving)
     }
 
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -13,32 +13,32 @@
 use crate::worker::Worker;
 
 /// Time between two arrangements of cells.
-const ARRANGE_EVERY: Span = Span::from_millis(200);
+const ARRANGE_INTERVAL: Span = Span::from_millis(200);
 
 /// Pause between two ticks after which the process is taken to have been
 /// stopped in between, so that nothing that others said holds any more.
-const PAUSE: Span = Span::from_millis(1_500);
+const MIN_PROCESS_PAUSE: Span = Span::from_millis(1_500);
 
 /// What a request may expect of the endpoints of its service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Prospect {
+enum Availability {
     /// One is neither leaving nor evacuated.
     Live,
     /// Some are listed, and leave.
     Leaving,
     /// None is listed, or all are evacuated.
-    Nothing,
+    Unavailable,
 }
 
 impl Dispatcher {
     /// Refuses what ran out of time, forgets what is old and gives free
     /// endpoints work. True where this process seems to have been paused.
     pub fn tick(&mut self, now: Time) -> bool {
-        let paused = self.ticked > Time(0) && now.since(self.ticked) > PAUSE;
+        let paused = self.ticked_at > Time(0) && now.since(self.ticked_at) > MIN_PROCESS_PAUSE;
         if paused {
             self.members.forget_statuses();
         }
-        self.ticked = now;
+        self.ticked_at = now;
         self.accounts.begin(now);
         self.members.forget(now);
         self.quarantine.forget(now);
@@ -64,10 +64,10 @@
     /// Arranges cells anew, now and then, and looks who owns what: nodes and endpoints
     /// come and go.
     fn arrange(&mut self, now: Time) {
-        if now.since(self.arranged) < ARRANGE_EVERY {
+        if now.since(self.arranged_at) < ARRANGE_INTERVAL {
             return;
         }
-        self.arranged = now;
+        self.arranged_at = now;
         let before = (self.members.cell(), self.members.cells());
         self.members.arrange(now);
         if (self.members.cell(), self.members.cells()) != before {
@@ -81,7 +81,7 @@
         let least = self.options.policy.least_left;
         while let Some(pool) = self.pools.get_mut(target) {
             // What could not bring anything any more in time is not begun.
-            let answer = pool.usual_answer();
+            let answer = pool.typical_response_time();
             let Some(id) = pool.queue.expired_opt(now + least.max(answer)) else {
                 return;
             };
@@ -113,10 +113,10 @@
         let closed_for = pool.open_at.map_or(Span::ZERO, |at| now.since(at));
         let hopeless = pool.queue.iter().filter(|(_, job)| {
             let waited = now.since(job.arrived) > job.objective;
-            match self.prospect(pool, job) {
-                Prospect::Live => false,
-                Prospect::Leaving => true,
-                Prospect::Nothing => waited,
+            match self.availability(pool, job) {
+                Availability::Live => false,
+                Availability::Leaving => true,
+                Availability::Unavailable => waited,
             }
         });
         let hopeless: Vec<job::Id> = hopeless.map(|(id, _)| id).collect();
@@ -148,19 +148,19 @@
     }
 
     /// What a request may expect of the endpoints where it may run.
-    fn prospect(&self, pool: &Pool, job: &Job) -> Prospect {
+    fn availability(&self, pool: &Pool, job: &Job) -> Availability {
         let workers = pool.workers.iter();
         let mut near = workers.filter(|worker| worker.listed && self.may_run_at(job, worker));
-        let mut prospect = Prospect::Nothing;
+        let mut availability = Availability::Unavailable;
         let live = near.any(|worker| {
             if worker.is_leaving() {
-                prospect = Prospect::Leaving;
+                availability = Availability::Leaving;
             }
             !worker.is_leaving() && !worker.evacuated
         });
         match live {
-            true => Prospect::Live,
-            false => prospect,
+            true => Availability::Live,
+            false => availability,
         }
     }
 }
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -102,13 +102,13 @@
 impl Job {
     /// True until it was offered to an endpoint: only then may it be refused at
     /// the door.
-    pub fn is_newcomer(&self) -> bool {
+    pub fn is_untried(&self) -> bool {
         self.history == History::default()
     }
 
     /// True where its caller comes back: refusing it once more would be the end
     /// of it.
-    pub fn is_returning(&self) -> bool {
+    pub fn is_caller_retry(&self) -> bool {
         self.first_try < self.arrived
     }
 
@@ -118,12 +118,12 @@
     }
 
     /// Until when its answer, or its first event, is in time.
-    pub fn in_time_until(&self) -> Time {
+    pub fn objective_deadline(&self) -> Time {
         self.first_try + self.objective
     }
 
     /// When it is of no use to its caller any more if nothing has come.
-    pub fn latest(&self) -> Time {
+    pub fn expires_at(&self) -> Time {
         self.deadline.min(self.arrived + self.patience)
     }
 }
@@ -136,11 +136,11 @@
     /// Endpoints that at least a byte of it was sent to.
     pub sent: u32,
     /// Attempts at connecting that failed.
-    pub unsent: u32,
+    pub connect_failures: u32,
     /// True once an endpoint may have run it.
     pub may_have_run: bool,
     /// True once it was sent and its connection broke.
-    pub broke: bool,
+    pub connection_broke: bool,
 }
 
 /// How one attempt at running a request ended.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -19,7 +19,7 @@
 //! * [`cold`]: endpoints that bear little, as they have just started.
 //! * [`worker`]: what was learnt of one endpoint.
 //! * [`turnaround`]: how long slots stand idle between two requests.
-//! * [`warm`]: which endpoint has read which prompt.
+//! * [`prefix_cache`]: which endpoint has read which prompt.
 //! * [`first_try`]: who has tried before.
 //! * [`job`]: one request, from arrival to its final answer.
 //! * [`lease`]: slots that one node gives another.
@@ -54,6 +54,7 @@
 pub mod message;
 pub mod notice;
 pub mod parts;
+pub mod prefix_cache;
 pub mod protocol;
 pub mod quarantine;
 pub mod queue;
@@ -65,6 +66,5 @@
 pub mod section;
 pub mod table;
 pub mod turnaround;
-pub mod warm;
 pub mod wire;
 pub mod worker;
--- a/crates/dispatch/src/warm.rs
+++ b/crates/dispatch/src/prefix_cache.rs
@@ -18,30 +18,30 @@
     /// Prompts remembered.
     pub limit: usize,
     /// How long a hint is believed.
-    pub keep: Span,
+    pub ttl: Span,
 }
 
 impl Default for Options {
     fn default() -> Options {
         Options {
             limit: 20_000,
-            keep: Span::from_secs(60),
+            ttl: Span::from_secs(60),
         }
     }
 }
 
 /// Endpoints kept for one prompt.
-const PLACES: usize = 4;
+const ENDPOINTS_PER_PROMPT: usize = 4;
 
 #[derive(Debug, Default)]
 struct Hint {
-    places: Vec<(u32, Time)>,
-    used: Time,
+    endpoints: Vec<(u32, Time)>,
+    last_used: Time,
 }
 
 /// Hints, bounded in number; those unused for longest go first.
 #[derive(Debug)]
-pub struct Warm {
+pub struct PrefixCache {
     options: Options,
     hints: HashMap<u64, Hint>,
     order: VecDeque<(u64, Time)>,
@@ -59,10 +59,10 @@
     links.collect()
 }
 
-impl Warm {
+impl PrefixCache {
     /// No hints.
-    pub fn new(options: Options) -> Warm {
-        Warm {
+    pub fn new(options: Options) -> PrefixCache {
+        PrefixCache {
             options,
             hints: HashMap::new(),
             order: VecDeque::new(),
@@ -70,40 +70,44 @@
     }
 
     /// Notes that an endpoint read a prompt.
-    pub fn add(&mut self, now: Time, chain: &[(u64, u64)], endpoint: u32) {
+    pub fn record(&mut self, now: Time, chain: &[(u64, u64)], endpoint: u32) {
         for (key, _) in chain {
             let hint = self.hints.entry(*key).or_default();
-            hint.used = now;
-            hint.places.retain(|(place, _)| *place != endpoint);
-            hint.places.insert(0, (endpoint, now));
-            hint.places.truncate(PLACES);
+            hint.last_used = now;
+            hint.endpoints.retain(|(known, _)| *known != endpoint);
+            hint.endpoints.insert(0, (endpoint, now));
+            hint.endpoints.truncate(ENDPOINTS_PER_PROMPT);
             self.order.push_back((*key, now));
         }
         while self.hints.len() > self.options.limit || self.order.len() > self.options.limit * 4 {
-            let Some((key, used)) = self.order.pop_front() else {
+            let Some((key, last_used)) = self.order.pop_front() else {
                 return;
             };
-            if self.hints.get(&key).is_some_and(|hint| hint.used == used) {
+            if self
+                .hints
+                .get(&key)
+                .is_some_and(|hint| hint.last_used == last_used)
+            {
                 self.hints.remove(&key);
             }
         }
     }
 
     /// Drops all hints of an endpoint that is gone.
-    pub fn forget(&mut self, endpoint: u32) {
+    pub fn remove_endpoint(&mut self, endpoint: u32) {
         for hint in self.hints.values_mut() {
-            hint.places.retain(|(place, _)| *place != endpoint);
+            hint.endpoints.retain(|(known, _)| *known != endpoint);
         }
     }
 
     /// Tokens of a prompt that an endpoint is believed to hold.
-    pub fn cached(&self, now: Time, chain: &[(u64, u64)], endpoint: u32) -> u64 {
-        let keep = self.options.keep;
+    pub fn cached_tokens(&self, now: Time, chain: &[(u64, u64)], endpoint: u32) -> u64 {
+        let ttl = self.options.ttl;
         let holds = |key: &u64| {
-            let places = self.hints.get(key).map(|hint| &hint.places);
-            places.is_some_and(|places| {
-                let mut places = places.iter();
-                places.any(|(place, at)| *place == endpoint && now.since(*at) <= keep)
+            let endpoints = self.hints.get(key).map(|hint| &hint.endpoints);
+            endpoints.is_some_and(|endpoints| {
+                let mut endpoints = endpoints.iter();
+                endpoints.any(|(known, at)| *known == endpoint && now.since(*at) <= ttl)
             })
         };
         let held = chain.iter().take_while(|(key, _)| holds(key));
@@ -111,7 +115,7 @@
     }
 
     /// True where the whole prompt was read before, wherever that was.
-    pub fn knows(&self, chain: &[(u64, u64)]) -> bool {
+    pub fn contains(&self, chain: &[(u64, u64)]) -> bool {
         chain
             .last()
             .is_some_and(|(key, _)| self.hints.contains_key(key))
--- a/crates/dispatch/src/quarantine/registry.rs
+++ b/crates/dispatch/src/quarantine/registry.rs
@@ -209,7 +209,8 @@
     /// is not.
     pub fn trial_after_opt(&self, record: &Record) -> Option<Span> {
         if record.was_sound() {
-            let doubled = self.options.sound_trial_after.0 << record.trials.min(DOUBLINGS_MOST);
+            let doubled =
+                self.options.sound_trial_after.0 << record.trials.min(MAX_BACKOFF_DOUBLINGS);
             return Some(Span(doubled));
         }
         (record.trials < self.options.trials).then_some(self.options.trial_after)
@@ -269,4 +270,4 @@
 }
 
 /// How often the time until the next trial doubles: up to 17 minutes from a second.
-const DOUBLINGS_MOST: u8 = 10;
+const MAX_BACKOFF_DOUBLINGS: u8 = 10;
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -13,15 +13,15 @@
 
 /// The place of a request in line: by rank, those that can be in time before
 /// those that cannot, and then by the caller's first try.
-type Place = (Rank, bool, Time, job::Id);
+type Position = (Rank, bool, Time, job::Id);
 
 /// The requests that wait for one service.
 #[derive(Debug, Default)]
 pub struct Queue {
-    line: BTreeMap<Place, Job>,
-    places: HashMap<job::Id, Place>,
-    latest: BTreeSet<(Time, job::Id)>,
-    in_time: BTreeSet<(Time, job::Id)>,
+    jobs: BTreeMap<Position, Job>,
+    positions: HashMap<job::Id, Position>,
+    expiries: BTreeSet<(Time, job::Id)>,
+    objectives: BTreeSet<(Time, job::Id)>,
     counts: BTreeMap<Rank, usize>,
     /// Since when something has waited in each rank without a gap.
     busy_since: BTreeMap<Rank, Time>,
@@ -31,29 +31,29 @@
     /// Puts a request in line. Those that were refused before go first among what
     /// is as late in their rank, since for them another refusal would be the last.
     pub fn push(&mut self, now: Time, id: job::Id, job: Job) {
-        let place = (job.rank, false, job.first_try, id);
-        self.places.insert(id, place);
-        self.in_time.insert((job.in_time_until(), id));
-        self.latest.insert((job.latest(), id));
+        let position = (job.rank, false, job.first_try, id);
+        self.positions.insert(id, position);
+        self.objectives.insert((job.objective_deadline(), id));
+        self.expiries.insert((job.expires_at(), id));
         let count = self.counts.entry(job.rank).or_default();
         if *count == 0 {
             self.busy_since.insert(job.rank, now);
         }
         *count += 1;
-        self.line.insert(place, job);
+        self.jobs.insert(position, job);
     }
 
     /// A request that waits.
     pub fn get(&self, id: job::Id) -> Option<&Job> {
-        self.line.get(self.places.get(&id)?)
+        self.jobs.get(self.positions.get(&id)?)
     }
 
     /// Takes a request out of line.
     pub fn remove(&mut self, id: job::Id) -> Option<Job> {
-        let place = self.places.remove(&id)?;
-        let job = self.line.remove(&place)?;
-        self.latest.remove(&(job.latest(), id));
-        self.in_time.remove(&(job.in_time_until(), id));
+        let position = self.positions.remove(&id)?;
+        let job = self.jobs.remove(&position)?;
+        self.expiries.remove(&(job.expires_at(), id));
+        self.objectives.remove(&(job.objective_deadline(), id));
         if let Some(count) = self.counts.get_mut(&job.rank) {
             *count -= 1;
         }
@@ -63,33 +63,33 @@
     /// Puts requests whose objective has passed behind those of their rank that
     /// can still be in time.
     pub fn demote_late(&mut self, now: Time) {
-        while let Some((objective, id)) = self.in_time.first().copied() {
+        while let Some((objective, id)) = self.objectives.first().copied() {
             if objective > now {
                 return;
             }
-            self.in_time.remove(&(objective, id));
-            let Some(place) = self.places.get_mut(&id) else {
+            self.objectives.remove(&(objective, id));
+            let Some(position) = self.positions.get_mut(&id) else {
                 continue;
             };
-            let Some(job) = self.line.remove(place) else {
+            let Some(job) = self.jobs.remove(position) else {
                 continue;
             };
-            place.1 = true;
-            self.line.insert(*place, job);
+            position.1 = true;
+            self.jobs.insert(*position, job);
         }
     }
 
     /// A request that is of no use to its caller any more after `now`.
     pub fn expired_opt(&self, now: Time) -> Option<job::Id> {
-        let (latest, id) = self.latest.first()?;
-        (*latest <= now).then_some(*id)
+        let (expiries, id) = self.expiries.first()?;
+        (*expiries <= now).then_some(*id)
     }
 
     /// When the first that waits in a rank arrived.
     pub fn first_arrival_opt(&self, rank: Rank) -> Option<Time> {
         let from = (rank, false, Time(0), job::Id(0));
-        let (place, job) = self.line.range(from..).next()?;
-        (place.0 == rank).then_some(job.arrived)
+        let (position, job) = self.jobs.range(from..).next()?;
+        (position.0 == rank).then_some(job.arrived)
     }
 
     /// Since when something has waited in a rank without a gap, if anything does.
@@ -105,7 +105,7 @@
 
     /// What waits, in its order.
     pub fn iter(&self) -> impl Iterator<Item = (job::Id, &Job)> + '_ {
-        self.line.iter().map(|((_, _, _, id), job)| (*id, job))
+        self.jobs.iter().map(|((_, _, _, id), job)| (*id, job))
     }
 
     /// How many wait in each rank.
@@ -116,11 +116,11 @@
 
     /// Requests that wait.
     pub fn len(&self) -> usize {
-        self.line.len()
+        self.jobs.len()
     }
 
     /// True when nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.line.is_empty()
+        self.jobs.is_empty()
     }
 }
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/rest.rs
@@ -28,7 +28,7 @@
 const DOUBTED_FOR: Span = Span::from_secs(4);
 
 /// How often both double at the most.
-const DOUBLINGS_MOST: u32 = 4;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// The part of a rest over which nodes that rest until the same moment come back, and the
 /// longest time that this takes.
@@ -146,5 +146,5 @@
 }
 
 fn doubled(span: Span, times: u32) -> Span {
-    Span(span.0 << times.min(DOUBLINGS_MOST))
+    Span(span.0 << times.min(MAX_BACKOFF_DOUBLINGS))
 }
--- a/crates/dispatch/src/turnaround.rs
+++ b/crates/dispatch/src/turnaround.rs
@@ -16,12 +16,12 @@
 
 /// Weight of one call in what is usual: some thirty calls, a tenth of a second of a
 /// service under load.
-const NEWEST: f64 = 0.03;
+const SAMPLE_WEIGHT: f64 = 0.03;
 
 /// The most that an endpoint is given beyond its slots, as a part of them. What waits
 /// there cannot be put in another order any more, and where the estimate is wrong
 /// (calls that end on a node that is slow to report) this much waits.
-const BEYOND_MOST: f64 = 0.5;
+const MAX_OVERCOMMIT_RATIO: f64 = 0.5;
 
 /// The usual times of calls in slots of one service that other nodes use.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -42,17 +42,17 @@
             self.held = held;
             self.used = used;
         }
-        self.held += (held - self.held) * NEWEST;
-        self.used += (used - self.used) * NEWEST;
+        self.held += (held - self.held) * SAMPLE_WEIGHT;
+        self.used += (used - self.used) * SAMPLE_WEIGHT;
     }
 
     /// Requests beyond its slots that an endpoint is given to keep it busy; none
     /// until calls were seen.
-    pub fn beyond(&self, slots: u32) -> u32 {
+    pub fn overcommit(&self, slots: u32) -> u32 {
         if self.used <= 0.0 {
             return 0;
         }
-        let idle = (self.held / self.used - 1.0).clamp(0.0, BEYOND_MOST);
+        let idle = (self.held / self.used - 1.0).clamp(0.0, MAX_OVERCOMMIT_RATIO);
         (f64::from(slots) * idle).round() as u32
     }
 }
--- a/crates/dispatch/tests/dispatch/duration.rs
+++ b/crates/dispatch/tests/dispatch/duration.rs
@@ -17,10 +17,10 @@
             for millis in seen {
                 durations.learn("route", Span::from_millis(millis));
             }
-            let found = durations.most_opt("route").expect("it was seen");
+            let found = durations.upper_bound_opt("route").expect("it was seen");
             assert!(found >= Span::from_millis(least), "{found:?}");
             assert!(found <= Span::from_millis(most), "{found:?}");
-            assert_eq!(durations.most_opt("other"), None);
+            assert_eq!(durations.upper_bound_opt("other"), None);
         }
     };
 }
@@ -38,6 +38,6 @@
     for route in 0..10_000 {
         durations.learn(&route.to_string(), Span::from_millis(5));
     }
-    assert_eq!(durations.most_opt("9999"), None);
-    assert!(durations.most_opt("3").is_some());
+    assert_eq!(durations.upper_bound_opt("9999"), None);
+    assert!(durations.upper_bound_opt("3").is_some());
 }
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -25,12 +25,12 @@
 use woadstage_dispatch::message::Frame;
 use woadstage_dispatch::message::Pull;
 use woadstage_dispatch::message::Status;
+use woadstage_dispatch::prefix_cache;
 use woadstage_dispatch::quarantine;
 use woadstage_dispatch::quota;
 use woadstage_dispatch::region;
 use woadstage_dispatch::region::Bound;
 use woadstage_dispatch::region::Regions;
-use woadstage_dispatch::warm;
 use woadstage_dispatch::wire;
 use woadstage_dispatch::worker;
 use woadstage_types::id;
@@ -62,7 +62,7 @@
         seeds: Vec::new(),
         policy: Policy::default(),
         worker: worker::Options::default(),
-        warm: warm::Options::default(),
+        prefix_cache: prefix_cache::Options::default(),
         member: member::Options::default(),
         quota: quota::Options::default(),
         budget: budget::Options {
--- a/crates/dispatch/tests/dispatch/turnaround.rs
+++ b/crates/dispatch/tests/dispatch/turnaround.rs
@@ -12,17 +12,17 @@
 #[case::a_long_call(407, 400, 0)]
 #[case::a_way_longer_than_the_call(60, 15, 3)]
 #[case::used_for_longer_than_held(20, 25, 0)]
-fn as_many_as_the_way_holds(#[case] held: u64, #[case] used: u64, #[case] beyond: u32) {
+fn as_many_as_the_way_holds(#[case] held: u64, #[case] used: u64, #[case] overcommit: u32) {
     let mut turnaround = Turnaround::default();
     for _ in 0..100 {
         turnaround.learn(Span::from_millis(held), Span::from_millis(used));
     }
-    assert_eq!(turnaround.beyond(6), beyond);
+    assert_eq!(turnaround.overcommit(6), overcommit);
 }
 
 #[test]
 fn none_before_a_call_was_seen() {
-    assert_eq!(Turnaround::default().beyond(6), 0);
+    assert_eq!(Turnaround::default().overcommit(6), 0);
 }
 
 /// Calls that wait at the endpoint take longer there: fewer are given then.
@@ -33,7 +33,7 @@
         for _ in 0..200 {
             turnaround.learn(Span::from_millis(held), Span::from_millis(used));
         }
-        turnaround.beyond(6)
+        turnaround.overcommit(6)
     };
     let usual = learn(25, 18);
     let queued = learn(67, 60);
--- a/crates/dispatch/tests/dispatch/worker.rs
+++ b/crates/dispatch/tests/dispatch/worker.rs
@@ -16,7 +16,7 @@
     for (count, pause) in pauses.into_iter().enumerate() {
         worker.learn_step(at(count as u64), pause * 1_000.0);
     }
-    worker.step.expect("pauses were seen") / 1_000.0
+    worker.step_us.expect("pauses were seen") / 1_000.0
 }
 
 fn times(pause: f64, count: usize) -> Vec<f64> {
@@ -49,17 +49,17 @@
     #[case] broken: u32,
     #[case] after: u64,
     #[case] unreachable: bool,
-    #[case] takes_work: bool,
+    #[case] accepts_work: bool,
 ) {
     let options = Options::default();
     let mut worker = Worker::new(Arc::new(endpoint("e", MODEL, 4)));
-    worker.succeed(at(0));
+    worker.record_success(at(0));
     for _ in 0..broken {
-        worker.fail(at(after), unreachable, &options);
+        worker.record_failure(at(after), unreachable, &options);
     }
-    assert_eq!(worker.takes_work(at(after + 1), &options), takes_work);
+    assert_eq!(worker.accepts_work(at(after + 1), &options), accepts_work);
     // One that works ends the row.
-    worker.succeed(at(after + 2));
-    worker.fail(at(after + 3), false, &options);
-    assert_eq!(worker.failures, 0);
+    worker.record_success(at(after + 2));
+    worker.record_failure(at(after + 3), false, &options);
+    assert_eq!(worker.consecutive_failures, 0);
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -135,7 +135,7 @@
         seeds: settings.seeds.clone(),
         policy: settings.policy.clone(),
         worker: Default::default(),
-        warm: Default::default(),
+        prefix_cache: Default::default(),
         member: Default::default(),
         quota: settings.quota.clone(),
         budget: settings.budget.clone(),
--- a/crates/gateway/src/serve/closing.rs
+++ b/crates/gateway/src/serve/closing.rs
@@ -54,7 +54,7 @@
 
 fn decline(shell: &Shell, admitted: &Admitted, ends_at: Time) -> Reply {
     let retry_after = shell.query(|dispatcher, now| {
-        let wait = match dispatcher.are_most_others_serving(now) {
+        let wait = match dispatcher.are_most_peers_serving(now) {
             true => SOON,
             false => ends_at.since(now) + RESTART,
         };
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -130,7 +130,7 @@
             left_ms: self.admitted.deadline.since(self.admitted.arrived).0 / 1_000,
             objective_ms: job.objective.0 / 1_000,
             pause_limit_ms: self.admitted.route.pause.unwrap_or(Span::ZERO).0 / 1_000,
-            returning: job.is_returning(),
+            returning: job.is_caller_retry(),
             prompt: job.prompt.tokens,
             output: job.prompt.output,
             quota: &self.charged.to_string(),
--- a/crates/gateway/tests/gateway/support/gateway.rs
+++ b/crates/gateway/tests/gateway/support/gateway.rs
@@ -242,7 +242,7 @@
         seeds: Vec::new(),
         policy: Policy::default(),
         worker: Default::default(),
-        warm: Default::default(),
+        prefix_cache: Default::default(),
         member: Default::default(),
         quota: Default::default(),
         budget: woadstage_dispatch::budget::Options {
