--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -31,7 +31,7 @@
 impl Dispatcher {
     /// Takes an owner's answer.
     pub fn take_reply(&mut self, now: Time, from: SocketAddrV4, reply: Reply) {
-        let mut questions = self.questions.iter();
+        let mut questions = self.open_requests.iter();
         let found = questions
             .find(|(_, question)| question.number == reply.number && question.owner == from);
         let Some(id) = found.map(|(id, _)| *id) else {
@@ -40,13 +40,13 @@
         };
         match reply.answer {
             Answer::Waiting => {
-                if let Some(question) = self.questions.get_mut(&id) {
+                if let Some(question) = self.open_requests.get_mut(&id) {
                     question.unanswered = 0;
                 }
             }
             Answer::Granted { endpoint, reason } => self.use_slot(now, id, endpoint, reason),
             Answer::Refused(refusal) => {
-                self.questions.remove(&id);
+                self.open_requests.remove(&id);
                 let owner = Some(from);
                 self.refuse(now, id, None, Refusal { owner, ..refusal });
             }
@@ -66,10 +66,10 @@
     }
 
     fn use_slot(&mut self, now: Time, id: job::Id, endpoint: u32, reason: Reason) {
-        let Some(question) = self.questions.remove(&id) else {
+        let Some(question) = self.open_requests.remove(&id) else {
             return;
         };
-        let target = self.places.get(&id).cloned();
+        let target = self.targets.get(&id).cloned();
         let pool = target
             .as_ref()
             .and_then(|target| self.pools.get_mut(target));
@@ -139,11 +139,11 @@
 
     /// Asks elsewhere, or decides here, after an owner had no slot to give.
     fn take_denial(&mut self, now: Time, id: job::Id) {
-        let Some(question) = self.questions.remove(&id) else {
+        let Some(question) = self.open_requests.remove(&id) else {
             return;
         };
         let Some(job) = question.job else {
-            self.denied.insert(question.owner, now);
+            self.spare_denied_at.insert(question.owner, now);
             return;
         };
         let pool = self.pools.get_mut(&job.target);
@@ -164,7 +164,7 @@
     pub fn answer_check(&mut self, from: SocketAddrV4, check: lease::Check) {
         let runs = self.runs.values().filter_map(|run| run.lease);
         let mut leases = runs.map(|lease| (lease.owner, lease.number));
-        let questions = self.questions.values();
+        let questions = self.open_requests.values();
         let mut questions = questions.map(|question| (question.owner, question.number));
         let asked = (from, check.number);
         if leases.any(|lease| lease == asked) || questions.any(|question| question == asked) {
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -90,7 +90,7 @@
                 self.enqueue(now, id, job);
             }
             Arbiter::Other(asked) => {
-                self.places.insert(id, job.target.clone());
+                self.targets.insert(id, job.target.clone());
                 self.ask(now, id, asked, Some(job));
             }
         }
@@ -147,7 +147,7 @@
                 && self.may_run_at(job, worker)
         });
         let usable: Vec<&Worker> = usable.collect();
-        let sure = usable.iter().filter(|worker| !worker.is_in_doubt(now));
+        let sure = usable.iter().filter(|worker| !worker.is_unconfirmed(now));
         let sure: Vec<&Worker> = sure.copied().collect();
         let usable = if sure.is_empty() { usable } else { sure };
         let one_cell = self.members.cell().whole;
@@ -173,7 +173,7 @@
 
     /// Requests of this node that wait for a slot of an endpoint at its owner.
     fn asked_for(&self, worker: &Worker) -> usize {
-        let questions = self.questions.values();
+        let questions = self.open_requests.values();
         questions
             .filter(|question| question.endpoint == Some(worker.number))
             .count()
@@ -207,18 +207,18 @@
             unanswered: 0,
             job,
         };
-        self.questions.insert(id, question);
+        self.open_requests.insert(id, question);
         self.send_question(now, id);
     }
 
     fn send_question(&mut self, now: Time, id: job::Id) {
-        let Some(question) = self.questions.get_mut(&id) else {
+        let Some(question) = self.open_requests.get_mut(&id) else {
             return;
         };
         question.asked = now;
         question.unanswered += 1;
-        let question = &self.questions[&id];
-        let target = self.places.get(&id);
+        let question = &self.open_requests[&id];
+        let target = self.targets.get(&id);
         let pool = target.and_then(|target| self.pools.get(target));
         let waiting = pool.and_then(|pool| pool.queue.get(id));
         let Some((pool, job)) = pool.zip(question.job.as_ref().or(waiting)) else {
@@ -262,7 +262,7 @@
     /// Repeats questions that were not answered, and turns to other owners where
     /// one does not answer or owns the slots no longer.
     pub(super) fn renew_questions(&mut self, now: Time) {
-        let open: Vec<job::Id> = self.questions.keys().copied().collect();
+        let open: Vec<job::Id> = self.open_requests.keys().copied().collect();
         for id in open {
             self.renew_question(now, id);
         }
@@ -275,7 +275,7 @@
             }
             return;
         }
-        let Some(question) = self.questions.get(&id) else {
+        let Some(question) = self.open_requests.get(&id) else {
             return;
         };
         let since = now.since(question.asked);
@@ -285,7 +285,7 @@
         }
         let Some(job) = &question.job else {
             // A slot to spare is no longer of use after so long.
-            self.denied.insert(question.owner, now);
+            self.spare_denied_at.insert(question.owner, now);
             self.withdraw(id);
             return;
         };
@@ -311,9 +311,9 @@
     /// True where a request waits at the owner of one endpoint that is closed, or rests. In
     /// a fleet of one cell the owner gives it any that is its own.
     fn asks_for_closed(&self, now: Time, id: job::Id) -> bool {
-        let question = self.questions.get(&id).filter(|one| one.job.is_some());
+        let question = self.open_requests.get(&id).filter(|one| one.job.is_some());
         let asked = question.and_then(|question| question.endpoint);
-        let Some((endpoint, target)) = asked.zip(self.places.get(&id)) else {
+        let Some((endpoint, target)) = asked.zip(self.targets.get(&id)) else {
             return false;
         };
         let worker = self.worker_opt(target, endpoint);
@@ -329,10 +329,10 @@
 
     /// True where the node that was asked owns the slots that were asked for.
     fn is_still_owner(&self, now: Time, id: job::Id) -> bool {
-        let Some(question) = self.questions.get(&id) else {
+        let Some(question) = self.open_requests.get(&id) else {
             return false;
         };
-        let target = self.places.get(&id);
+        let target = self.targets.get(&id);
         let pool = target.and_then(|target| self.pools.get(target));
         let Some((pool, job)) = pool.zip(question.job.as_ref()) else {
             return false;
@@ -349,7 +349,7 @@
 
     /// Takes a question back, with its request.
     pub(super) fn withdraw(&mut self, id: job::Id) -> Option<Question> {
-        let question = self.questions.remove(&id)?;
+        let question = self.open_requests.remove(&id)?;
         self.return_slot(question.owner, question.number, End::Abandoned);
         Some(question)
     }
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -81,14 +81,14 @@
         origin: Option<Origin>,
         refusal: Refusal,
     ) {
-        self.places.remove(&id);
+        self.targets.remove(&id);
         match origin {
             None => {
                 self.first_tries.note_refused(now);
                 self.decisions.push(Decision::Refuse { job: id, refusal });
             }
             Some(origin) => {
-                self.remote.remove(&origin);
+                self.remote_requests.remove(&origin);
                 self.reply(origin, Answer::Refused(refusal));
             }
         }
@@ -112,7 +112,7 @@
     pub(super) fn push(&mut self, now: Time, id: job::Id, job: Job) {
         let target = job.target.clone();
         if let Some(pool) = self.pools.get_mut(&target) {
-            self.places.insert(id, target);
+            self.targets.insert(id, target);
             pool.queue.push(now, id, job);
             self.urgent = true;
         }
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -62,7 +62,10 @@
     pub(super) fn hear_rate_limits(&mut self, now: Time, told: &[Told]) {
         for one in told {
             let report = one.to_report(now);
-            let known = self.rate_limits_heard.entry(one.endpoint).or_insert(report);
+            let known = self
+                .received_rate_limits
+                .entry(one.endpoint)
+                .or_insert(report);
             if known.at < report.at {
                 *known = report;
             }
@@ -71,10 +74,10 @@
 
     /// Takes what other nodes told.
     pub(super) fn take_rate_limits_heard(&mut self, now: Time) {
-        if self.rate_limits_heard.is_empty() {
+        if self.received_rate_limits.is_empty() {
             return;
         }
-        let heard = std::mem::take(&mut self.rate_limits_heard);
+        let heard = std::mem::take(&mut self.received_rate_limits);
         let mut changes = Vec::new();
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
             let Some(report) = heard.get(&worker.number) else {
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -53,7 +53,10 @@
             node: from,
             number: request.number,
         };
-        let known = self.remote.get(&origin).map(|remote| remote.incarnation);
+        let known = self
+            .remote_requests
+            .get(&origin)
+            .map(|remote| remote.incarnation);
         match known {
             Some(incarnation) if incarnation == request.incarnation => {
                 self.answer_again(now, origin);
@@ -86,9 +89,9 @@
             self.lend_spare(now, id, job, remote);
             return;
         }
-        self.remote.insert(origin, remote);
+        self.remote_requests.insert(origin, remote);
         self.enqueue(now, id, job);
-        let waits = self.remote.get(&origin);
+        let waits = self.remote_requests.get(&origin);
         if waits.is_some_and(|remote| remote.granted.is_none()) {
             self.reply(origin, Answer::Waiting);
         }
@@ -104,7 +107,7 @@
     }
 
     fn answer_again(&mut self, now: Time, origin: Origin) {
-        let Some(remote) = self.remote.get_mut(&origin) else {
+        let Some(remote) = self.remote_requests.get_mut(&origin) else {
             return;
         };
         remote.heard = now;
@@ -113,7 +116,7 @@
             self.reply(origin, Answer::Granted { endpoint, reason });
             return;
         }
-        let target = self.places.get(&id).cloned();
+        let target = self.targets.get(&id).cloned();
         let pool = target.as_ref().and_then(|target| self.pools.get(target));
         let only = pool.and_then(|pool| pool.queue.get(id)?.only);
         if target.is_some_and(|target| !self.may_lend(now, &target, only)) {
@@ -171,7 +174,7 @@
 
     /// Notes that a request of another node has a slot, and tells it.
     pub(super) fn grant_slot(&mut self, origin: Origin, endpoint: u32, reason: Reason) {
-        if let Some(remote) = self.remote.get_mut(&origin) {
+        if let Some(remote) = self.remote_requests.get_mut(&origin) {
             remote.granted = Some((endpoint, reason));
         }
         self.reply(origin, Answer::Granted { endpoint, reason });
@@ -183,7 +186,7 @@
             node: from,
             number: report.number,
         };
-        let Some(remote) = self.remote.get_mut(&origin) else {
+        let Some(remote) = self.remote_requests.get_mut(&origin) else {
             return;
         };
         remote.heard = now;
@@ -204,10 +207,10 @@
 
     /// Frees the slot of another node's request, or takes it out of the queue.
     pub(super) fn end_remote(&mut self, now: Time, origin: Origin, end: job::End, seen: Seen) {
-        let Some(remote) = self.remote.remove(&origin) else {
+        let Some(remote) = self.remote_requests.remove(&origin) else {
             return;
         };
-        let Some(target) = self.places.remove(&remote.id) else {
+        let Some(target) = self.targets.remove(&remote.id) else {
             return;
         };
         self.urgent = true;
@@ -232,7 +235,7 @@
     pub(super) fn check_remote(&mut self, now: Time) {
         let mut lost = Vec::new();
         let mut asked = Vec::new();
-        for (origin, remote) in &mut self.remote {
+        for (origin, remote) in &mut self.remote_requests {
             let silent = now.since(remote.heard);
             let most = match remote.granted {
                 Some(_) => LOST_AFTER,
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -215,7 +215,7 @@
     /// What earlier lists said that an older copy of the platform may not say.
     memory: Memory,
     pools: HashMap<id::Target, Pool>,
-    places: HashMap<job::Id, id::Target>,
+    targets: HashMap<job::Id, id::Target>,
     runs: HashMap<job::Id, Run>,
     members: Members,
     accounts: Accounts,
@@ -223,23 +223,23 @@
     /// Requests under which endpoints ended.
     quarantine: Registry,
     /// What became known of them.
-    changes: Vec<Change>,
+    quarantine_changes: Vec<Change>,
     /// Endpoints that said in answers that they leave.
     leaving_endpoints: leaving::Registry,
     /// What is believed of endpoints otherwise than before, by no answer to this node.
-    updates: Vec<notice::Update>,
+    endpoint_updates: Vec<notice::Update>,
     durations: Durations,
     first_tries: first_try::Histogram,
     /// Requests of this node for which others were asked for a slot.
-    questions: HashMap<job::Id, Question>,
+    open_requests: HashMap<job::Id, Question>,
     /// Requests of other nodes that wait or run in slots of this node's.
-    remote: HashMap<Origin, Remote>,
+    remote_requests: HashMap<Origin, Remote>,
     /// What others told of endpoints' rate limits since the last tick.
-    rate_limits_heard: HashMap<u32, rate_limit::Report>,
+    received_rate_limits: HashMap<u32, rate_limit::Report>,
     /// Until when endpoints rest for other nodes, as heard since the last tick.
-    rests_heard: HashMap<u32, Time>,
+    received_rests: HashMap<u32, Time>,
     /// When the owners of other cells last had no slot to spare.
-    denied: HashMap<SocketAddrV4, Time>,
+    spare_denied_at: HashMap<SocketAddrV4, Time>,
     /// Messages that are to be sent.
     outbox: Vec<(SocketAddrV4, Message)>,
     next_job: u64,
@@ -247,7 +247,7 @@
     next_reserve: u64,
     sequence: u64,
     leaving: bool,
-    cut_off: bool,
+    is_partitioned: bool,
     urgent: bool,
     /// True while documents have come into force of which nobody was told.
     has_news: bool,
@@ -269,9 +269,9 @@
             accounts: Accounts::new(options.quota.clone()),
             budget: Budget::new(options.budget.clone()),
             quarantine: Registry::new(options.quarantine.clone()),
-            changes: Vec::new(),
+            quarantine_changes: Vec::new(),
             leaving_endpoints: leaving::Registry::default(),
-            updates: Vec::new(),
+            endpoint_updates: Vec::new(),
             durations: Durations::default(),
             first_tries: first_try::Histogram::default(),
             options,
@@ -282,20 +282,20 @@
             uncorrected: None,
             memory: Memory::default(),
             pools: HashMap::new(),
-            places: HashMap::new(),
+            targets: HashMap::new(),
             runs: HashMap::new(),
-            questions: HashMap::new(),
-            remote: HashMap::new(),
-            rate_limits_heard: HashMap::new(),
-            rests_heard: HashMap::new(),
-            denied: HashMap::new(),
+            open_requests: HashMap::new(),
+            remote_requests: HashMap::new(),
+            received_rate_limits: HashMap::new(),
+            received_rests: HashMap::new(),
+            spare_denied_at: HashMap::new(),
             outbox: Vec::new(),
             next_job: 0,
             next_question: 0,
             next_reserve: 0,
             sequence: 0,
             leaving: false,
-            cut_off: false,
+            is_partitioned: false,
             urgent: false,
             has_news: false,
             ticked_at: Time(0),
@@ -312,7 +312,7 @@
     /// Takes what is believed of endpoints otherwise than at the last call, but for what
     /// answers to this node's requests brought.
     pub fn take_updates(&mut self) -> Vec<notice::Update> {
-        std::mem::take(&mut self.updates)
+        std::mem::take(&mut self.endpoint_updates)
     }
 
     /// Takes the messages that are to be sent since the last call.
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -122,7 +122,7 @@
         match next {
             Next::Again => self.submit(now, id, job),
             _ => {
-                self.places.remove(&id);
+                self.targets.remove(&id);
             }
         }
         self.place(now, &target);
@@ -158,7 +158,7 @@
             self.end(now, id, End::Abandoned);
             return;
         }
-        let Some(target) = self.places.remove(&id) else {
+        let Some(target) = self.targets.remove(&id) else {
             return;
         };
         self.withdraw(id);
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -264,7 +264,8 @@
                 if gone(at, &worker) {
                     pool.prefix_cache.remove_endpoint(worker.number);
                     if worker.leaving {
-                        self.updates.push(Update::new(&worker, Change::Left));
+                        self.endpoint_updates
+                            .push(Update::new(&worker, Change::Left));
                     }
                 } else {
                     moved.insert(at, kept.len());
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -181,12 +181,14 @@
 
     /// Requests of this node's callers that wait or run.
     pub fn held(&self) -> usize {
-        self.places.len().saturating_sub(self.remote.len())
+        self.targets
+            .len()
+            .saturating_sub(self.remote_requests.len())
     }
 
     /// Requests of other nodes that wait or run in slots of this node's.
     pub fn held_for_others(&self) -> usize {
-        self.remote.len()
+        self.remote_requests.len()
     }
 
     /// Connections at rest that this node may keep to one endpoint of a service, without
--- a/crates/dispatch/src/dispatcher/rejection.rs
+++ b/crates/dispatch/src/dispatcher/rejection.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Preference {
     /// It is time to see whether the endpoint takes requests again.
-    Trial,
+    Probe,
     /// Nothing speaks against it.
     Normal,
     /// It may turn the request away.
@@ -39,14 +39,14 @@
 impl Dispatcher {
     /// What it would mean for a request to be turned away now.
     pub(super) fn risk(&self, now: Time, pool: &Pool, job: &Job) -> Risk {
-        if !pool.workers.iter().any(|worker| worker.is_in_doubt(now)) {
+        if !pool.workers.iter().any(|worker| worker.is_unconfirmed(now)) {
             return Risk::Retried;
         }
         // Each trial under way may need a repeat as well.
         let repeats = self.budget.left(now, &job.target, self.budget_nodes(now));
-        let on_trial = |worker: &&Worker| worker.rest.is_on_trial();
-        let trials = pool.workers.iter().filter(on_trial).count();
-        if job.has_spare_attempt() && repeats > trials as u64 {
+        let probing = |worker: &&Worker| worker.rest.is_on_trial();
+        let probes = pool.workers.iter().filter(probing).count();
+        if job.has_spare_attempt() && repeats > probes as u64 {
             return Risk::Retried;
         }
         match now.since(job.arrived).0 * OBJECTIVE_DIVISOR >= job.objective.0 {
@@ -64,7 +64,7 @@
         job: &Job,
         worker: &Worker,
     ) -> Option<Preference> {
-        if !worker.is_in_doubt(now) {
+        if !worker.is_unconfirmed(now) {
             return Some(Preference::Normal);
         }
         if job.origin.is_some() {
@@ -75,7 +75,7 @@
         }
         match self {
             Risk::RefusedEarly => None,
-            Risk::Retried if worker.rest.is_trial_due(now) => Some(Preference::Trial),
+            Risk::Retried if worker.rest.is_trial_due(now) => Some(Preference::Probe),
             Risk::Retried | Risk::Refused => Some(Preference::LastResort),
         }
     }
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -156,7 +156,7 @@
             endpoints: self.list.edition(),
             data_centre: endpoint::number_of(self.options.data_centre.as_str()),
             leaving: self.leaving,
-            cut_off: self.cut_off,
+            cut_off: self.is_partitioned,
             loads: self.loads(now),
             waiting: self.waiting(),
             usage: self.accounts.usage(now, USAGE_MOST),
@@ -320,8 +320,8 @@
 
     /// Tells the others whether this node can read the platform.
     pub fn set_cut_off(&mut self, cut_off: bool) {
-        self.urgent |= self.cut_off != cut_off;
-        self.cut_off = cut_off;
+        self.urgent |= self.is_partitioned != cut_off;
+        self.is_partitioned = cut_off;
     }
 
     /// Tells the others from now on that this node is stopping.
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -35,28 +35,29 @@
         if self.members.cell().whole || pool.shared || pool.queue.is_empty() {
             return;
         }
-        let questions = self.questions.iter();
-        let open = questions
-            .filter(|(id, question)| question.job.is_none() && self.places.get(id) == Some(target));
+        let questions = self.open_requests.iter();
+        let open = questions.filter(|(id, question)| {
+            question.job.is_none() && self.targets.get(id) == Some(target)
+        });
         let most = SPARE_MOST.saturating_sub(open.count());
         let without = pool.usable(now, &self.options.worker) == 0;
         let own_cell_for = self.options.policy.own_cell_for;
         let waiting = pool.queue.iter().take(self.options.policy.look_ahead);
         let seeking = waiting.filter(|(id, job)| {
             let waited = without || now.since(job.arrived) >= own_cell_for;
-            waited && !self.questions.contains_key(id)
+            waited && !self.open_requests.contains_key(id)
         });
         let seeking: Vec<job::Id> = seeking.map(|(id, _)| id).take(most).collect();
         if seeking.is_empty() {
             return;
         }
         let key = u64::from(pool.number);
-        self.denied
+        self.spare_denied_at
             .retain(|_, denied| now.since(*denied) < DENIED_FOR);
         let owners = self.members.other_owners(now, key, self.next_question);
         let owners = owners.into_iter();
         let mut owners: VecDeque<SocketAddrV4> = owners
-            .filter(|owner| !self.denied.contains_key(owner))
+            .filter(|owner| !self.spare_denied_at.contains_key(owner))
             .collect();
         for id in seeking {
             let job = self.pools.get(target).and_then(|pool| pool.queue.get(id));
@@ -86,8 +87,8 @@
             self.reply(origin, Answer::Denied);
             return;
         };
-        self.remote.insert(origin, remote);
-        self.places.insert(id, job.target.clone());
+        self.remote_requests.insert(origin, remote);
+        self.targets.insert(id, job.target.clone());
         self.start(now, id, job, choice);
     }
 
--- a/crates/dispatch/src/dispatcher/start.rs
+++ b/crates/dispatch/src/dispatcher/start.rs
@@ -67,7 +67,7 @@
         let ahead = worker.pending + worker.remote_pending;
         let queued = worker.busy() >= worker.endpoint.slots;
         worker.start(now, reason.uncached);
-        if job.origin.is_none() && worker.is_in_doubt(now) {
+        if job.origin.is_none() && worker.is_unconfirmed(now) {
             worker.rest.start(now);
         }
         if let Some(interval) = interval {
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -107,7 +107,7 @@
 
     /// Takes what became known since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.changes)
+        std::mem::take(&mut self.quarantine_changes)
     }
 
     /// True where a request is not run any more.
@@ -162,7 +162,7 @@
     fn note_change(&mut self, now: Time, fingerprint: Fingerprint, what: Evidence) {
         let barred = self.is_barred(now, fingerprint);
         let record = self.quarantine.get(fingerprint);
-        self.changes.push(Change {
+        self.quarantine_changes.push(Change {
             fingerprint,
             what,
             ends: record.map_or(0, |record| record.ends.len()),
@@ -183,14 +183,14 @@
         let queues = self.pools.values().map(|pool| &pool.queue);
         let waiting = queues.flat_map(|queue| queue.iter());
         let waiting = waiting.filter(|(_, job)| job.origin.is_none() && is_it(job));
-        let asked = self.questions.iter();
+        let asked = self.open_requests.iter();
         let asked = asked.filter(|(_, question)| question.job.as_ref().is_some_and(is_it));
         let ids: Vec<job::Id> = waiting
             .map(|(id, _)| id)
             .chain(asked.map(|(id, _)| *id))
             .collect();
         for id in ids {
-            let target = self.places.get(&id).cloned();
+            let target = self.targets.get(&id).cloned();
             self.withdraw(id);
             if let Some(pool) = target.and_then(|target| self.pools.get_mut(&target)) {
                 pool.queue.remove(id);
@@ -212,7 +212,7 @@
         job.trial = true;
         self.quarantine.note_trial(now, job.fingerprint);
         let record = self.quarantine.get(job.fingerprint);
-        self.changes.push(Change {
+        self.quarantine_changes.push(Change {
             fingerprint: job.fingerprint,
             what: Evidence::Trial,
             ends: record.map_or(0, |record| record.ends.len()),
--- a/crates/dispatch/src/dispatcher/take_notice.rs
+++ b/crates/dispatch/src/dispatcher/take_notice.rs
@@ -60,7 +60,7 @@
                 Fact::Leaving => self.hear_leaving(one.endpoint),
                 Fact::Rest { left_ms } => {
                     let until = now + Span::from_millis(u64::from(left_ms));
-                    let heard = self.rests_heard.entry(one.endpoint).or_default();
+                    let heard = self.received_rests.entry(one.endpoint).or_default();
                     *heard = until.max(*heard);
                 }
             }
@@ -74,7 +74,8 @@
         let workers = self.pools.values_mut().flat_map(|pool| &mut pool.workers);
         for worker in workers.filter(|worker| worker.number == endpoint) {
             worker.leaving = true;
-            self.updates.push(Update::new(worker, Change::Leaving));
+            self.endpoint_updates
+                .push(Update::new(worker, Change::Leaving));
         }
     }
 
@@ -101,13 +102,14 @@
 
     /// Takes what was heard of rests since the last tick, and notes which are over.
     pub(super) fn update_rests(&mut self, now: Time) {
-        let heard = std::mem::take(&mut self.rests_heard);
+        let heard = std::mem::take(&mut self.received_rests);
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
             if let Some(until) = heard.get(&worker.number) {
                 worker.rest.hear(*until);
             }
             if worker.rest.take_end(now) {
-                self.updates.push(Update::new(worker, Change::Rested));
+                self.endpoint_updates
+                    .push(Update::new(worker, Change::Rested));
             }
         }
     }
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -322,7 +322,7 @@
 
     /// True while it may turn away what is sent there: it did so lately, here or at another
     /// node, and no call of this node worked since.
-    pub fn is_in_doubt(&self, now: Time) -> bool {
+    pub fn is_unconfirmed(&self, now: Time) -> bool {
         let proved = self
             .last_success
             .is_some_and(|at| now.since(at) < SUCCESS_VALID_FOR);
