--- a/crates/dispatch/src/dispatcher/decision.rs
+++ b/crates/dispatch/src/dispatcher/decision.rs
@@ -1,4 +1,4 @@
-//! What is decided of requests.
+//! The decisions about requests.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -11,76 +11,77 @@
 use crate::endpoint::Endpoint;
 use crate::job;
 
-/// What was known when an endpoint was chosen, for logs.
+/// What was known when an endpoint was chosen, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Reason {
     /// How long the request had waited.
     pub waited: Span,
-    /// Requests of ours in progress there before this one.
+    /// Requests of this node already in progress there.
     pub running: u32,
-    /// Requests of others in progress there.
+    /// Requests of other nodes in progress there.
     pub others: u32,
-    /// Prompt tokens that the endpoint is believed to have to read.
+    /// The estimated number of prompt tokens that the endpoint has to read.
     pub uncached: u64,
-    /// Prompt tokens of other requests that it has to read before.
+    /// Prompt tokens of other requests that it has to read first.
     pub unread: u64,
-    /// Its pace.
+    /// The endpoint's [pace](crate::worker::Worker::pace).
     pub pace: f64,
-    /// The age of the oldest word of another node that was used.
+    /// The age of the oldest status of another node that was used.
     pub oldest: Span,
 }
 
-/// What was decided.
+/// A decision about a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// Send the request to the endpoint.
     Start {
         /// The request.
         job: job::Id,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: Arc<Endpoint>,
-        /// Why there.
+        /// What was known when the endpoint was chosen.
         reason: Reason,
-        /// The node that gave the slot, where it was another.
+        /// The node that granted the slot, if not this one.
         owner: Option<SocketAddrV4>,
     },
-    /// The request will not run; tell the caller at once.
+    /// Refuse the request; the caller is told at once.
     Refuse {
         /// The request.
         job: job::Id,
-        /// Why, and when to come back.
+        /// Why, and when the caller should retry.
         refusal: Refusal,
     },
 }
 
-/// What is to happen after an attempt has ended.
+/// What follows the end of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// The request is over.
+    /// The request is finished.
     Over,
-    /// It waits for another endpoint; a decision will come.
+    /// The request waits for another endpoint; a decision follows.
     Again,
-    /// It is not sent again, for this cause.
+    /// The request is not sent again, for this cause.
     Final(Cause),
 }
 
 /// Why a request is not sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// It may have run and must not run twice.
+    /// It may have run and is not safe to run twice.
     MayHaveRun,
     /// It was sent to as many endpoints as its route allows.
     Attempts,
-    /// The fleet has used up what may be sent again.
+    /// The fleet-wide retry budget is used up.
     Budget,
-    /// Too little time is left.
+    /// Too little time is left before its deadline.
     Time,
-    /// Endpoints ended under it: one more is not risked for the same attempt.
+    /// It is suspected of crashing endpoints, and another endpoint is not risked for the same
+    /// attempt.
     Suspect,
 }
 
 impl Cause {
-    /// The word for logs and metrics.
+    /// The name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::MayHaveRun => "may-have-run",
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -1,9 +1,9 @@
-//! Requests that may not run in the data centre of the node to which they came, since
-//! it is evacuated, since they are bound to other regions, or since all endpoints there
-//! leave: they wait in the queues of other cells.
+//! Places displaced requests, which may not run in the data centre of the node that received them:
+//! it is evacuated, the request is restricted to other regions, or all endpoints there are leaving.
+//! They wait in the queues of other cells.
 //!
-//! Spare slots alone would not do: those are given only where nothing waits, so
-//! that callers of an evacuated data centre came after all others.
+//! Spare slots are not enough for them. Those are only lent while nothing waits, so callers of an
+//! evacuated data centre would be served after all others.
 
 use std::net::SocketAddrV4;
 
@@ -21,8 +21,8 @@
 use crate::worker::Worker;
 
 impl Dispatcher {
-    /// Marks the endpoints of evacuated data centres. Those of one that is taken
-    /// back are taken to be cold, since operators evacuate what they restart.
+    /// Marks the endpoints of evacuated data centres. When an evacuation ends, the endpoints are
+    /// assumed to be cold because operators evacuate what they restart.
     pub(super) fn note_evacuated(&mut self, now: Time, list: &List) {
         for pool in self.pools.values_mut() {
             let cold_for = pool.cold.map(|cold| cold.lasts).unwrap_or_default();
@@ -36,8 +36,9 @@
         }
     }
 
-    /// True where a request may not run in this node's data centre, or all endpoints of
-    /// its cell leave, so that the cell has no slots for it of a service that is not shared.
+    /// Whether the cell of this node has no slots for a request: the request may not run in this
+    /// data centre, or all endpoints of the cell are leaving. Never the case for a shared service
+    /// or in a fleet of one cell.
     pub(super) fn is_displaced(&self, pool: &Pool, job: &Job) -> bool {
         if self.members.cell().whole || pool.shared {
             return false;
@@ -48,21 +49,20 @@
             || pool.is_cell_leaving()
     }
 
-    /// True where an endpoint is in a region in which a request may run.
+    /// Whether an endpoint is in a region in which a request may run.
     pub(super) fn may_run_at(&self, job: &Job, worker: &Worker) -> bool {
         let centre = &worker.endpoint.data_centre;
         self.options.regions.allows(&job.bound, centre)
     }
 
-    /// True where another node is in a region in which a request may run.
+    /// Whether another node is in a region in which a request may run.
     pub(super) fn may_run_on(&self, job: &Job, node: SocketAddrV4) -> bool {
         let centre = self.members.data_centre_opt(node);
         let allows = |centre| self.options.regions.allows_number(&job.bound, centre);
         job.bound.is_free() || centre.is_some_and(allows)
     }
 
-    /// Puts the requests of this node's callers that wait for slots of a data centre in
-    /// which they may not run in the queues of other cells.
+    /// Moves displaced requests of this node's callers to the queues of other cells.
     pub(super) fn resubmit_displaced(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target) else {
             return;
@@ -83,9 +83,8 @@
         }
     }
 
-    /// The owner of slots in another cell in whose queue a request of a displaced
-    /// cell waits: another for each `turn`, more often the one whose cell has more
-    /// slots.
+    /// Chooses the owner in another cell in whose queue a displaced request waits. The choice
+    /// varies with `turn` and is weighted by the slots of each cell.
     pub(super) fn fallback_owner(&self, now: Time, pool: &Pool, job: &Job, turn: u64) -> Owner {
         let hosts = self.fallback_owners(now, pool, job);
         let all: u64 = hosts.iter().map(|(_, slots)| u64::from(*slots)).sum();
@@ -103,8 +102,8 @@
         Owner::Unheard
     }
 
-    /// Owners of slots in cells of data centres that are not evacuated and where a
-    /// request may run, with the slots that each has.
+    /// Returns the slot owners in data centres that are not evacuated and in which a request may
+    /// run, with the number of slots that each owns.
     pub(super) fn fallback_owners(
         &self,
         now: Time,
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -1,30 +1,30 @@
-//! One node's whole state. Commands take the time; what they decide is handed
-//! over by [`Dispatcher::take_decisions`].
+//! The scheduling state of one node. Each command takes the current time; the resulting decisions
+//! are collected with [`Dispatcher::take_decisions`].
 //!
-//! * `publish.rs`: what the platform published comes into force.
-//! * `reserve.rs`: requests are charged to their customer's quota.
-//! * `enter.rs`: requests come.
-//! * `retry.rs`: when callers that are refused come back.
-//! * `borrow.rs`: slots that other nodes own are asked for.
-//! * `answer.rs`: what becomes of their answers.
-//! * `lend.rs`: slots that this node owns are given to others.
-//! * `spare.rs`: slots that one cell has to spare for another.
-//! * `policy.rs`: bounds and weights.
-//! * `decision.rs`: what is decided.
-//! * `place.rs`: which request goes to which endpoint now.
-//! * `doubt.rs`: endpoints that may turn a request away.
-//! * `begin.rs`: a request is counted in at its endpoint.
-//! * `permit.rs`: who may send a request to an endpoint with a bound over all nodes.
-//! * `start_cold.rs`: endpoints that are cold.
-//! * `keep_rate_limit.rs`: endpoints that name how many requests a second they take.
-//! * `displace.rs`: where requests go that may not run in this data centre.
-//! * `predict.rs`: what is expected of an engine.
-//! * `observe.rs`: calls make progress and end.
-//! * `take_notice.rs`: what endpoints say of themselves in answers.
-//! * `suspect.rs`: requests under which endpoints ended.
-//! * `tick.rs`: what only the passing of time brings about.
-//! * `share.rs`: what nodes tell each other.
-//! * `query.rs`: queries.
+//! * `publish.rs`: applies configurations and endpoint lists from the platform.
+//! * `reserve.rs`: charges requests to their customer's quota.
+//! * `enter.rs`: admits or refuses new requests.
+//! * `retry.rs`: computes when refused callers should retry.
+//! * `borrow.rs`: requests slots that other nodes own.
+//! * `answer.rs`: handles their replies.
+//! * `lend.rs`: grants slots that this node owns to other nodes.
+//! * `spare.rs`: lends a cell's spare slots to other cells.
+//! * `policy.rs`: limits and weights of the scheduling policy.
+//! * `decision.rs`: decision types.
+//! * `place.rs`: assigns waiting requests to endpoints.
+//! * `rejection.rs`: ranks endpoints that may reject a request.
+//! * `start.rs`: records the start of a request at its endpoint.
+//! * `permit.rs`: decides which node may send to an endpoint with a fleet-wide limit.
+//! * `start_cold.rs`: limits the rate of requests to cold endpoints.
+//! * `keep_rate_limit.rs`: enforces the rate limits that endpoints announce.
+//! * `displace.rs`: queues requests in other data centres when they may not run in this one.
+//! * `predict.rs`: forecasts engine performance.
+//! * `observe.rs`: records the progress and the end of attempts.
+//! * `take_notice.rs`: applies what endpoints announce about themselves in answers.
+//! * `suspect.rs`: tracks requests suspected of crashing endpoints.
+//! * `tick.rs`: periodic work.
+//! * `share.rs`: exchanges status with other nodes.
+//! * `query.rs`: read-only queries.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -109,36 +109,36 @@
 pub use suspect::Change;
 pub use suspect::Evidence;
 
-/// What a dispatcher is told at its start.
+/// The settings of a dispatcher.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// This node's address among the nodes.
+    /// The address at which other nodes reach this node.
     pub own: SocketAddrV4,
-    /// This life of the node; must never be used twice.
+    /// The incarnation of this node; must be unique for each start.
     pub incarnation: u64,
     /// This node's data centre.
     pub data_centre: id::DataCentre,
-    /// Addresses of some other nodes, perhaps stale.
+    /// The addresses of some other nodes; may be out of date.
     pub seeds: Vec<SocketAddrV4>,
-    /// Bounds of the policy.
+    /// The scheduling policy.
     pub policy: Policy,
-    /// Bounds of what is learnt of endpoints.
+    /// Settings for tracking endpoint state.
     pub worker: worker::Options,
-    /// Bounds of prompt hints.
+    /// Settings of the prefix cache.
     pub prefix_cache: prefix_cache::Options,
-    /// Bounds of membership.
+    /// Settings of cluster membership.
     pub member: member::Options,
     /// How far quotas may be exceeded.
     pub quota: quota::Options,
-    /// What may be sent again.
+    /// The budget for sending requests again.
     pub budget: budget::Options,
-    /// What is not run any more.
+    /// Settings of the quarantine for requests that crash endpoints.
     pub quarantine: quarantine::Options,
     /// The region of each data centre.
     pub regions: region::Map,
 }
 
-/// A request that runs at an endpoint.
+/// A request in progress at an endpoint.
 #[derive(Debug)]
 struct Run {
     job: Job,
@@ -146,61 +146,60 @@
     started: Time,
     uncached: u64,
     ahead: u64,
-    /// True where it was sent beyond the endpoint's slots.
+    /// Whether it was sent while all slots of the endpoint were in use.
     queued: bool,
     first: Option<Time>,
     marked: Time,
     events: u32,
-    /// Events that it has shown.
+    /// Events received so far.
     shown: u32,
-    /// When it last showed an event.
+    /// When the last event was received.
     last: Time,
-    /// The shortest time between two of its events, in microseconds.
+    /// The shortest time between two events, in microseconds.
     step: Option<f64>,
-    /// The slot, where another node gave it.
+    /// The lease, if another node granted the slot.
     lease: Option<Lease>,
-    /// When that node was last told of progress.
+    /// When the granting node was last told of progress.
     reported: Time,
 }
 
-/// What one node knows of one service.
+/// The state that this node keeps for one service.
 #[derive(Debug)]
 struct Pool {
     engine: bool,
-    /// True where it has too few endpoints for each cell to have its own.
+    /// Whether the service has too few endpoints to give each cell its own.
     shared: bool,
     number: u32,
     least_protected: Priority,
-    /// What its endpoints bear while they are cold; none where nothing says so.
+    /// The request rate that its endpoints sustain while cold, if configured.
     cold: Option<cold::Bound>,
     workers: Vec<Worker>,
     index: HashMap<id::Endpoint, usize>,
     queue: Queue,
     prefix_cache: PrefixCache,
-    /// The share of prompts that were seen before, whole.
+    /// The share of prompts that had been seen before in full.
     repeat_ratio: f64,
-    /// When requests of each rank were lately sent.
+    /// When requests of each rank were recently started.
     starts: HashMap<Rank, VecDeque<Time>>,
-    /// Usual time to the first event, in microseconds.
+    /// The typical time to the first event, in microseconds.
     first_event_us: f64,
-    /// The longest pauses between two events, as a multiple of the engine's
-    /// step.
+    /// The length of the longest pauses between two events, as a multiple of the step.
     longest_pause: f64,
-    /// Usual time between two events of a stream, in microseconds.
+    /// The typical time between two events of a stream, in microseconds.
     step_us: f64,
-    /// How long streams are beside what their callers estimate.
+    /// The lengths of streams relative to their callers' estimates.
     lengths: Lengths,
-    /// Usual time for reading one prompt token, in microseconds.
+    /// The typical time to read one prompt token, in microseconds.
     prefill_us: f64,
-    /// Usual time of a whole call, in microseconds.
+    /// The typical duration of a call, in microseconds.
     call_us: f64,
-    /// How long its slots stand idle between calls of other nodes.
+    /// How long its slots stay idle between calls of other nodes.
     turnaround: Turnaround,
-    /// When one of its endpoints was last open; none where none was yet.
+    /// When one of its endpoints was last open, if ever.
     open_at: Option<Time>,
 }
 
-/// One node's decisions.
+/// The scheduler of one node.
 #[derive(Debug)]
 pub struct Dispatcher {
     options: Options,
@@ -208,11 +207,11 @@
     /// Parts of a configuration that is not in force yet.
     received: parts::Received,
     list: Arc<List>,
-    /// The sections of that list.
+    /// The sections of `list`.
     sections: section::Index,
-    /// That list as the platform has it, where more is known of what it says.
+    /// The list as published by the platform, if `list` contains corrections.
     uncorrected: Option<Arc<List>>,
-    /// What earlier lists said that an older copy of the platform may not say.
+    /// Facts from earlier lists that an older copy of the platform's data may lack.
     memory: Memory,
     pools: HashMap<id::Target, Pool>,
     targets: HashMap<job::Id, id::Target>,
@@ -220,27 +219,27 @@
     members: Members,
     accounts: Accounts,
     budget: Budget,
-    /// Requests under which endpoints ended.
+    /// Requests suspected of crashing endpoints.
     quarantine: Registry,
-    /// What became known of them.
+    /// Changes to the quarantine since they were last taken.
     quarantine_changes: Vec<Change>,
-    /// Endpoints that said in answers that they leave.
+    /// Endpoints that announced in an answer that they are leaving.
     leaving_endpoints: leaving::Registry,
-    /// What is believed of endpoints otherwise than before, by no answer to this node.
+    /// Changes in endpoint state that did not come from answers to this node.
     endpoint_updates: Vec<notice::Update>,
     durations: Durations,
     first_tries: first_try::Histogram,
-    /// Requests of this node for which others were asked for a slot.
+    /// Requests of this node for which a slot of another node was requested.
     open_requests: HashMap<job::Id, Question>,
-    /// Requests of other nodes that wait or run in slots of this node's.
+    /// Requests of other nodes that wait for or run in slots of this node.
     remote_requests: HashMap<Origin, Remote>,
-    /// What others told of endpoints' rate limits since the last tick.
+    /// Rate limits that other nodes reported since the last tick.
     received_rate_limits: HashMap<u32, rate_limit::Report>,
-    /// Until when endpoints rest for other nodes, as heard since the last tick.
+    /// When endpoints stop resting for other nodes, as reported since the last tick.
     received_rests: HashMap<u32, Time>,
-    /// When the owners of other cells last had no slot to spare.
+    /// When the owners in other cells last denied a spare slot.
     spare_denied_at: HashMap<SocketAddrV4, Time>,
-    /// Messages that are to be sent.
+    /// Messages to be sent.
     outbox: Vec<(SocketAddrV4, Message)>,
     next_job: u64,
     next_question: u64,
@@ -249,7 +248,7 @@
     leaving: bool,
     is_partitioned: bool,
     urgent: bool,
-    /// True while documents have come into force of which nobody was told.
+    /// Whether documents came into force that were not announced to other nodes yet.
     has_news: bool,
     ticked_at: Time,
     arranged_at: Time,
@@ -257,7 +256,7 @@
 }
 
 impl Dispatcher {
-    /// Nothing is known yet.
+    /// Creates a dispatcher without configuration or endpoints.
     pub fn new(options: Options) -> Dispatcher {
         Dispatcher {
             members: Members::new(
@@ -304,18 +303,18 @@
         }
     }
 
-    /// Takes what was decided since the last call.
+    /// Takes the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Takes what is believed of endpoints otherwise than at the last call, but for what
-    /// answers to this node's requests brought.
+    /// Takes the changes in endpoint state since the last call, except those that came from answers
+    /// to this node's requests.
     pub fn take_updates(&mut self) -> Vec<notice::Update> {
         std::mem::take(&mut self.endpoint_updates)
     }
 
-    /// Takes the messages that are to be sent since the last call.
+    /// Takes the messages queued since the last call.
     pub fn take_messages(&mut self) -> Vec<(SocketAddrV4, Message)> {
         std::mem::take(&mut self.outbox)
     }
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -1,4 +1,4 @@
-//! Calls make progress and end.
+//! Records the progress and the end of attempts and learns from them.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -15,35 +15,34 @@
 use crate::worker::MAX_PACE;
 use crate::worker::MIN_PACE;
 
-/// Prompt tokens under which a first event says little of the reading speed.
+/// The minimum number of prompt tokens for measuring the reading speed by the first event.
 const MIN_SAMPLE_TOKENS: u64 = 400;
 
-/// Bounds of the time for reading one prompt token, in microseconds: from a
-/// million tokens a second down to a thousand.
+/// The limits of the time to read one prompt token, in microseconds: from a million tokens a second
+/// down to a thousand.
 const MIN_PREFILL_US: f64 = 1.0;
 const MAX_PREFILL_US: f64 = 1_000.0;
 
-/// Weight of one observation in what is usual for a service.
+/// The weight of one observation in the averages of a service.
 const SAMPLE_WEIGHT: f64 = 0.03;
 
-/// Weight of a pause longer than the longest that are expected, and of a
-/// shorter one: about one in fifty is longer.
+/// The weights of a pause above and below the current estimate of the longest pauses. With these
+/// weights about one pause in fifty is longer than the estimate.
 const LONGER_PAUSE_WEIGHT: f64 = 0.2;
 const SHORTER_PAUSE_WEIGHT: f64 = 0.002;
 
-/// The longest pause that counts, as a multiple of a step: longer ones are
-/// those of an endpoint that stands still.
+/// The longest pause that is counted, in steps. A longer one means that the endpoint has stalled.
 const MAX_PAUSE_STEPS: f64 = 10.0;
 
-/// How often the owner of a slot is told that a stream goes on: more than twice
-/// in the silence after which it would take the endpoint to stand still.
+/// How often the owner of a slot is told that a stream makes progress: more than twice within the
+/// time after which it would consider the endpoint stalled.
 const REPORT_INTERVAL: Span = Span::from_millis(400);
 
-/// Events after which the time between them is looked at.
+/// The number of events over which the time between events is measured.
 const EVENTS_PER_SAMPLE: u32 = 4;
 
 impl Dispatcher {
-    /// Events of a stream were seen.
+    /// Records events of a stream.
     pub fn progress(&mut self, now: Time, id: job::Id, events: u32) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -84,9 +83,8 @@
         }
     }
 
-    /// Another node tells that the stream it has goes on. Where what it said of the
-    /// first event was lost, that has come, but nobody knows when: nothing is
-    /// learnt from it.
+    /// Records that another node's stream makes progress. If the report of its first event was
+    /// lost, the time of that event is unknown and nothing is learnt from it.
     pub(super) fn note_alive(&mut self, now: Time, id: job::Id) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -105,7 +103,7 @@
         }
     }
 
-    /// An attempt ended. Says what is to happen with its request.
+    /// Records the end of an attempt and returns what follows for its request.
     pub fn end(&mut self, now: Time, id: job::Id, end: End) -> Next {
         let Some(run) = self.runs.remove(&id) else {
             self.abandon(now, id);
@@ -129,18 +127,18 @@
         next
     }
 
-    /// Learns of a request of this node's callers from how an attempt ended.
+    /// Updates the quarantine from the end of an attempt.
     fn note_outcome(&mut self, now: Time, run: &Run, end: End) {
         let fingerprint = run.job.fingerprint;
         match end {
             End::Whole => self.note_whole(now, fingerprint),
-            // One whose time ran out may have taken a whole host with it, which then says
-            // nothing: only the platform's list tells.
+            // A timeout may mean that a whole host failed and no longer answers; only the
+            // platform's list can tell.
             //
-            // Endpoints that all end at one moment are met one after the other by one
-            // attempt, which may be free of blame: it is charged once. With each of them
-            // charged, six callers that returned after such a moment were refused on a
-            // day played with ten hosts, and without none.
+            // When several endpoints fail at the same moment, one attempt may meet them one after
+            // another without being the cause, so only the first is charged to it. When each was
+            // charged, returning callers were refused although their requests had done nothing
+            // wrong.
             End::Lost | End::Late if !run.job.history.connection_broke => {
                 let pool = self.pools.get(&run.job.target);
                 if let Some(worker) = pool.and_then(|pool| pool.workers.get(run.worker)) {
@@ -152,7 +150,7 @@
         }
     }
 
-    /// A caller left, or its time ran out.
+    /// Records that a caller left or that its time ran out.
     pub fn abandon(&mut self, now: Time, id: job::Id) {
         if self.runs.contains_key(&id) {
             self.end(now, id, End::Abandoned);
@@ -168,7 +166,7 @@
         }
     }
 
-    /// Counts an attempt out and learns from how it ended.
+    /// Removes an attempt from its endpoint's load and learns from how it ended.
     pub(super) fn close(&mut self, now: Time, run: Run, end: End) -> Job {
         if let Some(lease) = run.lease {
             let seen = lease::Seen {
@@ -210,8 +208,7 @@
                 worker.record_failure(now, end == End::NotSent, options);
                 pool.prefix_cache.remove_endpoint(number);
             }
-            // That the time ran out says little of an endpoint that shows
-            // progress with other requests.
+            // A timeout says little about an endpoint that makes progress with other requests.
             End::Late if now.since(worker.last_progress) > options.stall_timeout => {
                 worker.record_failure(now, false, options);
             }
@@ -220,7 +217,7 @@
         run.job
     }
 
-    /// Learns an engine's step from what another node saw of it.
+    /// Learns an engine's step from the observation of another node.
     pub(super) fn learn_reported_step(&mut self, now: Time, run: &Run, step: Option<u32>) {
         let pool = self.pools.get_mut(&run.job.target);
         if let Some((pool, step)) = pool.filter(|pool| pool.engine).zip(step) {
@@ -249,7 +246,7 @@
         if job.deadline.since(now) <= self.options.policy.least_left {
             return Next::Final(Cause::Time);
         }
-        // Only what reaches a second endpoint counts as sent again.
+        // Only a request that reaches a second endpoint counts as sent again.
         let nodes = self.budget_nodes(now);
         let counted = job.history.sent > 0 && end != End::NotSent;
         if counted && !self.budget.try_spend(now, &job.target, nodes) {
@@ -258,7 +255,7 @@
         Next::Again
     }
 
-    /// Nodes that share what may be sent again.
+    /// The number of nodes that share the retry budget.
     pub(super) fn budget_nodes(&self, now: Time) -> usize {
         let reach = self.members.reach(now);
         if reach.alone {
@@ -269,7 +266,7 @@
     }
 }
 
-/// Nodes that share the budget as long as none was heard.
+/// The assumed number of nodes until another node is heard.
 const ASSUMED_NODES: usize = 8;
 
 fn learn_first(pool: &mut Pool, run: &mut Run, now: Time) {
@@ -281,7 +278,7 @@
     let worker = &mut pool.workers[run.worker];
     worker.pending = worker.pending.saturating_sub(run.uncached);
     let tokens = run.uncached + run.ahead;
-    // Of a request that waited there for a slot the time says nothing of reading.
+    // The time includes waiting for a slot if the request was queued at the endpoint.
     if pool.engine && tokens >= MIN_SAMPLE_TOKENS && !run.queued {
         let reading = after - worker.step_us.unwrap_or(pool.step_us);
         let seen = reading / tokens as f64 / worker.pace.max(MIN_PACE);
@@ -290,8 +287,8 @@
     }
 }
 
-/// Learns how much longer than a step the longest pauses are: from a longer one
-/// at once, from shorter ones slowly.
+/// Learns the length of the longest pauses in steps: quickly from a longer one, slowly from shorter
+/// ones.
 fn learn_pause(pool: &mut Pool, run: &Run, now: Time) {
     let Some(step) = pool.workers[run.worker].step_us else {
         return;
@@ -304,7 +301,7 @@
     pool.longest_pause += (ratio - pool.longest_pause) * weight;
 }
 
-/// Learns from the time that the last events of a stream took.
+/// Learns the step from the time that the last events of a stream took.
 fn learn_events(pool: &mut Pool, run: &mut Run, now: Time) {
     let gap = now.since(run.marked).0 as f64 / f64::from(run.events);
     run.marked = now;
--- a/crates/dispatch/src/dispatcher/permit.rs
+++ b/crates/dispatch/src/dispatcher/permit.rs
@@ -1,10 +1,10 @@
-//! Who may send a request to an endpoint with a bound that holds over all nodes: one that
-//! is cold, or that names a rate limit.
+//! Decides which node may send requests to an endpoint with a fleet-wide limit: one that is cold or
+//! that announced a rate limit.
 //!
-//! One node alone sends requests there, the owner of its slots, and gives others leave.
-//! Where nodes are cut off from each other each side has an owner of its own; each then
-//! spaces its requests by the part of the fleet that it hears, so that all sides together
-//! keep to the bound. A node that has just started, or reaches no owner, sends nothing.
+//! Only the node that owns the endpoint's slots sends requests there and permits others to do so.
+//! In a network partition each side has its own owner. Each owner then scales its request interval
+//! by the share of the fleet that it can reach, so that all sides together stay within the limit. A
+//! node that has just started, or that reaches no owner, sends nothing.
 
 use woadstage_types::unit::Time;
 
@@ -16,25 +16,25 @@
 use crate::quota::Reach;
 use crate::worker::Worker;
 
-/// Whether this node may send requests to the bounded endpoints of a service.
+/// Whether this node may send requests to the limited endpoints of a service.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Permit {
-    authority: Scope_,
+    authority: Authority,
     reach: Reach,
 }
 
-/// To which of them.
+/// The endpoints that a permit covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Scope_ {
-    /// To all that are its cell's, or to none.
+enum Authority {
+    /// All limited endpoints of its cell, or none.
     Service(bool),
-    /// To those whose slots it owns one by one.
+    /// The endpoints whose slots this node owns.
     PerEndpoint,
 }
 
 impl Dispatcher {
-    /// Whether this node may send requests to bounded endpoints of a service now; none
-    /// where there are none.
+    /// Returns the permit of this node for the limited endpoints of a service, or `None` if the
+    /// service has no limited endpoint.
     pub(super) fn permit_opt(&self, now: Time, pool: &Pool) -> Option<Permit> {
         let is_bounded = |worker: &Worker| pool.is_cold(now, worker) || worker.is_rate_limited();
         pool.workers.iter().any(is_bounded).then(|| Permit {
@@ -43,17 +43,17 @@
         })
     }
 
-    fn authority(&self, now: Time, pool: &Pool) -> Scope_ {
+    fn authority(&self, now: Time, pool: &Pool) -> Authority {
         if self.accounts.is_meeting(now) {
-            return Scope_::Service(false);
+            return Authority::Service(false);
         }
         if pool.shared || self.members.cell().whole {
-            return Scope_::PerEndpoint;
+            return Authority::PerEndpoint;
         }
-        Scope_::Service(self.slot_owner(now, pool, None) == Owner::Own)
+        Authority::Service(self.slot_owner(now, pool, None) == Owner::Own)
     }
 
-    /// True unless an endpoint has a bound by which it must not be sent a request now.
+    /// Whether the limits of an endpoint allow a request to be sent there now.
     pub(super) fn may_start(
         &self,
         now: Time,
@@ -73,8 +73,8 @@
     fn owns_cold_start(&self, now: Time, worker: &Worker, permit: Permit) -> bool {
         let key = u64::from(worker.number);
         match permit.authority {
-            Scope_::Service(may) => may,
-            Scope_::PerEndpoint => self.members.owner(now, Scope::Fleet, key) == Owner::Own,
+            Authority::Service(may) => may,
+            Authority::PerEndpoint => self.members.owner(now, Scope::Fleet, key) == Owner::Own,
         }
     }
 
@@ -92,7 +92,7 @@
         worker.rate_limit.may_start(now, spacing) && self.owns_rate_limit(now, pool, worker, permit)
     }
 
-    /// True where this node keeps the rate limit of an endpoint.
+    /// Whether this node enforces the rate limit of an endpoint.
     pub(super) fn owns_rate_limit(
         &self,
         now: Time,
@@ -101,16 +101,16 @@
         permit: Permit,
     ) -> bool {
         match permit.authority {
-            Scope_::Service(may) => may,
-            Scope_::PerEndpoint => self.slot_owner(now, pool, Some(worker.number)) == Owner::Own,
+            Authority::Service(may) => may,
+            Authority::PerEndpoint => self.slot_owner(now, pool, Some(worker.number)) == Owner::Own,
         }
     }
 
-    /// True where all endpoints that could take a request name rate limits, in a fleet of
-    /// one cell, so that requests wait for a slot at the owners of those.
+    /// Whether the fleet has one cell and every endpoint that can take a request has a rate limit.
+    /// Such a request waits for a slot at the owners of those endpoints.
     ///
-    /// Without it an owner's own callers alone would use what its endpoints take, and those
-    /// of a node that owns none would not be served at all.
+    /// Without this rule the callers of an owner would use up the rate limit of its endpoints, and
+    /// callers of a node that owns none would not be served at all.
     pub(super) fn is_fully_rate_limited(&self, now: Time, pool: &Pool, job: &Job) -> bool {
         if !self.members.cell().whole {
             return false;
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -1,4 +1,4 @@
-//! Which waiting request goes to which endpoint now.
+//! Assigns waiting requests to endpoints.
 
 use std::collections::BTreeMap;
 
@@ -17,17 +17,17 @@
 use crate::prefix_cache;
 use crate::worker::Worker;
 
-/// An endpoint that could take a request.
+/// An endpoint that can run a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
-    /// Its place among the endpoints of its service.
+    /// The index of the endpoint in the pool of its service.
     pub worker: usize,
-    /// Prompt tokens that it is believed to have to read.
+    /// The estimated number of prompt tokens that it has to read.
     pub uncached: u64,
     cost_us: f64,
-    /// The time until its first event is expected, in microseconds.
+    /// The expected time to the first event, in microseconds.
     first_event_us: f64,
-    /// True where it should rather wait for another.
+    /// Whether the request should wait for another endpoint instead.
     should_wait: bool,
     preference: Preference,
 }
@@ -39,12 +39,12 @@
     }
 }
 
-/// What it counts for that other nodes keep away from an endpoint: half of what
-/// it would if all calls of this node failed.
+/// The failure rate assumed for an endpoint that other nodes avoid. Half of what it would be if all
+/// calls of this node failed.
 const REPORTED_FAILURE_RATE: f64 = 0.5;
 
 impl Dispatcher {
-    /// Gives free endpoints of every service what waits.
+    /// Starts waiting requests of all services on free endpoints.
     pub(super) fn place_all(&mut self, now: Time) {
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
         for target in targets {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Gives free endpoints of one service what waits, in its order.
+    /// Starts waiting requests of one service on free endpoints, in queue order.
     pub(super) fn place(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get_mut(target) else {
             return;
@@ -61,7 +61,7 @@
             return;
         }
         if self.options.policy.late_last {
-            // One whose answer would be late is late already.
+            // A request counts as late as soon as its answer would be late.
             let answer = pool.typical_response_time();
             pool.queue.demote_late(now + answer);
         }
@@ -69,18 +69,18 @@
             worker.decay(now, &self.options.worker);
         }
         let elsewhere = self.waiting_in_cell(now, target);
-        while let Some((id, choice)) = self.next_placement(now, target, &elsewhere) {
+        while let Some((id, candidate)) = self.next_placement(now, target, &elsewhere) {
             let pool = self.pools.get_mut(target);
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 return;
             };
             self.withdraw(id);
-            self.start(now, id, job, choice);
+            self.start(now, id, job, candidate);
         }
     }
 
-    /// The first request in line that an endpoint has room for, where so many
-    /// wait `elsewhere`.
+    /// Returns the first request in the queue for which an endpoint has capacity. `elsewhere`
+    /// counts the requests that wait on other nodes.
     fn next_placement(
         &self,
         now: Time,
@@ -92,16 +92,16 @@
         let one_cell = self.members.cell().whole;
         let limited = one_cell && pool.workers.iter().any(Worker::is_rate_limited);
         for (id, job) in pool.queue.iter().take(self.options.policy.look_ahead) {
-            // Others have more protected work waiting: leave them the room, but for what
-            // this node alone gives out.
+            // Leaves the free slots to more protected requests that wait on other nodes, except for
+            // slots that only this node hands out.
             let before = elsewhere.range(..job.rank).map(|(_, count)| count);
             let before: usize = before.sum();
             let leave = before > 0 && before >= free as usize;
             let may_take = |worker: &Worker| !leave || (one_cell && worker.is_rate_limited());
-            if let Some(choice) =
+            if let Some(candidate) =
                 self.cheapest(now, pool, job, self.overcommit(pool, job), may_take)
             {
-                return Some((id, choice));
+                return Some((id, candidate));
             }
             if leave && !limited {
                 return None;
@@ -110,7 +110,7 @@
         None
     }
 
-    /// Requests of a service that wait on other nodes of this cell, by rank.
+    /// Counts the requests of a service that wait on other nodes of this cell, by rank.
     fn waiting_in_cell(&self, now: Time, target: &id::Target) -> BTreeMap<Rank, usize> {
         let mut counts = BTreeMap::new();
         let Some(pool) = self.pools.get(target) else {
@@ -122,8 +122,8 @@
         counts
     }
 
-    /// Slots of this cell that nothing runs in. Where each node decides alone, those of
-    /// endpoints that name rate limits are for their owners.
+    /// Counts the free slots of this cell. In a fleet of one cell, endpoints with a rate limit are
+    /// left out because only their owners hand out their slots.
     pub(super) fn free_slots(&self, now: Time, pool: &Pool) -> u32 {
         let one_cell = self.members.cell().whole;
         let usable = pool.workers.iter().filter(|worker| {
@@ -138,7 +138,7 @@
         usable.map(free).sum()
     }
 
-    /// Requests beyond its slots that an endpoint may have when it is given this one.
+    /// The number of requests that an endpoint may have beyond its slots when it is sent this one.
     fn overcommit(&self, pool: &Pool, job: &Job) -> u32 {
         if !pool.engine {
             let slots = pool.workers.iter().map(|worker| worker.endpoint.slots);
@@ -150,9 +150,9 @@
         }
     }
 
-    /// Of the endpoints of this cell that have room and that `may_take` the request, the
-    /// one that costs least; `ahead` is what each may have beyond its slots. One that may
-    /// turn the request away comes after all others.
+    /// Returns the cheapest endpoint of this cell that has capacity and satisfies `may_take`.
+    /// `ahead` is the number of requests that each endpoint may have beyond its slots. Endpoints
+    /// that may reject the request come last.
     pub(super) fn cheapest(
         &self,
         now: Time,
@@ -186,35 +186,36 @@
             {
                 continue;
             }
-            // Its stream would be cut off at its deadline, after holding a slot
-            // for all that time.
+            // The stream would hold a slot until its deadline and then be cut off.
             if slowest.is_some_and(|slowest| pool.step_of(worker) > slowest) {
                 continue;
             }
-            let mut choice = match pool.engine {
+            let mut candidate = match pool.engine {
                 true => self.engine_candidate(now, pool, at, job, &chain, home == Some(at)),
                 false => self.service_candidate(pool, at, job),
             };
-            // Its caller would have left before anything came.
-            if choice.should_wait || now + Span(choice.first_event_us as u64) > job.expires_at() {
+            // The caller would give up before the first event.
+            if candidate.should_wait
+                || now + Span(candidate.first_event_us as u64) > job.expires_at()
+            {
                 continue;
             }
             let Some(preference) = risk.preference_opt(now, job, worker) else {
                 continue;
             };
-            choice.preference = preference;
+            candidate.preference = preference;
             if let Some(apart) = &apart {
-                choice.cost_us += apart.risk(at, worker.busy());
+                candidate.cost_us += apart.risk(at, worker.busy());
             }
-            if best.is_none_or(|best| choice.is_preferred_to(&best)) {
-                best = Some(choice);
+            if best.is_none_or(|best| candidate.is_preferred_to(&best)) {
+                best = Some(candidate);
             }
         }
         best
     }
 
-    /// True where an endpoint may be sent a request now: of this node, or of another for
-    /// which it does not rest.
+    /// Whether an endpoint can be sent this request now. Requests of other nodes must not go to
+    /// endpoints that rest for those nodes.
     fn is_usable(&self, now: Time, job: &Job, worker: &Worker) -> bool {
         let options = &self.options.worker;
         match job.origin {
@@ -237,8 +238,8 @@
         let cached = pool.prefix_cache.cached_tokens(now, chain, worker.number);
         let unread = job.prompt.tokens.saturating_sub(cached);
         let believed = if home && cached == 0 {
-            // All nodes send a prompt to its home first: as often as prompts
-            // recur, the home has read this one for another node.
+            // All nodes send a prompt to its home endpoint first, so another node may already have
+            // sent this one there. The likelihood is the share of prompts that repeat.
             unread as f64 * (1.0 - pool.repeat_ratio)
         } else {
             unread as f64
@@ -258,9 +259,8 @@
         }
     }
 
-    /// True for an engine that a request should rather wait than take: streams
-    /// there would be disturbed, or it would be late there. Once a request has
-    /// no time left for waiting it takes any.
+    /// Whether a request should wait rather than take this engine, because it would delay streams
+    /// there or be late itself. A request that can no longer meet its objective takes any engine.
     fn should_wait(
         &self,
         now: Time,
@@ -315,8 +315,8 @@
     }
 }
 
-/// Requests that an endpoint may have before a further one goes there. An
-/// endpoint that failed gets one at a time until one works.
+/// The number of requests that an endpoint may have in progress before it counts as full. After a
+/// failure it gets one request of this node at a time until one succeeds.
 fn capacity(worker: &Worker, ahead: u32) -> u32 {
     match worker.consecutive_failures {
         0 => worker.endpoint.slots + ahead,
@@ -324,19 +324,19 @@
     }
 }
 
-/// By how much costs are spread, and in how many steps.
+/// The range over which costs are spread, and the number of steps in it.
 const JITTER_RATIO: f64 = 0.1;
 const JITTER_STEPS: u64 = 100;
 
-/// Up to a tenth more, as if at random, so that nodes do not all choose the
-/// same endpoint at the same moment.
+/// Returns a factor that adds up to a tenth to the cost, by a hash of endpoint and request, so that
+/// nodes do not all choose the same endpoint at the same moment.
 fn jitter(worker: &Worker, job: &Job) -> f64 {
     let mixed = hash::chain(u64::from(worker.number), &job.arrived.0.to_le_bytes());
     1.0 + JITTER_RATIO * (mixed % JITTER_STEPS) as f64 / JITTER_STEPS as f64
 }
 
-/// The endpoint that all nodes take for the home of a prompt (rendezvous
-/// hashing): the last part is the request's own or its session's.
+/// Returns the home endpoint of a prompt, which all nodes agree on (rendezvous hashing). The key is
+/// the last part of the prompt, which belongs to the request or its session.
 fn home_endpoint(pool: &Pool, chain: &[(u64, u64)]) -> Option<usize> {
     let (key, _) = chain.last()?;
     let takers = pool.workers.iter().enumerate();
--- a/crates/dispatch/src/dispatcher/policy.rs
+++ b/crates/dispatch/src/dispatcher/policy.rs
@@ -1,55 +1,55 @@
-//! Bounds and weights of the policy.
+//! Limits and weights of the scheduling policy.
 
 use woadstage_types::unit::Span;
 
-/// Bounds and weights of the policy.
+/// Limits and weights of the scheduling policy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// Requests that may wait on this node.
+    /// The maximum number of requests that wait on this node.
     pub queue_limit: usize,
-    /// Requests beyond its slots that an engine may be sent when they are not
-    /// of the least protected rank.
+    /// The number of requests beyond its slots that an engine may be sent, for requests above the
+    /// least protected rank.
     pub ahead: u32,
-    /// What reading one prompt token again is taken to cost, in microseconds,
-    /// beyond the time that it takes.
+    /// The cost of reading one prompt token again, in microseconds, in addition to the time it
+    /// takes.
     pub reread: f64,
-    /// Weight of the time that the answer's tokens take.
+    /// The weight of the time spent generating the answer.
     pub decode: f64,
-    /// What sending work to an endpoint is taken to cost, in microseconds,
-    /// when all calls to it fail lately, or others keep away from it.
+    /// The cost of an endpoint, in microseconds, when all recent calls to it failed. Charged in
+    /// part for endpoints that other nodes avoid.
     pub failing: f64,
-    /// What crossing between data centres is taken to cost, in microseconds.
+    /// The cost of sending a request to another data centre, in microseconds.
     pub crossing: f64,
-    /// Waiting requests that are looked at for free endpoints.
+    /// The number of waiting requests considered for free endpoints.
     pub look_ahead: usize,
-    /// How old what another node says of waiting requests may be to count.
+    /// The maximum age of another node's report of its waiting requests.
     pub waiting_fresh: Span,
-    /// A newcomer is refused when the wait would be more than this multiple
-    /// of its objective.
+    /// A request not yet offered to an endpoint is refused when its expected wait exceeds this
+    /// multiple of its objective.
     pub refuse_beyond: f64,
-    /// The part of the longest pause in time that reading a prompt may put
-    /// between the events of streams beside it; 0 where it is not looked at.
+    /// The part of the longest allowed pause that reading a prompt may cause in streams running
+    /// beside it. 0 disables the check.
     pub pause_part: f64,
-    /// Whether a request that still has time waits for an engine that answers
-    /// within its objective, rather than taking a free one that does not.
+    /// Whether a request that still has time waits for an engine that meets its objective instead
+    /// of taking a free one that does not.
     pub wait_for_objective: bool,
-    /// Requests that wait for each usable endpoint from which on nobody gets
-    /// more than the plain limit of its quota.
+    /// Waiting requests per usable endpoint above which customers are held to the plain limit of
+    /// their quota.
     pub pressed_from: f64,
-    /// Whether a request that can no longer be in time goes behind those of
-    /// its rank that can.
+    /// Whether requests that can no longer meet their objective are queued behind those of their
+    /// rank that can.
     pub late_last: bool,
-    /// The part of the time left up to which callers heed when they are told to
-    /// come back; a little under what their side says it is.
+    /// The part of the remaining time within which callers follow a retry hint. Slightly below the
+    /// value given by the callers' side.
     pub come_back_within: f64,
-    /// The window in which it is seen how fast a rank is served.
+    /// The window for measuring the rate at which a rank is served.
     pub rate_window: Span,
-    /// How long a request waits for an endpoint of its own cell before other
-    /// cells are asked for a slot to spare.
+    /// How long a request waits for an endpoint of its own cell before spare slots of other cells
+    /// are requested.
     pub own_cell_for: Span,
-    /// Attempts at connecting for one request.
+    /// The maximum number of connection attempts for one request.
     pub connects: u32,
-    /// Time left under which nothing is sent any more.
+    /// The minimum time before the deadline for a request to be sent.
     pub least_left: Span,
 }
 
--- a/crates/dispatch/src/dispatcher/predict.rs
+++ b/crates/dispatch/src/dispatcher/predict.rs
@@ -1,4 +1,4 @@
-//! What is expected of an engine, from what was observed of it and of its kind.
+//! Forecasts the performance of an engine from observations of it and of its service.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -9,22 +9,22 @@
 use crate::worker;
 use crate::worker::Worker;
 
-/// Times expected of a request at an engine, in microseconds.
+/// The expected times of a request at an engine, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Forecast {
-    /// Until its first event.
+    /// The time to its first event.
     pub first_event_us: f64,
-    /// The longest pause that reading its prompt puts between two events of the
-    /// streams that run there.
+    /// The longest pause that reading its prompt causes between two events of the streams running
+    /// there.
     pub pause_us: f64,
 }
 
-/// By how much a stream may be longer than expected: callers' estimates are right
-/// at the median and often far off.
+/// The margin for streams that are longer than expected. Callers' estimates are right at the median
+/// but often far off.
 const LENGTH_MARGIN: f64 = 1.3;
 
 impl Pool {
-    /// Endpoints of this cell that take work now.
+    /// Counts the endpoints of this cell that accept work now.
     pub(super) fn usable(&self, now: Time, options: &worker::Options) -> usize {
         let usable = self.workers.iter();
         usable
@@ -32,7 +32,7 @@
             .count()
     }
 
-    /// True where this cell has endpoints and all of them leave.
+    /// Whether this cell has endpoints and all of them are leaving.
     pub(super) fn is_cell_leaving(&self) -> bool {
         let cell_endpoints = self.workers.iter();
         let mut cell_endpoints = cell_endpoints.filter(|worker| worker.own_cell && worker.listed);
@@ -40,32 +40,32 @@
         first.is_some_and(Worker::is_leaving) && cell_endpoints.all(Worker::is_leaving)
     }
 
-    /// Endpoints of which something holds, of those that the platform lists.
+    /// Counts the endpoints listed by the platform that satisfy a predicate.
     pub(super) fn count_listed(&self, holds: impl Fn(&Worker) -> bool) -> usize {
         let listed = self.workers.iter().filter(|worker| worker.listed);
         listed.filter(|worker| holds(worker)).count()
     }
 
-    /// True where the endpoint that has a number names a rate limit.
+    /// Whether the endpoint with this number has a rate limit.
     pub(super) fn is_rate_limited(&self, number: u32) -> bool {
         let at = self.worker_opt(number);
         at.is_some_and(|at| self.workers[at].is_rate_limited())
     }
 
-    /// The endpoint of this pool that has a number.
+    /// Returns the index of the endpoint with this number.
     pub(super) fn worker_opt(&self, number: u32) -> Option<usize> {
         let mut workers = self.workers.iter();
         workers.position(|worker| worker.number == number)
     }
 
-    /// Slots of the endpoints of this cell that take work now.
+    /// Counts the slots of the endpoints of this cell that accept work now.
     pub(super) fn usable_slots(&self, now: Time, options: &worker::Options) -> u32 {
         let usable = self.workers.iter();
         let usable = usable.filter(|worker| worker.own_cell && worker.accepts_work(now, options));
         usable.map(|worker| self.slots_of(now, worker)).sum()
     }
 
-    /// Requests of a rank that were started within the last `window`.
+    /// Counts the requests of a rank that were started within the last `window`.
     pub(super) fn started(&self, now: Time, rank: Rank, window: Span) -> u64 {
         let Some(starts) = self.starts.get(&rank) else {
             return 0;
@@ -74,8 +74,7 @@
         recent.take_while(|at| now.since(**at) <= window).count() as u64
     }
 
-    /// What is expected of a request at an engine that has to read `unread`
-    /// tokens of its prompt.
+    /// Forecasts a request at an engine that has to read `unread` tokens of its prompt.
     pub(super) fn forecast(&self, worker: &Worker, unread: f64) -> Forecast {
         let step = self.step_of(worker);
         let before = (worker.pending + worker.remote_pending) as f64;
@@ -86,14 +85,13 @@
         }
     }
 
-    /// The time to the first event of a request at an idle engine of the usual
-    /// speed, in microseconds.
+    /// The time to the first event at an idle engine of typical speed, in microseconds.
     pub(super) fn min_first_event_time(&self, job: &Job) -> f64 {
         self.prefill_us * job.prompt.tokens as f64 + self.step_us
     }
 
-    /// Events that a stream is expected to have, by its caller's estimate; nothing
-    /// without one, or until enough streams were seen.
+    /// The expected number of events of a stream, from its caller's estimate. `None` without an
+    /// estimate or until enough streams were observed.
     pub(super) fn events_opt(&self, job: &Job) -> Option<f64> {
         let estimated = job.prompt.output_hint?;
         self.lengths
@@ -101,12 +99,9 @@
             .map(|per_token| per_token * estimated as f64)
     }
 
-    /// The time that an endpoint usually takes to what a request's caller waits for,
-    /// once it has the request: the first event of an engine, the whole answer of a
-    /// plain service. Without it, what was let in under load started just within its
-    /// objective and was answered after it: on a day of bursts played with 295 nodes
-    /// 1,871 were late beside 1,199 in time in the worst two seconds, and 2,052 beside
-    /// 1,514 with it and the order that goes with it.
+    /// The typical time that an endpoint takes to deliver what the caller waits for: the first
+    /// event of an engine, or the whole answer of a plain service. Without it, requests admitted
+    /// under load were started just within their objective and answered after it.
     pub(super) fn typical_response_time(&self) -> Span {
         match self.engine {
             true => Span(self.first_event_us as u64),
@@ -114,17 +109,15 @@
         }
     }
 
-    /// An engine's time between two events of a stream, in microseconds.
+    /// The time between two events of a stream of this engine, in microseconds.
     pub(super) fn step_of(&self, worker: &Worker) -> f64 {
         worker.step_us.unwrap_or(self.step_us)
     }
 
-    /// The time between two events beyond which a request's stream is not over
-    /// before its deadline, in microseconds. None where there is no such bound, or
-    /// where no usable engine of this cell keeps to it. It guards against streams
-    /// that hold a slot until they are cut off: on a day played with 295 nodes
-    /// without it, 489 of 11,073 streams of the least protected route failed, most
-    /// of them so.
+    /// The longest step, in microseconds, with which a request's stream ends before its deadline.
+    /// `None` if there is no such limit or if no usable engine of this cell meets it. Without this
+    /// limit, streams on slow engines held a slot until they were cut off at their deadline, and
+    /// most failures of the least protected route were of this kind.
     pub(super) fn max_step_opt(
         &self,
         now: Time,
@@ -141,16 +134,15 @@
         keeps.then_some(most)
     }
 
-    /// The time until one of an engine's slots is free for a further request.
+    /// The time until a slot of the engine is free for another request, in microseconds.
     pub(super) fn slot_wait(&self, worker: &Worker) -> f64 {
         let slots = worker.endpoint.slots.max(1);
         let over = (worker.busy() + 1).saturating_sub(slots);
         f64::from(over) * self.call_us * worker.pace / f64::from(slots)
     }
 
-    /// True where streams run at an engine and reading a request's prompt beside
-    /// them would make their pauses longer than a `part` of the longest one that
-    /// is in time on the request's own route.
+    /// Whether streams run at an engine and reading this request's prompt would extend their pauses
+    /// beyond `part` of the longest pause that the request's own route allows.
     pub(super) fn delays_streams(
         &self,
         worker: &Worker,
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -1,4 +1,4 @@
-//! Queries.
+//! Read-only queries of the dispatcher.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -18,58 +18,58 @@
 use crate::table::Table;
 use crate::worker::Worker;
 
-/// How long after its start a node waits for a configuration that others have. Two
-/// seconds and more are allowed until a change is in force; a transfer from a neighbour
-/// of 260 kB takes 0.7 s on 10 Mbit/s beside two others.
+/// How long a starting node waits for a configuration that other nodes have. A change may take at
+/// least two seconds to come into force, and transferring 260 kB from another node of the cell
+/// takes 0.7 s over 10 Mbit/s beside two other transfers.
 const CATCH_UP_TIMEOUT: Span = Span::from_secs(1);
 
-/// Of so many connections that endpoints take one may be at rest: the rest is for those
-/// in use, and for nodes that have more than their even part.
+/// One in this many of the connections that endpoints accept may be idle. The others are left for
+/// those in use and for nodes that need more than an even share.
 const IDLE_CONNECTION_DIVISOR: usize = 2;
 
-/// Endpoints that a request is not sent to, by what they said of themselves.
+/// Endpoints that are passed over because of what they announced.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PassedOver {
-    /// Those that leave.
+    /// Endpoints that are leaving.
     pub leaving: Vec<id::Endpoint>,
-    /// Those that want nothing from this node for a while.
+    /// Endpoints that asked this node to send nothing for a while.
     pub resting: Vec<id::Endpoint>,
 }
 
-/// What a node holds, for metrics.
+/// The state of a service on this node, for metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
     /// The service.
     pub target: id::Target,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: usize,
-    /// Requests of ours in progress.
+    /// Requests of this node in progress.
     pub running: u32,
-    /// Requests of others in progress, as far as heard.
+    /// Requests of other nodes in progress, as reported by them.
     pub others: u32,
-    /// Endpoints of its cell that take work now.
+    /// Endpoints of this node's cell that accept work now.
     pub usable: usize,
-    /// Endpoints known.
+    /// Endpoints listed by the platform.
     pub endpoints: usize,
-    /// Endpoints that name a rate limit.
+    /// Endpoints with a rate limit.
     pub rate_limited: usize,
-    /// Endpoints that are cold.
+    /// Cold endpoints.
     pub cold: usize,
-    /// Endpoints that leave, by the platform or by their own answers.
+    /// Endpoints that are leaving according to the platform or their own answers.
     pub leaving: usize,
-    /// Endpoints that want nothing from this node for a while.
+    /// Endpoints that asked this node to send nothing for a while.
     pub resting: usize,
-    /// Repeats left in the budget.
+    /// Retries left in the budget.
     pub repeats_left: u64,
 }
 
 impl Dispatcher {
-    /// This life of the node.
+    /// The incarnation of this node.
     pub fn incarnation(&self) -> u64 {
         self.options.incarnation
     }
 
-    /// The configuration in force, arranged for look-ups.
+    /// The configuration in force, indexed for lookups.
     pub fn table(&self) -> Option<&Arc<Table>> {
         self.table.as_ref()
     }
@@ -79,13 +79,13 @@
         self.table.as_ref().map(|table| table.configuration())
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// The version of the configuration in force, or 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.configuration()
             .map_or(0, |configuration| configuration.version)
     }
 
-    /// The versions of the configuration that other nodes say they have, the newest first.
+    /// The configuration versions reported by other nodes, newest first.
     pub fn configurations_heard(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
         self.members.configurations(now)
     }
@@ -95,26 +95,27 @@
         &self.list
     }
 
-    /// The list of endpoints in force, among others.
+    /// The edition of the endpoint list in force.
     pub fn edition(&self) -> Edition {
         self.list.edition()
     }
 
-    /// True while the node can serve: what the platform published is known.
+    /// Whether the node can serve: it has the platform's configuration and endpoint list and is not
+    /// stopping.
     pub fn is_ready(&self, now: Time) -> bool {
         self.admitting_table_opt(now).is_some() && self.list.revision > 0 && !self.leaving
     }
 
-    /// The configuration by which requests are let in; none where there is none, or
-    /// where others may have a newer one.
+    /// The configuration used for admission. `None` without a configuration, or while other nodes
+    /// may have a newer one.
     pub fn admitting_table_opt(&self, now: Time) -> Option<&Arc<Table>> {
         self.table.as_ref().filter(|_| !self.is_catching_up(now))
     }
 
-    /// True while this node has just started and another has a newer configuration, or
-    /// none was heard yet. The platform may have come back with an older copy, in which
-    /// a key is good that was taken away; others know better. Where nobody is heard
-    /// within the time in which nodes meet, the platform alone is believed.
+    /// Whether this node has just started and another node has a newer configuration, or none was
+    /// heard yet. The platform may have come back with an older copy in which a revoked key is
+    /// still valid, and other nodes know better. If no node is heard within the discovery time, the
+    /// platform alone is believed.
     fn is_catching_up(&self, now: Time) -> bool {
         let started = self.accounts.started();
         if now.since(started) >= CATCH_UP_TIMEOUT || self.members.has_nobody_to_ask() {
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Endpoints of a service that are passed over now by what they said in answers.
+    /// Returns the endpoints of a service that are passed over because of what they announced in
+    /// answers.
     pub fn passed_over(&self, now: Time, target: &id::Target) -> PassedOver {
         let mut passed_over = PassedOver::default();
         let pool = self.pools.get(target);
@@ -141,20 +143,20 @@
         passed_over
     }
 
-    /// True once the node has begun to stop.
+    /// Whether the node is stopping.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// How routine a route's requests are among all routes: from 0 for the most
-    /// protected to 1 for the least.
+    /// The position of a route's priority among all routes, from 0 for the most protected to 1 for
+    /// the least.
     pub fn routine(&self, urgency: Priority) -> f64 {
         let least = self.pools.values().map(|pool| pool.least_protected).max();
         f64::from(urgency) / f64::from(least.unwrap_or(0).max(1))
     }
 
-    /// True while more requests wait for a service, on all nodes together, than
-    /// its endpoints will take up in a moment.
+    /// Whether the requests that wait for a service on all nodes of the cell exceed the configured
+    /// multiple of its usable endpoints.
     pub fn is_pressed(&self, now: Time, target: &id::Target) -> bool {
         self.pools.get(target).is_some_and(|pool| {
             let others = self.others_waiting(now, pool.number);
@@ -165,13 +167,13 @@
         })
     }
 
-    /// The time within which nearly all requests of a route have their whole
-    /// answer; nothing where none was seen.
+    /// The time within which nearly all requests of a route get their whole answer, or `None` if no
+    /// answer was observed.
     pub fn duration_opt(&self, route: &str) -> Option<Span> {
         self.durations.upper_bound_opt(route)
     }
 
-    /// True while at least as many other nodes serve as are stopping.
+    /// Whether at least as many other nodes serve as are stopping, and at least one serves.
     pub fn are_most_peers_serving(&self, now: Time) -> bool {
         let others = self.members.fresh(now);
         let (stopping, serving): (Vec<_>, Vec<_>) =
@@ -179,22 +181,21 @@
         serving.len() >= stopping.len().max(1)
     }
 
-    /// Requests of this node's callers that wait or run.
+    /// Counts the requests of this node's callers that wait or run.
     pub fn held(&self) -> usize {
         self.targets
             .len()
             .saturating_sub(self.remote_requests.len())
     }
 
-    /// Requests of other nodes that wait or run in slots of this node's.
+    /// Counts the requests of other nodes that wait for or run in slots of this node.
     pub fn held_for_others(&self) -> usize {
         self.remote_requests.len()
     }
 
-    /// Connections at rest that this node may keep to one endpoint of a service, without
-    /// those in use: its even part of half of what the endpoint takes from all nodes
-    /// together, and one in any case. Endpoints reset connections beyond what they take,
-    /// which costs whoever opens the next one.
+    /// The number of idle connections that this node may keep to one endpoint of a service: an even
+    /// share of half of what the endpoint accepts from all nodes, but at least one. Endpoints reset
+    /// connections beyond that, at the expense of whoever opens the next one.
     pub fn connections_at_rest(&self, now: Time, target: &id::Target) -> usize {
         let service = self
             .table
@@ -205,17 +206,17 @@
         (taken / IDLE_CONNECTION_DIVISOR / nodes.max(1)).max(1)
     }
 
-    /// How much of the fleet this node can speak for.
+    /// How much of the fleet this node can reach.
     pub fn reach(&self, now: Time) -> Reach {
         self.members.reach(now)
     }
 
-    /// True for a node of this one's cell.
+    /// Whether a node belongs to this node's cell.
     pub fn is_near(&self, address: SocketAddrV4) -> bool {
         self.members.is_near(address)
     }
 
-    /// Other nodes that are heard, by the protocol that they speak.
+    /// Counts the other nodes that are heard, by protocol version.
     pub fn heard_by_protocol(&self, now: Time) -> BTreeMap<Protocol, i64> {
         let mut heard = BTreeMap::new();
         for (_, member) in self.members.fresh(now) {
@@ -224,7 +225,7 @@
         heard
     }
 
-    /// What is held for each service.
+    /// Returns the state of every service.
     pub fn summaries(&self, now: Time) -> Vec<Summary> {
         let nodes = self.members.reach(now).nodes;
         let pools = self.pools.iter().map(|(target, pool)| Summary {
--- a/crates/dispatch/src/dispatcher/rejection.rs
+++ b/crates/dispatch/src/dispatcher/rejection.rs
@@ -1,7 +1,7 @@
-//! Endpoints that may turn a request away, as they did lately: when one is chosen.
+//! Ranks endpoints that recently rejected requests and may do so again.
 //!
-//! Others that have room go before them, but for a request now and then which shows
-//! whether they take requests again. That is one that may be sent elsewhere if they do not.
+//! Other endpoints with capacity are preferred. From time to time a request that could be sent
+//! elsewhere after a rejection probes whether the endpoint accepts requests again.
 
 use woadstage_types::unit::Time;
 
@@ -10,39 +10,39 @@
 use crate::job::Job;
 use crate::worker::Worker;
 
-/// Which endpoints are chosen first.
+/// The order in which endpoints are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Preference {
-    /// It is time to see whether the endpoint takes requests again.
+    /// A request is due that probes whether the endpoint accepts requests again.
     Probe,
-    /// Nothing speaks against it.
+    /// The endpoint is expected to accept the request.
     Normal,
-    /// It may turn the request away.
+    /// The endpoint may reject the request.
     LastResort,
 }
 
-/// What it would mean for a request to be turned away.
+/// What happens to a request if the endpoint rejects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Risk {
     /// It is sent to another endpoint.
     Retried,
-    /// It is refused, and may wait for a better endpoint yet.
+    /// It is refused, although it could still wait for a better endpoint.
     RefusedEarly,
-    /// It is refused, and has waited long enough.
+    /// It is refused after waiting long enough.
     Refused,
 }
 
-/// The part of its objective for which a request that cannot be sent again waits for an
-/// endpoint that nothing speaks against.
+/// The part of its objective, as a divisor, for which a request that cannot be sent again waits for
+/// an endpoint that is expected to accept it.
 const OBJECTIVE_DIVISOR: u64 = 4;
 
 impl Dispatcher {
-    /// What it would mean for a request to be turned away now.
+    /// Determines what would happen to a request that is rejected now.
     pub(super) fn risk(&self, now: Time, pool: &Pool, job: &Job) -> Risk {
         if !pool.workers.iter().any(|worker| worker.is_unconfirmed(now)) {
             return Risk::Retried;
         }
-        // Each trial under way may need a repeat as well.
+        // Each probe in flight may need a retry too.
         let repeats = self.budget.left(now, &job.target, self.budget_nodes(now));
         let probing = |worker: &&Worker| worker.rest.is_on_trial();
         let probes = pool.workers.iter().filter(probing).count();
@@ -57,7 +57,7 @@
 }
 
 impl Risk {
-    /// When an endpoint is chosen; none where it is not.
+    /// Returns the rank of an endpoint for a request, or `None` if it must not be chosen.
     pub(super) fn preference_opt(
         self,
         now: Time,
--- a/crates/dispatch/src/dispatcher/start.rs
+++ b/crates/dispatch/src/dispatcher/start.rs
@@ -1,4 +1,4 @@
-//! A request begins at an endpoint: it is counted in, and whoever has it is told.
+//! Starts requests: records them at their endpoint and notifies the node that holds them.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -13,33 +13,33 @@
 use crate::lease::Lease;
 use crate::prefix_cache;
 
-/// Starts of one rank that are remembered.
+/// The number of recent starts kept for each rank.
 const MAX_RECENT_STARTS: usize = 256;
 
-/// Weight of one prompt in the share of those that were seen before.
+/// The weight of one prompt in the share of prompts seen before.
 const PROMPT_WEIGHT: f64 = 0.02;
 
 impl Dispatcher {
-    /// Gives a request an endpoint that was chosen here.
-    pub(super) fn start(&mut self, now: Time, id: job::Id, job: Job, choice: Candidate) {
+    /// Starts a request on an endpoint chosen by this node.
+    pub(super) fn start(&mut self, now: Time, id: job::Id, job: Job, candidate: Candidate) {
         let oldest = self.oldest_status_age(now);
         let Some(pool) = self.pools.get(&job.target) else {
             return;
         };
-        let worker = &pool.workers[choice.worker];
+        let worker = &pool.workers[candidate.worker];
         let reason = Reason {
             waited: now.since(job.arrived),
             running: worker.running,
             others: worker.remote_running,
-            uncached: choice.uncached,
+            uncached: candidate.uncached,
             unread: worker.pending + worker.remote_pending,
             pace: worker.pace,
             oldest,
         };
-        self.run(now, id, job, choice.worker, None, reason);
+        self.run(now, id, job, candidate.worker, None, reason);
     }
 
-    /// Counts a request in at its endpoint, and tells the one who has it.
+    /// Records a request at its endpoint and notifies the node that holds it.
     pub(super) fn run(
         &mut self,
         now: Time,
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -1,4 +1,4 @@
-//! What only the passing of time brings about.
+//! Periodic work.
 
 use woadstage_types::code::Code;
 use woadstage_types::id;
@@ -12,27 +12,27 @@
 use crate::job::Job;
 use crate::worker::Worker;
 
-/// Time between two arrangements of cells.
+/// The interval between two rearrangements of cells.
 const ARRANGE_INTERVAL: Span = Span::from_millis(200);
 
-/// Pause between two ticks after which the process is taken to have been
-/// stopped in between, so that nothing that others said holds any more.
+/// The gap between two ticks above which the process is assumed to have been suspended, so that
+/// statuses of other nodes are no longer valid.
 const MIN_PROCESS_PAUSE: Span = Span::from_millis(1_500);
 
-/// What a request may expect of the endpoints of its service.
+/// The state of the endpoints that may run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Availability {
-    /// One is neither leaving nor evacuated.
+    /// At least one is neither leaving nor evacuated.
     Live,
-    /// Some are listed, and leave.
+    /// Some are listed, and at least one is leaving, but none is live.
     Leaving,
     /// None is listed, or all are evacuated.
     Unavailable,
 }
 
 impl Dispatcher {
-    /// Refuses what ran out of time, forgets what is old and gives free
-    /// endpoints work. True where this process seems to have been paused.
+    /// Refuses expired requests, drops outdated state and starts waiting requests. Returns true if
+    /// the process appears to have been suspended.
     pub fn tick(&mut self, now: Time) -> bool {
         let paused = self.ticked_at > Time(0) && now.since(self.ticked_at) > MIN_PROCESS_PAUSE;
         if paused {
@@ -61,8 +61,7 @@
         paused
     }
 
-    /// Arranges cells anew, now and then, and looks who owns what: nodes and endpoints
-    /// come and go.
+    /// Periodically rearranges cells and slot ownership, as nodes and endpoints come and go.
     fn arrange(&mut self, now: Time) {
         if now.since(self.arranged_at) < ARRANGE_INTERVAL {
             return;
@@ -80,7 +79,7 @@
     fn refuse_expired(&mut self, now: Time, target: &id::Target) {
         let least = self.options.policy.least_left;
         while let Some(pool) = self.pools.get_mut(target) {
-            // What could not bring anything any more in time is not begun.
+            // A request that cannot be answered in time is not started.
             let answer = pool.typical_response_time();
             let Some(id) = pool.queue.expired_opt(now + least.max(answer)) else {
                 return;
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Notes whether a service has an open endpoint.
+    /// Records whether a service has an open endpoint.
     fn note_open(&mut self, now: Time, target: &id::Target) {
         if let Some(pool) = self.pools.get_mut(target)
             && pool.workers.iter().any(Worker::is_open)
@@ -104,8 +103,8 @@
         }
     }
 
-    /// With no endpoint at all where a request may run, waiting beyond the objective
-    /// helps nobody; where all have said that they leave, waiting at all.
+    /// Refuses requests that no endpoint can run: at once if endpoints are leaving and none is
+    /// live, otherwise after their objective.
     fn refuse_without_endpoint(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target) else {
             return;
@@ -131,8 +130,8 @@
         }
     }
 
-    /// What a caller is told whose request no endpoint can run, where the service was
-    /// closed for so long.
+    /// Builds the refusal of a request that no endpoint can run. `closed_for` is how long the
+    /// service has had no open endpoint.
     fn without_endpoint(&self, now: Time, job: &Job, closed_for: Span) -> Refusal {
         let outage = now.since(job.arrived).max(closed_for);
         let retry_after = self.retry_after_estimate(now, outage, job.deadline.since(now));
@@ -147,7 +146,7 @@
         }
     }
 
-    /// What a request may expect of the endpoints where it may run.
+    /// Determines the state of the endpoints that may run a request.
     fn availability(&self, pool: &Pool, job: &Job) -> Availability {
         let workers = pool.workers.iter();
         let mut near = workers.filter(|worker| worker.listed && self.may_run_at(job, worker));
--- a/crates/dispatch/src/duration.rs
+++ b/crates/dispatch/src/duration.rs
@@ -1,33 +1,33 @@
-//! How long whole answers of each route take, learnt from those that ended.
+//! Learns how long whole answers of each route take.
 
 use std::collections::HashMap;
 
 use woadstage_types::unit::Span;
 
-/// Weights of one observation in the mean and in the deviation, and how many
-/// deviations above the mean nearly all lie (the estimator of RFC 6298).
+/// The weights of one observation in the mean and in the deviation, and the number of deviations
+/// above the mean that covers nearly all answers (the estimator of RFC 6298).
 const MEAN_WEIGHT: f64 = 0.125;
 const DEVIATION_WEIGHT: f64 = 0.25;
 const MAX_DEVIATIONS: f64 = 4.0;
 
-/// Routes that are told apart; others count as never seen.
+/// The maximum number of routes. Routes beyond it are not tracked.
 const MAX_ROUTES: usize = 256;
 
-/// What was seen of one route, in microseconds.
+/// The estimate of one route, in microseconds.
 #[derive(Debug)]
 struct Estimate {
     mean: f64,
     deviation: f64,
 }
 
-/// What was seen of each route.
+/// The durations of each route.
 #[derive(Debug, Default)]
 pub struct Durations {
     routes: HashMap<String, Estimate>,
 }
 
 impl Durations {
-    /// Learns from a request that got its whole answer, from its arrival on.
+    /// Records the duration of a request from its arrival to the end of its whole answer.
     pub fn learn(&mut self, route: &str, took: Span) {
         let took = took.0 as f64;
         if let Some(estimate) = self.routes.get_mut(route) {
@@ -45,8 +45,7 @@
         }
     }
 
-    /// The time within which nearly all requests of a route are over; nothing
-    /// where none was seen.
+    /// The time within which nearly all requests of a route finish, or `None` if none was observed.
     pub fn upper_bound_opt(&self, route: &str) -> Option<Span> {
         let estimate = self.routes.get(route)?;
         Some(Span(
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -1,4 +1,4 @@
-//! One request, from its arrival to its final answer.
+//! A request, from its arrival to its final answer.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 use crate::lease::Origin;
 use crate::region::Bound;
 
-/// Names a request within one life of one node.
+/// Identifies a request within one incarnation of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// Names all requests that ask for the same: of one method, host, path, customer
-/// and body. Each attempt of a caller has an id of its own; this stays.
+/// Identifies all requests for the same thing: those with the same method, host, path, customer and
+/// body. Each attempt of a caller has its own id but the same fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
@@ -33,147 +33,144 @@
     }
 }
 
-/// A part of a prompt, which other requests may begin with too.
+/// A part of a prompt, which other prompts may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Its name.
+    /// The identifier of its content.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u64,
 }
 
-/// What a caller says of a request for an engine.
+/// What a caller declares about a request for an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// Tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub tokens: u64,
-    /// The most tokens of the answer.
+    /// The maximum number of tokens in the answer.
     pub output: u64,
-    /// The caller's estimate of the tokens of the answer.
+    /// The caller's estimate of the number of tokens in the answer.
     pub output_hint: Option<u64>,
     /// The prompt's parts, in order.
     pub parts: Vec<Part>,
 }
 
-/// A request that is to be run.
+/// A request to be run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
     /// What it asks for.
     pub fingerprint: Fingerprint,
-    /// The service.
+    /// The service that it is for.
     pub target: id::Target,
-    /// The name of its route, under which its usual length is learnt.
+    /// The name of its route, under which typical durations are learnt.
     pub route: String,
-    /// Its rank.
+    /// Its rank in the queue.
     pub rank: Rank,
-    /// True where running it twice does no harm.
+    /// Whether it is safe to run more than once.
     pub repeatable: bool,
-    /// The most endpoints it may be sent to.
+    /// The maximum number of endpoints that it may be sent to.
     pub attempts: u32,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Time,
-    /// When its caller first tried, as far as that is known.
+    /// When its caller first tried, as far as known.
     pub first_try: Time,
-    /// When its caller, or its route, gives it up.
+    /// When its caller or its route gives it up.
     pub deadline: Time,
-    /// Within which time from its caller's first try its answer is in time.
+    /// The time from its caller's first try within which its answer meets the objective.
     pub objective: Span,
-    /// How long its caller waits for the answer, or its first event.
+    /// How long its caller waits for the answer or for its first event.
     pub patience: Span,
-    /// The longest pause between two events that still counts as in time.
+    /// The longest pause between two events that still meets the objective.
     pub pause: Option<Span>,
-    /// What an engine would read and write for it.
+    /// What an engine reads and writes for it.
     pub prompt: Prompt,
-    /// What was tried so far.
+    /// The attempts made so far.
     pub history: History,
-    /// The node that has the request, where it is another.
+    /// The node that holds the request, if not this one.
     pub origin: Option<Origin>,
-    /// The number of the only endpoint that may run it, where that is decided.
+    /// The number of the only endpoint that may run it, if restricted to one.
     pub only: Option<u32>,
-    /// Numbers of endpoints that want nothing from the node that has the request, where
-    /// that is another.
+    /// The numbers of endpoints that rest for the node that holds the request, if not this one.
     pub avoided: Vec<u32>,
-    /// True where it is barred, and is tried once more.
+    /// Whether it is barred by the quarantine and runs as a trial.
     pub trial: bool,
-    /// In which regions it may run. Of another node's request only that node knows.
+    /// The regions in which it may run. Only the node that holds the request knows them.
     pub bound: Bound,
 }
 
 impl Job {
-    /// True until it was offered to an endpoint: only then may it be refused at
-    /// the door.
+    /// Whether it was never offered to an endpoint. Only such a request may be refused on arrival.
     pub fn is_untried(&self) -> bool {
         self.history == History::default()
     }
 
-    /// True where its caller comes back: refusing it once more would be the end
-    /// of it.
+    /// Whether its caller has tried before. Another refusal would be the last.
     pub fn is_caller_retry(&self) -> bool {
         self.first_try < self.arrived
     }
 
-    /// True where a further attempt may follow the next one.
+    /// Whether another attempt may follow the next one.
     pub fn has_spare_attempt(&self) -> bool {
         self.history.sent + 1 < self.attempts
     }
 
-    /// Until when its answer, or its first event, is in time.
+    /// The time until which its answer or first event meets the objective.
     pub fn objective_deadline(&self) -> Time {
         self.first_try + self.objective
     }
 
-    /// When it is of no use to its caller any more if nothing has come.
+    /// The time after which it is of no use to its caller if nothing has arrived by then.
     pub fn expires_at(&self) -> Time {
         self.deadline.min(self.arrived + self.patience)
     }
 }
 
-/// What was tried for a request so far.
+/// The attempts made for a request so far.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct History {
-    /// Numbers of endpoints that it was offered to, which are not tried again.
+    /// The numbers of endpoints that it was offered to; they are not tried again.
     pub tried: Vec<u32>,
-    /// Endpoints that at least a byte of it was sent to.
+    /// The number of endpoints that received at least one byte of it.
     pub sent: u32,
-    /// Attempts at connecting that failed.
+    /// The number of failed connection attempts.
     pub connect_failures: u32,
-    /// True once an endpoint may have run it.
+    /// Whether an endpoint may have run it.
     pub may_have_run: bool,
-    /// True once it was sent and its connection broke.
+    /// Whether a connection broke after it was sent.
     pub connection_broke: bool,
 }
 
-/// How one attempt at running a request ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// The whole answer came, of a request that ran to a good end.
+    /// The whole answer arrived, and the request succeeded.
     Whole,
-    /// The whole answer came, and says that there is something wrong with the request.
+    /// The whole answer arrived and says that the request is invalid.
     Rejected,
     /// No byte of the request was written.
     NotSent,
-    /// The endpoint said that it did not run it, for want of room.
+    /// The endpoint reported that it did not run the request for lack of capacity.
     Full,
-    /// The endpoint said that it did not run it since it is not the one meant,
-    /// or is leaving.
+    /// The endpoint reported that it did not run the request because it is not the one addressed or
+    /// is leaving.
     NotThere,
-    /// The endpoint ran it and answered with a fault of its own.
+    /// The endpoint ran the request and answered with an error of its own.
     Fault,
-    /// It was sent, and the connection broke before the whole answer came.
+    /// The request was sent, and the connection broke before the whole answer arrived.
     Lost,
-    /// It was sent, and its time ran out before the whole answer came.
+    /// The request was sent, and its time ran out before the whole answer arrived.
     Late,
-    /// The caller left, or its time ran out.
+    /// The caller left or its time ran out.
     Abandoned,
 }
 
 impl End {
-    /// True where the request certainly has not run.
+    /// Whether the request certainly did not run.
     pub fn is_not_run(self) -> bool {
         matches!(self, End::NotSent | End::Full | End::NotThere)
     }
 
-    /// The word for logs and metrics.
+    /// The name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             End::Whole => "whole",
--- a/crates/dispatch/src/prefix_cache.rs
+++ b/crates/dispatch/src/prefix_cache.rs
@@ -1,7 +1,7 @@
-//! Which endpoint has read which prompt. Parts of prompts come in a fixed
-//! order, so a prompt is known by the chain of its parts' names; endpoints keep
-//! what they read for a while, and sending the same prompt there again saves
-//! reading it. What stands here are hints: a wrong one costs a read.
+//! Tracks which endpoints have prompt prefixes in their cache. Parts of prompts have a fixed order,
+//! so a prefix is identified by a hash chain over its parts. Endpoints keep what they read for a
+//! while, and sending the same prompt there again saves reading it. The entries are hints: a wrong
+//! one costs one read.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -12,12 +12,12 @@
 
 use crate::job::Part;
 
-/// Bounds of the hints.
+/// Settings of the prefix cache.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Prompts remembered.
+    /// The maximum number of prefixes.
     pub limit: usize,
-    /// How long a hint is believed.
+    /// How long an entry is believed.
     pub ttl: Span,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Endpoints kept for one prompt.
+/// The number of endpoints kept for each prefix.
 const ENDPOINTS_PER_PROMPT: usize = 4;
 
 #[derive(Debug, Default)]
@@ -39,7 +39,7 @@
     last_used: Time,
 }
 
-/// Hints, bounded in number; those unused for longest go first.
+/// The known prefixes, bounded in number. The least recently used are evicted first.
 #[derive(Debug)]
 pub struct PrefixCache {
     options: Options,
@@ -47,7 +47,7 @@
     order: VecDeque<(u64, Time)>,
 }
 
-/// The chain of a prompt's parts: each with the tokens up to its end.
+/// Returns the hash chain of a prompt's parts, each with the number of tokens up to its end.
 pub fn chain(parts: &[Part]) -> Vec<(u64, u64)> {
     let mut key = 0;
     let mut tokens = 0;
@@ -60,7 +60,7 @@
 }
 
 impl PrefixCache {
-    /// No hints.
+    /// Creates an empty cache.
     pub fn new(options: Options) -> PrefixCache {
         PrefixCache {
             options,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Notes that an endpoint read a prompt.
+    /// Records that an endpoint read a prompt.
     pub fn record(&mut self, now: Time, chain: &[(u64, u64)], endpoint: u32) {
         for (key, _) in chain {
             let hint = self.hints.entry(*key).or_default();
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Drops all hints of an endpoint that is gone.
+    /// Removes all entries of an endpoint that is gone.
     pub fn remove_endpoint(&mut self, endpoint: u32) {
         for hint in self.hints.values_mut() {
             hint.endpoints.retain(|(known, _)| *known != endpoint);
         }
     }
 
-    /// Tokens of a prompt that an endpoint is believed to hold.
+    /// Returns how many tokens of a prompt an endpoint is believed to have cached.
     pub fn cached_tokens(&self, now: Time, chain: &[(u64, u64)], endpoint: u32) -> u64 {
         let ttl = self.options.ttl;
         let holds = |key: &u64| {
@@ -114,19 +114,19 @@
         held.last().map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// True where the whole prompt was read before, wherever that was.
+    /// Whether the whole prompt was read before, by any endpoint.
     pub fn contains(&self, chain: &[(u64, u64)]) -> bool {
         chain
             .last()
             .is_some_and(|(key, _)| self.hints.contains_key(key))
     }
 
-    /// Prompts remembered.
+    /// The number of prefixes.
     pub fn len(&self) -> usize {
         self.hints.len()
     }
 
-    /// True when none is remembered.
+    /// Whether no prefix is known.
     pub fn is_empty(&self) -> bool {
         self.hints.is_empty()
     }
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -1,5 +1,4 @@
-//! What waits for an endpoint of one service: ranks in strict order, within a
-//! rank by the time of each caller's first try.
+//! The queue of a service: by rank, and within a rank by the time of each caller's first try.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,8 +10,8 @@
 use crate::job;
 use crate::job::Job;
 
-/// The place of a request in line: by rank, those that can be in time before
-/// those that cannot, and then by the caller's first try.
+/// The position of a request in the queue: by rank, then those that can meet their objective before
+/// those that cannot, then by the caller's first try.
 type Position = (Rank, bool, Time, job::Id);
 
 /// The requests that wait for one service.
@@ -23,13 +22,13 @@
     expiries: BTreeSet<(Time, job::Id)>,
     objectives: BTreeSet<(Time, job::Id)>,
     counts: BTreeMap<Rank, usize>,
-    /// Since when something has waited in each rank without a gap.
+    /// Since when each rank has had waiting requests without interruption.
     busy_since: BTreeMap<Rank, Time>,
 }
 
 impl Queue {
-    /// Puts a request in line. Those that were refused before go first among what
-    /// is as late in their rank, since for them another refusal would be the last.
+    /// Adds a request. Ordering by first try puts requests that were refused before ahead of others
+    /// in their rank, because another refusal would be their last.
     pub fn push(&mut self, now: Time, id: job::Id, job: Job) {
         let position = (job.rank, false, job.first_try, id);
         self.positions.insert(id, position);
@@ -43,12 +42,12 @@
         self.jobs.insert(position, job);
     }
 
-    /// A request that waits.
+    /// Returns a waiting request.
     pub fn get(&self, id: job::Id) -> Option<&Job> {
         self.jobs.get(self.positions.get(&id)?)
     }
 
-    /// Takes a request out of line.
+    /// Removes a request.
     pub fn remove(&mut self, id: job::Id) -> Option<Job> {
         let position = self.positions.remove(&id)?;
         let job = self.jobs.remove(&position)?;
@@ -60,8 +59,7 @@
         Some(job)
     }
 
-    /// Puts requests whose objective has passed behind those of their rank that
-    /// can still be in time.
+    /// Moves requests whose objective has passed behind those of their rank that can still meet it.
     pub fn demote_late(&mut self, now: Time) {
         while let Some((objective, id)) = self.objectives.first().copied() {
             if objective > now {
@@ -79,47 +77,47 @@
         }
     }
 
-    /// A request that is of no use to its caller any more after `now`.
+    /// Returns a request that is of no use to its caller after `now`.
     pub fn expired_opt(&self, now: Time) -> Option<job::Id> {
         let (expiries, id) = self.expiries.first()?;
         (*expiries <= now).then_some(*id)
     }
 
-    /// When the first that waits in a rank arrived.
+    /// Returns when the first request in a rank arrived.
     pub fn first_arrival_opt(&self, rank: Rank) -> Option<Time> {
         let from = (rank, false, Time(0), job::Id(0));
         let (position, job) = self.jobs.range(from..).next()?;
         (position.0 == rank).then_some(job.arrived)
     }
 
-    /// Since when something has waited in a rank without a gap, if anything does.
+    /// Returns since when a rank has had waiting requests without interruption, if it has any.
     pub fn busy_since_opt(&self, rank: Rank) -> Option<Time> {
         let since = self.busy_since.get(&rank).copied();
         since.filter(|_| self.count(rank) > 0)
     }
 
-    /// Requests that wait in one rank.
+    /// The number of requests waiting in a rank.
     pub fn count(&self, rank: Rank) -> usize {
         self.counts.get(&rank).copied().unwrap_or(0)
     }
 
-    /// What waits, in its order.
+    /// Iterates over the waiting requests in order.
     pub fn iter(&self) -> impl Iterator<Item = (job::Id, &Job)> + '_ {
         self.jobs.iter().map(|((_, _, _, id), job)| (*id, job))
     }
 
-    /// How many wait in each rank.
+    /// Iterates over the ranks with waiting requests and their number.
     pub fn counts(&self) -> impl Iterator<Item = (Rank, usize)> + '_ {
         let counts = self.counts.iter().filter(|(_, count)| **count > 0);
         counts.map(|(rank, count)| (*rank, *count))
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// True when nothing waits.
+    /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
--- a/crates/dispatch/src/turnaround.rs
+++ b/crates/dispatch/src/turnaround.rs
@@ -1,41 +1,39 @@
-//! How long a slot of a plain service stands idle between two requests because its
-//! owner is another node than the one that uses it: the end of a call goes to the
-//! owner, the grant to the next node, and its request to the endpoint.
+//! Learns how long a slot of a plain service stays idle between two requests when another node than
+//! its owner uses it: the end of a call is reported to the owner, the owner grants the slot to the
+//! next node, and that node sends its request to the endpoint.
 //!
-//! By Little's law an endpoint works on as many requests as it is given, times the
-//! part of that time for which it has them. To be kept busy it is given more than
-//! its slots, by as much as the time from grant to return is longer than the call.
-//! Calls that queue at the endpoint make both times longer and the difference
-//! matter less, so the number falls back by itself.
+//! By Little's law, the number of requests an endpoint works on is the number it is given times the
+//! share of that time in which it has them. To stay busy it is given more requests than it has
+//! slots, in proportion to how much longer a slot is held than the call takes. When calls queue at
+//! the endpoint, both times grow and their ratio falls, so the number corrects itself.
 //!
-//! Answers the load of a plain service whose calls are short beside the way between
-//! nodes. With three endpoints of six slots and calls of 15 ms, used by 79 nodes,
-//! slots stood idle for 7 of 25 ms.
+//! This matters for plain services whose calls are short compared with the latency between nodes.
+//! With three endpoints of six slots and calls of 15 ms, used by 79 nodes, slots stood idle for 7
+//! of 25 ms.
 
 use woadstage_types::unit::Span;
 
-/// Weight of one call in what is usual: some thirty calls, a tenth of a second of a
-/// service under load.
+/// The weight of one call in the averages. About thirty calls count, which a service under load
+/// gets in a tenth of a second.
 const SAMPLE_WEIGHT: f64 = 0.03;
 
-/// The most that an endpoint is given beyond its slots, as a part of them. What waits
-/// there cannot be put in another order any more, and where the estimate is wrong
-/// (calls that end on a node that is slow to report) this much waits.
+/// The maximum number of requests beyond its slots that an endpoint is given, as a ratio of its
+/// slots. Requests queued there can no longer be reordered, and this many wait if the estimate is
+/// wrong, for example because a node is slow to report the end of its calls.
 const MAX_OVERCOMMIT_RATIO: f64 = 0.5;
 
-/// The usual times of calls in slots of one service that other nodes use.
+/// The typical times of calls by other nodes in slots of one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Turnaround {
-    /// From the grant of a slot until its owner hears that it is free, in
-    /// microseconds; zero until a call was seen.
+    /// The time from the grant of a slot until its owner hears that it is free, in microseconds.
+    /// Zero until a call was observed.
     held: f64,
-    /// The part of it for which the node had the call under way, in microseconds.
+    /// The part of that time in which the call was in progress, in microseconds.
     used: f64,
 }
 
 impl Turnaround {
-    /// Learns from a call whose slot was `held` for so long and `used` for a part
-    /// of that.
+    /// Records a call whose slot was `held` for a time and `used` for part of it.
     pub fn learn(&mut self, held: Span, used: Span) {
         let (held, used) = (held.0 as f64, used.0 as f64);
         if self.held == 0.0 {
@@ -46,8 +44,8 @@
         self.used += (used - self.used) * SAMPLE_WEIGHT;
     }
 
-    /// Requests beyond its slots that an endpoint is given to keep it busy; none
-    /// until calls were seen.
+    /// The number of requests beyond its slots that keep an endpoint busy. Zero until a call was
+    /// observed.
     pub fn overcommit(&self, slots: u32) -> u32 {
         if self.used <= 0.0 {
             return 0;
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -1,5 +1,4 @@
-//! What one node has learnt of one endpoint: what it runs for us and for the
-//! others, how fast it has been, and whether it takes work.
+//! The state that a node tracks for an endpoint: its load, its speed and whether it accepts work.
 
 use std::sync::Arc;
 
@@ -12,22 +11,22 @@
 use crate::rate_limit;
 use crate::rest;
 
-/// Bounds of what is learnt.
+/// Settings for tracking endpoint state.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// First rest after a failure; doubles up to [`Options::rest_limit`].
+    /// The backoff after the first failure. Doubles up to [`Options::max_backoff`].
     pub initial_backoff: Span,
-    /// Longest rest after failures.
+    /// The longest backoff after failures.
     pub max_backoff: Span,
-    /// Silence, with work in progress, after which an endpoint gets no more.
+    /// The time without progress, with requests in flight, after which an endpoint gets no more
+    /// requests.
     pub stall_timeout: Span,
-    /// Time in which half of what was learnt of an endpoint is forgotten while
-    /// it has nothing to do.
+    /// The time in which half of what was learnt about an idle endpoint is forgotten.
     pub half_life: Span,
-    /// How long an endpoint that said it was full gets nothing.
+    /// How long an endpoint that reported to be full gets no requests.
     pub full_backoff: Span,
-    /// How long others are told of an endpoint that is gone: until lists lack
-    /// it too.
+    /// How long other nodes are told that an endpoint is gone. Covers the time until endpoint lists
+    /// no longer contain it.
     pub gone_report_period: Span,
 }
 
@@ -44,116 +43,116 @@
     }
 }
 
-/// Weight of a new observation of speed.
+/// The weight of a new observation of speed.
 const PACE_WEIGHT: f64 = 0.2;
 
-/// Weight of a pause shorter than the step that is believed, and of a longer
-/// one: about one pause in seven is shorter than where the two balance.
+/// The weights of a pause below and above the current step estimate. They balance where about one
+/// pause in seven is shorter.
 const SHORTER_STEP_WEIGHT: f64 = 0.3;
 const LONGER_STEP_WEIGHT: f64 = 0.05;
 
-/// How many times the step a single pause counts at the most.
+/// The longest pause that is counted, in steps.
 const MAX_STEP_RATIO: f64 = 4.0;
 
-/// Weight of a new observation of whether a call succeeded.
+/// The weight of a new observation of whether a call succeeded.
 const OUTCOME_WEIGHT: f64 = 0.15;
 
-/// The least that a call's or a step's time counts as a multiple of the usual.
+/// The minimum ratio of a call's or step's time to the typical one that is counted.
 pub const MIN_PACE: f64 = 0.1;
 
-/// The most that it counts: what lies beyond says that something stood still,
-/// not how fast the endpoint is.
+/// The maximum ratio that is counted. Beyond it the endpoint stalled rather than being slow.
 pub const MAX_PACE: f64 = 20.0;
 
-/// The part of a half-life after which it is worth forgetting a little more.
+/// The part of a half-life below which values are not updated.
 const MIN_DECAY_HALF_LIVES: f64 = 0.05;
 
-/// How often the rest after a failure doubles; the longest rest ends it sooner.
+/// The maximum number of times the backoff doubles; [`Options::max_backoff`] usually limits it
+/// earlier.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
-/// Nodes that must say that an endpoint cannot be connected to before one that
-/// saw no failure itself believes it: a single node may be cut off from it.
+/// The number of nodes that must report an endpoint as unreachable before a node that saw no
+/// failure itself believes it. A single node may be cut off from the endpoint.
 const MIN_UNREACHABLE_REPORTS: u32 = 2;
 
-/// How long a call that worked outweighs what others say.
+/// How long a successful call outweighs the reports of other nodes.
 const SUCCESS_VALID_FOR: Span = Span::from_millis(500);
 
-/// Calls that break in a row, among calls that worked within [`PROVED_FOR`],
-/// before work is kept away: an endpoint that loses one answer in twenty would
-/// otherwise stand still for half of the time where one node sees all its calls
-/// (worked out: 40 calls a second, two of which break, and 300 ms for each).
+/// The number of consecutive broken calls after which an endpoint backs off, while other calls
+/// succeeded within [`SUCCESS_VALID_FOR`]. Otherwise an endpoint that loses one answer in twenty
+/// would be unused for half of the time where one node sees all its calls (40 calls a second, two
+/// of which break, and a backoff of 300 ms for each).
 const BREAKS_BEFORE_BACKOFF: u32 = 3;
 
-/// How many other nodes say what of an endpoint.
+/// The number of other nodes that report each kind of problem with an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Reports {
-    /// That calls to it broke.
+    /// Nodes whose calls to it broke.
     pub failing: u32,
-    /// That it cannot be connected to.
+    /// Nodes that cannot connect to it.
     pub unreachable: u32,
-    /// That it is gone for good.
+    /// Nodes that found it gone for good.
     pub gone: u32,
 }
 
-/// An endpoint, as one node knows it.
+/// The state of an endpoint as tracked by one node.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// What the platform says of it.
+    /// The endpoint as listed by the platform.
     pub endpoint: Arc<Endpoint>,
-    /// The number by which nodes name it.
+    /// The number that identifies it between nodes.
     pub number: u32,
-    /// False once the platform lists it no more.
+    /// Whether the platform still lists it.
     pub listed: bool,
-    /// True where its data centre is evacuated.
+    /// Whether its data centre is evacuated.
     pub evacuated: bool,
     /// Whether it is cold.
     pub cold: cold::State,
-    /// How many requests a second it says it takes.
+    /// The rate limit that it announced, if any.
     pub rate_limit: rate_limit::State,
-    /// True where it said in an answer that it leaves.
+    /// Whether it announced in an answer that it is leaving.
     pub leaving: bool,
-    /// How long it wants nothing from this node.
+    /// Whether it asked this node to send nothing for a while.
     pub rest: rest::State,
-    /// True where it belongs to this node's cell.
+    /// Whether it belongs to this node's cell.
     pub own_cell: bool,
-    /// Requests in progress that we sent.
+    /// Requests of this node in progress.
     pub running: u32,
-    /// Prompt tokens that we sent and of which no event was seen.
+    /// Prompt tokens of this node's requests that have no event yet.
     pub pending: u64,
-    /// Requests in progress that others sent.
+    /// Requests of other nodes in progress.
     pub remote_running: u32,
-    /// Prompt tokens that others sent and of which they saw no event.
+    /// Prompt tokens of other nodes' requests that have no event yet.
     pub remote_pending: u64,
-    /// What other nodes say that keep work away from it.
+    /// The problems reported by other nodes.
     pub remote_reports: Reports,
-    /// True where its last failure was that it could not be connected to.
+    /// Whether a connection could not be established at its last failure.
     pub unreachable: bool,
-    /// When another answered in its place: it is gone, whatever lists say.
+    /// When another endpoint answered at its address. It is then gone, whatever the lists say.
     pub gone_at: Option<Time>,
-    /// When a call to it last worked.
+    /// When a call to it last succeeded.
     pub last_success: Option<Time>,
-    /// Its time for a call, as a multiple of the usual one. Of an engine it is
-    /// its time for a step, and follows [`Worker::step`].
+    /// Its time for a call as a multiple of the typical one. For an engine, the ratio of steps,
+    /// which follows [`Worker::step_us`].
     pub pace: f64,
-    /// An engine's time between two events of a stream while no prompt is read
-    /// beside it, in microseconds; none until a stream was seen.
+    /// An engine's time between two events of a stream while it reads no prompt, in microseconds.
+    /// `None` until a stream was observed.
     pub step_us: Option<f64>,
-    /// The share of calls that it spoilt lately.
+    /// The share of recent calls that failed.
     pub failure_rate: f64,
-    /// Calls that broke since one last worked.
+    /// Calls that broke since the last success.
     consecutive_breaks: u32,
-    /// Failures in a row that kept work away.
+    /// Consecutive failures that caused a backoff.
     pub consecutive_failures: u32,
-    /// No work before this time.
+    /// The time until which it gets no work.
     pub backoff_until: Time,
-    /// When it last showed progress, or got work after none.
+    /// When it last made progress or became busy after being idle.
     pub last_progress: Time,
-    /// When `pace` and `failing` were last brought up to date.
+    /// When `pace` and `failure_rate` were last updated.
     updated_at: Time,
 }
 
 impl Worker {
-    /// An endpoint of which nothing was learnt.
+    /// Creates the state of an endpoint without observations.
     pub fn new(endpoint: Arc<Endpoint>) -> Worker {
         Worker {
             number: endpoint.to_number(),
@@ -184,12 +183,12 @@
         }
     }
 
-    /// Requests in progress, ours and others'.
+    /// Requests in progress, of this node and others.
     pub fn busy(&self) -> u32 {
         self.running + self.remote_running
     }
 
-    /// Counts a request in.
+    /// Adds a request to its load.
     pub fn start(&mut self, now: Time, uncached: u64) {
         if self.running == 0 {
             self.last_progress = now;
@@ -198,14 +197,14 @@
         self.pending += uncached;
     }
 
-    /// Counts a request out, with the prompt tokens that were still unread.
+    /// Removes a request from its load, with the prompt tokens that were still unread.
     pub fn end(&mut self, pending: u64) {
         self.running = self.running.saturating_sub(1);
         self.pending = self.pending.saturating_sub(pending);
     }
 
-    /// Forgets by and by what was learnt, so that an endpoint which was slow
-    /// or failing is tried again.
+    /// Gradually forgets what was learnt, so that an endpoint that was slow or failing is tried
+    /// again.
     pub fn decay(&mut self, now: Time, options: &Options) {
         let since = now.since(self.updated_at).as_secs_f64();
         let halves = since / options.half_life.as_secs_f64().max(1e-3);
@@ -219,15 +218,15 @@
         }
     }
 
-    /// Learns the pace from a step or a call that took `ratio` times the usual.
+    /// Updates the pace from a step or call that took `ratio` times the typical time.
     pub fn learn_pace(&mut self, now: Time, ratio: f64) {
         self.pace += (ratio.clamp(MIN_PACE, MAX_PACE) - self.pace) * PACE_WEIGHT;
         self.updated_at = now;
     }
 
-    /// Learns an engine's step from a pause between two events, in microseconds.
-    /// Prompts that are read beside a stream make its pauses longer and never
-    /// shorter, so a short one says more than a long one.
+    /// Updates an engine's step from a pause between two events, in microseconds. Reading prompts
+    /// beside a stream only ever makes its pauses longer, so short pauses have more weight than
+    /// long ones.
     pub fn learn_step(&mut self, now: Time, gap: f64) -> f64 {
         let step = match self.step_us {
             None => gap,
@@ -239,7 +238,7 @@
         step
     }
 
-    /// Counts a call that worked.
+    /// Records a successful call.
     pub fn record_success(&mut self, now: Time) {
         self.last_progress = now;
         self.last_success = Some(now);
@@ -248,16 +247,16 @@
         self.failure_rate -= self.failure_rate * OUTCOME_WEIGHT;
     }
 
-    /// Counts a call that was answered with a fault: some services answer so
-    /// to some requests, so this alone brings no rest.
+    /// Records a call answered with an error. Causes no backoff, because some services answer
+    /// certain requests that way.
     pub fn record_fault(&mut self, now: Time) {
         self.last_progress = now;
         self.failure_rate += (1.0 - self.failure_rate) * OUTCOME_WEIGHT;
         self.updated_at = now;
     }
 
-    /// Counts a call that broke or could not be made, and keeps work away for a
-    /// while; unless calls work there and just this one broke.
+    /// Records a call that broke or could not be made, and backs off unless other calls succeed and
+    /// only this one broke.
     pub fn record_failure(&mut self, now: Time, unreachable: bool, options: &Options) {
         self.failure_rate += (1.0 - self.failure_rate) * OUTCOME_WEIGHT;
         self.updated_at = now;
@@ -275,44 +274,45 @@
         self.backoff_until = now + Span(doubled.min(options.max_backoff.0));
     }
 
-    /// Notes that it said it was full.
+    /// Records that the endpoint reported to be full.
     pub fn record_full(&mut self, now: Time, options: &Options) {
         self.last_progress = now;
         self.backoff_until = self.backoff_until.max(now + options.full_backoff);
     }
 
-    /// True while it has shown nothing for long though it has work.
+    /// Whether it has requests in progress and has made no progress for too long.
     pub fn is_stalled(&self, now: Time, options: &Options) -> bool {
         self.running > 0 && now.since(self.last_progress) > options.stall_timeout
     }
 
-    /// True while it names a rate limit.
+    /// Whether it announced a rate limit.
     pub fn is_rate_limited(&self) -> bool {
         self.rate_limit.limit_opt().is_some()
     }
 
-    /// True where it leaves, by the platform's word or by its own.
+    /// Whether it is leaving according to the platform or its own answers.
     pub fn is_leaving(&self) -> bool {
         self.endpoint.leaving || self.leaving
     }
 
-    /// True unless it is leaving or gone.
+    /// Whether it is listed and neither leaving nor gone.
     pub fn is_present(&self) -> bool {
         self.listed && !self.is_leaving() && self.gone_at.is_none()
     }
 
-    /// True unless it is to be sent nothing, whatever state it is in: it is
-    /// leaving, gone, or in an evacuated data centre.
+    /// Whether it may be sent requests at all: it is listed, neither leaving nor gone, and its data
+    /// centre is not evacuated.
     pub fn is_open(&self) -> bool {
         self.is_present() && !self.evacuated
     }
 
-    /// True while new work of this node may go there.
+    /// Whether this node may send it new requests.
     pub fn accepts_work(&self, now: Time, options: &Options) -> bool {
         self.is_lendable(now, options) && !self.rest.is_resting(now)
     }
 
-    /// True while its slots may be given to other nodes: its rest binds this one alone.
+    /// Whether its slots may be granted to other nodes. A rest that it asked of this node does not
+    /// apply to them.
     pub fn is_lendable(&self, now: Time, options: &Options) -> bool {
         self.is_open()
             && now >= self.backoff_until
@@ -320,8 +320,8 @@
             && !self.is_reported_down(now)
     }
 
-    /// True while it may turn away what is sent there: it did so lately, here or at another
-    /// node, and no call of this node worked since.
+    /// Whether it may reject requests: it did so recently, at this node or another, and none of
+    /// this node's calls has succeeded since.
     pub fn is_unconfirmed(&self, now: Time) -> bool {
         let proved = self
             .last_success
@@ -329,8 +329,8 @@
         self.rest.is_in_doubt(now) || (!proved && self.rest.is_in_doubt_elsewhere(now))
     }
 
-    /// True where others found it gone, or several could not connect to it, and
-    /// no call of ours worked lately. Those who say so try it again.
+    /// Whether others found it gone or several could not connect to it, and no call of this node
+    /// succeeded recently. The nodes that report it keep trying it.
     fn is_reported_down(&self, now: Time) -> bool {
         let proved = self
             .last_success
@@ -341,7 +341,7 @@
         !proved && (reports.gone > 0 || unreachable)
     }
 
-    /// What this node tells the others of it, if anything is wrong.
+    /// The problem to report to other nodes, if any.
     pub fn trouble(&self, now: Time, options: &Options) -> Option<Trouble> {
         if self
             .gone_at
