--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -86,7 +86,7 @@
         }
         match self.arbiter(now, &job) {
             Arbiter::Own { only } => {
-                job.only = only;
+                job.only_endpoint = only;
                 self.enqueue(now, id, job);
             }
             Arbiter::Other(asked) => {
@@ -376,15 +376,22 @@
             let worker = self.worker_opt(target, number);
             !worker.is_some_and(|worker| worker.accepts_work(now, &self.options.worker))
         };
-        let stuck =
-            waiting.filter(|(_, job)| job.origin.is_none() && job.only.is_some_and(is_stuck));
+        let stuck = waiting
+            .filter(|(_, job)| job.origin.is_none() && job.only_endpoint.is_some_and(is_stuck));
         let stuck: Vec<job::Id> = stuck.map(|(id, _)| id).collect();
         for id in stuck {
             let pool = self.pools.get_mut(target);
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 continue;
             };
-            self.submit(now, id, Job { only: None, ..job });
+            self.submit(
+                now,
+                id,
+                Job {
+                    only_endpoint: None,
+                    ..job
+                },
+            );
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -23,7 +23,7 @@
 impl Dispatcher {
     /// Marks the endpoints of evacuated data centres. When an evacuation ends, the endpoints are
     /// assumed to be cold because operators evacuate what they restart.
-    pub(super) fn note_evacuated(&mut self, now: Time, list: &List) {
+    pub(super) fn mark_evacuated(&mut self, now: Time, list: &List) {
         for pool in self.pools.values_mut() {
             let cold_for = pool.cold.map(|cold| cold.lasts).unwrap_or_default();
             for worker in &mut pool.workers {
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -118,7 +118,7 @@
         }
         let target = self.targets.get(&id).cloned();
         let pool = target.as_ref().and_then(|target| self.pools.get(target));
-        let only = pool.and_then(|pool| pool.queue.get(id)?.only);
+        let only = pool.and_then(|pool| pool.queue.get(id)?.only_endpoint);
         if target.is_some_and(|target| !self.may_lend(now, &target, only)) {
             self.end_remote(now, origin, job::End::Abandoned, Seen::default());
             self.reply(origin, Answer::Denied);
@@ -156,7 +156,7 @@
             origin: Some(origin),
             // In a fleet of one cell it says whose slots are asked for, of all that are
             // limited: any that this node owns will do.
-            only: request.endpoint.filter(|_| !self.members.cell().whole),
+            only_endpoint: request.endpoint.filter(|_| !self.members.cell().whole),
             avoided: request.avoided.clone(),
             trial: false,
             bound: Bound::default(),
@@ -194,7 +194,7 @@
         match report.event {
             Event::Held => {}
             Event::First => self.progress(now, id, 1),
-            Event::Progress => self.note_alive(now, id),
+            Event::Progress => self.record_remote_progress(now, id),
             Event::Cold { cold_for } => {
                 self.note_cold(now, id, cold_for);
             }
@@ -225,7 +225,7 @@
                 pool.turnaround.learn(now.since(run.started), used);
             }
             self.learn_reported_step(now, &run, seen.step);
-            self.close(now, run, end);
+            self.finish_attempt(now, run, end);
         }
         self.place(now, &target);
     }
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -85,7 +85,7 @@
 
     /// Records that another node's stream makes progress. If the report of its first event was
     /// lost, the time of that event is unknown and nothing is learnt from it.
-    pub(super) fn note_alive(&mut self, now: Time, id: job::Id) {
+    pub(super) fn record_remote_progress(&mut self, now: Time, id: job::Id) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
@@ -111,8 +111,8 @@
         };
         self.urgent |= run.lease.is_none();
         let target = run.job.target.clone();
-        self.note_outcome(now, &run, end);
-        let mut job = self.close(now, run, end);
+        self.update_quarantine(now, &run, end);
+        let mut job = self.finish_attempt(now, run, end);
         let next = match end {
             End::Whole | End::Rejected | End::Abandoned => Next::Over,
             _ => self.next_attempt(now, &mut job, end),
@@ -128,7 +128,7 @@
     }
 
     /// Updates the quarantine from the end of an attempt.
-    fn note_outcome(&mut self, now: Time, run: &Run, end: End) {
+    fn update_quarantine(&mut self, now: Time, run: &Run, end: End) {
         let fingerprint = run.job.fingerprint;
         match end {
             End::Whole => self.note_whole(now, fingerprint),
@@ -167,7 +167,7 @@
     }
 
     /// Removes an attempt from its endpoint's load and learns from how it ended.
-    pub(super) fn close(&mut self, now: Time, run: Run, end: End) -> Job {
+    pub(super) fn finish_attempt(&mut self, now: Time, run: Run, end: End) -> Job {
         if let Some(lease) = run.lease {
             let seen = lease::Seen {
                 events: run.shown,
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -94,16 +94,16 @@
         for (id, job) in pool.queue.iter().take(self.options.policy.look_ahead) {
             // Leaves the free slots to more protected requests that wait on other nodes, except for
             // slots that only this node hands out.
-            let before = elsewhere.range(..job.rank).map(|(_, count)| count);
-            let before: usize = before.sum();
-            let leave = before > 0 && before >= free as usize;
-            let may_take = |worker: &Worker| !leave || (one_cell && worker.is_rate_limited());
+            let higher_ranked = elsewhere.range(..job.rank).map(|(_, count)| count);
+            let higher_ranked: usize = higher_ranked.sum();
+            let reserve = higher_ranked > 0 && higher_ranked >= free as usize;
+            let may_take = |worker: &Worker| !reserve || (one_cell && worker.is_rate_limited());
             if let Some(candidate) =
                 self.cheapest(now, pool, job, self.overcommit(pool, job), may_take)
             {
                 return Some((id, candidate));
             }
-            if leave && !limited {
+            if reserve && !limited {
                 return None;
             }
         }
@@ -175,7 +175,9 @@
             if !worker.own_cell
                 || !self.is_usable(now, job, worker)
                 || !may_take(worker)
-                || job.only.is_some_and(|only| only != worker.number)
+                || job
+                    .only_endpoint
+                    .is_some_and(|only_endpoint| only_endpoint != worker.number)
                 || job.history.tried.contains(&worker.number)
                 || !self.may_run_at(job, worker)
             {
@@ -246,12 +248,12 @@
         };
         let output = job.prompt.output_hint.unwrap_or(job.prompt.output) as f64;
         let forecast = pool.forecast(worker, believed);
-        let writing = output * pool.step_us * worker.pace * policy.decode;
+        let decode_us = output * pool.step_us * worker.pace * policy.decode;
         Candidate {
             worker: at,
             uncached: unread,
             first_event_us: forecast.first_event_us,
-            cost_us: (forecast.first_event_us + writing) * jitter(worker, job)
+            cost_us: (forecast.first_event_us + decode_us) * jitter(worker, job)
                 + believed * policy.reread
                 + self.failure_cost(worker),
             should_wait: self.should_wait(now, pool, worker, job, forecast),
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -130,7 +130,7 @@
         for endpoint in ended {
             self.note_endpoint_ended(now, endpoint);
         }
-        self.note_evacuated(now, &list);
+        self.mark_evacuated(now, &list);
         self.forget_workers();
         self.assign_workers();
         self.count_others(now);
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -46,7 +46,7 @@
     /// Requests of this node in progress.
     pub running: u32,
     /// Requests of other nodes in progress, as reported by them.
-    pub others: u32,
+    pub running_elsewhere: u32,
     /// Endpoints of this node's cell that accept work now.
     pub usable: usize,
     /// Endpoints listed by the platform.
@@ -86,7 +86,7 @@
     }
 
     /// The configuration versions reported by other nodes, newest first.
-    pub fn configurations_heard(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
+    pub fn peer_configuration_versions(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
         self.members.configurations(now)
     }
 
@@ -103,12 +103,12 @@
     /// Whether the node can serve: it has the platform's configuration and endpoint list and is not
     /// stopping.
     pub fn is_ready(&self, now: Time) -> bool {
-        self.admitting_table_opt(now).is_some() && self.list.revision > 0 && !self.leaving
+        self.admission_table_opt(now).is_some() && self.list.revision > 0 && !self.leaving
     }
 
     /// The configuration used for admission. `None` without a configuration, or while other nodes
     /// may have a newer one.
-    pub fn admitting_table_opt(&self, now: Time) -> Option<&Arc<Table>> {
+    pub fn admission_table_opt(&self, now: Time) -> Option<&Arc<Table>> {
         self.table.as_ref().filter(|_| !self.is_catching_up(now))
     }
 
@@ -157,7 +157,7 @@
 
     /// Whether the requests that wait for a service on all nodes of the cell exceed the configured
     /// multiple of its usable endpoints.
-    pub fn is_pressed(&self, now: Time, target: &id::Target) -> bool {
+    pub fn is_backlogged(&self, now: Time, target: &id::Target) -> bool {
         self.pools.get(target).is_some_and(|pool| {
             let others = self.others_waiting(now, pool.number);
             let others: usize = others.map(|waiting| usize::from(waiting.count)).sum();
@@ -196,7 +196,7 @@
     /// The number of idle connections that this node may keep to one endpoint of a service: an even
     /// share of half of what the endpoint accepts from all nodes, but at least one. Endpoints reset
     /// connections beyond that, at the expense of whoever opens the next one.
-    pub fn connections_at_rest(&self, now: Time, target: &id::Target) -> usize {
+    pub fn max_idle_connections(&self, now: Time, target: &id::Target) -> usize {
         let service = self
             .table
             .as_ref()
@@ -217,7 +217,7 @@
     }
 
     /// Counts the other nodes that are heard, by protocol version.
-    pub fn heard_by_protocol(&self, now: Time) -> BTreeMap<Protocol, i64> {
+    pub fn peers_by_protocol(&self, now: Time) -> BTreeMap<Protocol, i64> {
         let mut heard = BTreeMap::new();
         for (_, member) in self.members.fresh(now) {
             *heard.entry(member.status.protocol).or_default() += 1;
@@ -232,7 +232,7 @@
             target: target.clone(),
             waiting: pool.queue.len(),
             running: pool.workers.iter().map(|worker| worker.running).sum(),
-            others: pool
+            running_elsewhere: pool
                 .workers
                 .iter()
                 .map(|worker| worker.remote_running)
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -50,8 +50,8 @@
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
         for target in targets {
             self.refuse_expired(now, &target);
-            self.note_open(now, &target);
-            self.refuse_without_endpoint(now, &target);
+            self.record_open(now, &target);
+            self.refuse_unservable(now, &target);
             self.resubmit_stuck(now, &target);
             self.resubmit_displaced(now, &target);
             self.place(now, &target);
@@ -95,7 +95,7 @@
     }
 
     /// Records whether a service has an open endpoint.
-    fn note_open(&mut self, now: Time, target: &id::Target) {
+    fn record_open(&mut self, now: Time, target: &id::Target) {
         if let Some(pool) = self.pools.get_mut(target)
             && pool.workers.iter().any(Worker::is_open)
         {
@@ -105,12 +105,12 @@
 
     /// Refuses requests that no endpoint can run: at once if endpoints are leaving and none is
     /// live, otherwise after their objective.
-    fn refuse_without_endpoint(&mut self, now: Time, target: &id::Target) {
+    fn refuse_unservable(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target) else {
             return;
         };
         let closed_for = pool.open_at.map_or(Span::ZERO, |at| now.since(at));
-        let hopeless = pool.queue.iter().filter(|(_, job)| {
+        let unservable = pool.queue.iter().filter(|(_, job)| {
             let waited = now.since(job.arrived) > job.objective;
             match self.availability(pool, job) {
                 Availability::Live => false,
@@ -118,21 +118,21 @@
                 Availability::Unavailable => waited,
             }
         });
-        let hopeless: Vec<job::Id> = hopeless.map(|(id, _)| id).collect();
-        for id in hopeless {
+        let unservable: Vec<job::Id> = unservable.map(|(id, _)| id).collect();
+        for id in unservable {
             let pool = self.pools.get_mut(target);
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 continue;
             };
             self.withdraw(id);
-            let refusal = self.without_endpoint(now, &job, closed_for);
+            let refusal = self.unservable_refusal(now, &job, closed_for);
             self.refuse(now, id, job.origin, refusal);
         }
     }
 
     /// Builds the refusal of a request that no endpoint can run. `closed_for` is how long the
     /// service has had no open endpoint.
-    fn without_endpoint(&self, now: Time, job: &Job, closed_for: Span) -> Refusal {
+    fn unservable_refusal(&self, now: Time, job: &Job, closed_for: Span) -> Refusal {
         let outage = now.since(job.arrived).max(closed_for);
         let retry_after = self.retry_after_estimate(now, outage, job.deadline.since(now));
         Refusal {
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -89,7 +89,7 @@
     /// The node that holds the request, if not this one.
     pub origin: Option<Origin>,
     /// The number of the only endpoint that may run it, if restricted to one.
-    pub only: Option<u32>,
+    pub only_endpoint: Option<u32>,
     /// The numbers of endpoints that rest for the node that holds the request, if not this one.
     pub avoided: Vec<u32>,
     /// Whether it is barred by the quarantine and runs as a trial.
--- a/crates/dispatch/tests/dispatch/connections.rs
+++ b/crates/dispatch/tests/dispatch/connections.rs
@@ -41,5 +41,5 @@
         dispatcher.hear(at(2), node(other), status);
     }
     let service = id::Target::new(SERVICE);
-    assert_eq!(dispatcher.connections_at_rest(at(3), &service), kept);
+    assert_eq!(dispatcher.max_idle_connections(at(3), &service), kept);
 }
--- a/crates/dispatch/tests/dispatch/evacuate.rs
+++ b/crates/dispatch/tests/dispatch/evacuate.rs
@@ -14,9 +14,9 @@
 use crate::support::dispatcher;
 use crate::support::endpoint;
 use crate::support::job;
-use crate::support::pass_on;
 use crate::support::refusals;
 use crate::support::starts;
+use crate::support::transfer_documents;
 
 fn in_centre(name: &str, centre: &str) -> Endpoint {
     Endpoint {
@@ -104,7 +104,7 @@
     let mut from = dispatcher(&endpoints());
     let mut to = dispatcher(&endpoints());
     from.set_endpoints(at(2), evacuated(2, true, &["a"]));
-    pass_on(&from, &mut to);
+    transfer_documents(&from, &mut to);
     assert_eq!(used(&mut to, 3), ["e-b"]);
 }
 
--- a/crates/dispatch/tests/dispatch/parts.rs
+++ b/crates/dispatch/tests/dispatch/parts.rs
@@ -22,11 +22,11 @@
 use woadstage_types::unit::Span;
 
 use crate::support::SERVICE;
-use crate::support::ask;
 use crate::support::at;
 use crate::support::options;
-use crate::support::pass_on;
+use crate::support::pull_from;
 use crate::support::route;
+use crate::support::transfer_documents;
 
 /// A long configuration.
 const ROUTES: u32 = 1_500;
@@ -121,12 +121,12 @@
 fn a_small_change_of_a_long_configuration_costs_little() {
     let newer = node(1, long(8, 1));
     let mut first = Dispatcher::new(options(2));
-    let whole = pass_on(&newer, &mut first);
+    let whole = transfer_documents(&newer, &mut first);
     let mut behind = node(3, long(7, 0));
-    let change = pass_on(&newer, &mut behind);
+    let change = transfer_documents(&newer, &mut behind);
     assert_eq!(in_force(&behind), in_force(&newer));
     assert!(change * 20 < whole, "{change} of {whole}");
-    let asked = postcard::to_extend(&ask(&newer, &mut node(4, long(7, 0))), Vec::new());
+    let asked = postcard::to_extend(&pull_from(&newer, &mut node(4, long(7, 0))), Vec::new());
     assert!(asked.expect("it can be written").len() < 4 << 10);
 }
 
@@ -134,14 +134,14 @@
 fn nothing_is_named_where_the_configuration_is_as_new() {
     let other = node(1, long(7, 0));
     let mut own = node(2, long(7, 0));
-    assert_eq!(ask(&other, &mut own).held, []);
+    assert_eq!(pull_from(&other, &mut own).held, []);
 }
 
 #[test]
 fn a_transfer_that_breaks_off_goes_on_at_another_node() {
     let (one, other) = (node(1, long(8, 1)), node(2, long(8, 1)));
     let mut behind = Dispatcher::new(options(3));
-    let snapshot = one.snapshot(&ask(&one, &mut behind));
+    let snapshot = one.snapshot(&pull_from(&one, &mut behind));
     let (parts, head) = (snapshot.parts, snapshot.head.expect("a head"));
     let (arrived, lost) = parts.split_at(parts.len() * 3 / 4);
     for part in arrived {
@@ -150,9 +150,9 @@
     // Not all of it is there.
     assert!(!behind.take_head(at(1), &head));
     assert_eq!(behind.configuration_version(), 0);
-    let rest = other.snapshot(&ask(&other, &mut behind));
+    let rest = other.snapshot(&pull_from(&other, &mut behind));
     assert_eq!(rest.parts, lost);
-    pass_on(&other, &mut behind);
+    transfer_documents(&other, &mut behind);
     assert_eq!(in_force(&behind), in_force(&other));
 }
 
@@ -160,10 +160,10 @@
 fn parts_of_a_version_in_between_serve_the_next() {
     let (old, next) = (node(1, long(7, 0)), node(2, long(8, 1)));
     let mut behind = Dispatcher::new(options(3));
-    for part in old.snapshot(&ask(&old, &mut behind)).parts {
+    for part in old.snapshot(&pull_from(&old, &mut behind)).parts {
         behind.keep_part(part);
     }
-    let rest = next.snapshot(&ask(&next, &mut behind));
+    let rest = next.snapshot(&pull_from(&next, &mut behind));
     assert!(rest.parts.len() <= 3, "{}", rest.parts.len());
 }
 
@@ -178,8 +178,8 @@
         }
     }
     let newest = node(2, long(9, 1));
-    assert!(ask(&newest, &mut behind).held.len() <= 512);
-    pass_on(&newest, &mut behind);
+    assert!(pull_from(&newest, &mut behind).held.len() <= 512);
+    transfer_documents(&newest, &mut behind);
     assert_eq!(in_force(&behind), in_force(&newest));
 }
 
@@ -201,16 +201,16 @@
         let newer = node(1, to_configuration(base + step, &new));
         let mut behind = node(2, to_configuration(base, &old));
         // A transfer that broke off before.
-        let broken = newer.snapshot(&ask(&newer, &mut behind)).parts;
+        let broken = newer.snapshot(&pull_from(&newer, &mut behind)).parts;
         let arrived = broken.len() * usize::from(lost) / 256;
         for part in broken.into_iter().take(arrived) {
             behind.keep_part(part);
         }
-        pass_on(&newer, &mut behind);
+        transfer_documents(&newer, &mut behind);
         assert_eq!(in_force(&behind), in_force(&newer));
         // And it can pass it on itself.
         let mut last = Dispatcher::new(options(3));
-        pass_on(&behind, &mut last);
+        transfer_documents(&behind, &mut last);
         assert_eq!(in_force(&last), in_force(&newer));
     }
 }
@@ -224,7 +224,7 @@
 fn who_was_given_a_configuration_names_it_as_who_gave_it() {
     let newer = node(1, long(8, 1));
     let mut behind = node(2, long(7, 0));
-    pass_on(&newer, &mut behind);
+    transfer_documents(&newer, &mut behind);
     assert_eq!(digest(&behind), digest(&newer));
 }
 
--- a/crates/dispatch/tests/dispatch/publish.rs
+++ b/crates/dispatch/tests/dispatch/publish.rs
@@ -22,8 +22,8 @@
 use crate::support::job;
 use crate::support::list;
 use crate::support::options;
-use crate::support::pass_on;
 use crate::support::starts;
+use crate::support::transfer_documents;
 
 #[test]
 fn nothing_is_ready_before_both_documents_are_known() {
@@ -54,13 +54,13 @@
     let mut older = Dispatcher::new(options(2));
     older.set_configuration(at(0), configuration(6));
     older.set_endpoints(at(0), list(10, &[]));
-    pass_on(&older, &mut own);
+    transfer_documents(&older, &mut own);
     assert_eq!(own.configuration_version(), 7);
     assert_eq!(own.edition().revision, 10);
     let mut newer = Dispatcher::new(options(3));
     newer.set_configuration(at(0), configuration(8));
     newer.set_endpoints(at(0), list(8, &[endpoint("e", SERVICE, 1)]));
-    pass_on(&newer, &mut own);
+    transfer_documents(&newer, &mut own);
     assert_eq!(own.configuration_version(), 8);
     assert_eq!(own.edition().revision, 10);
     // Nor does a head count that came late.
--- a/crates/dispatch/tests/dispatch/restore.rs
+++ b/crates/dispatch/tests/dispatch/restore.rs
@@ -20,8 +20,8 @@
 use crate::support::job;
 use crate::support::node;
 use crate::support::options;
-use crate::support::pass_on;
 use crate::support::starts;
+use crate::support::transfer_documents;
 
 fn list(era: u64, revision: u64, endpoints: &[Endpoint]) -> List {
     List {
@@ -207,13 +207,13 @@
     let mut reader = know(&[plain("a")]);
     set(&mut reader, at(1_000), list(2, 90, &[plain("b")]));
     let mut other = know(&[plain("a")]);
-    pass_on(&reader, &mut other);
+    transfer_documents(&reader, &mut other);
     assert_eq!(other.edition(), reader.edition());
     let mut behind = know(&[plain("c")]);
     // The other way it is not newer.
     let before = reader.edition();
     set(&mut behind, at(1), list(1, 5_000, &[plain("c")]));
-    pass_on(&behind, &mut reader);
+    transfer_documents(&behind, &mut reader);
     assert_eq!(reader.edition(), before);
 }
 
@@ -305,7 +305,7 @@
     publish(&mut reader, 2_000, (2, 99), &[plain("a")]);
     assert_eq!(used(&mut reader, at(2_100)), [""; 0]);
     let mut other = know(&[plain("a")]);
-    pass_on(&reader, &mut other);
+    transfer_documents(&reader, &mut other);
     for millis in (2_100..=13_000).step_by(100) {
         reader.tick(at(millis));
         other.tick(at(millis));
--- a/crates/dispatch/tests/dispatch/section.rs
+++ b/crates/dispatch/tests/dispatch/section.rs
@@ -17,7 +17,7 @@
 use crate::support::endpoint;
 use crate::support::list;
 use crate::support::options;
-use crate::support::pass_on;
+use crate::support::transfer_documents;
 
 /// So many endpoints, with names as long as they are in the field.
 fn many(count: u32) -> Vec<Endpoint> {
@@ -49,7 +49,7 @@
     let mut behind = node(1, 1, &endpoints);
     endpoints[7].leaving = true;
     let ahead = node(2, 2, &endpoints);
-    let bytes = pass_on(&ahead, &mut behind);
+    let bytes = transfer_documents(&ahead, &mut behind);
     assert_eq!(by_name(behind.endpoints()), by_name(ahead.endpoints()));
     assert!(bytes <= most, "{bytes} bytes");
 }
@@ -58,7 +58,7 @@
 fn a_node_without_a_list_is_given_all_of_it() {
     let ahead = node(2, 2, &many(166));
     let mut new = Dispatcher::new(options(1));
-    pass_on(&ahead, &mut new);
+    transfer_documents(&ahead, &mut new);
     assert_eq!(by_name(new.endpoints()), by_name(ahead.endpoints()));
 }
 
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -75,8 +75,8 @@
 }
 
 /// Gives one node what it asks another for. Returns the bytes that go to it.
-pub fn pass_on(from: &Dispatcher, to: &mut Dispatcher) -> usize {
-    let pull = ask(from, to);
+pub fn transfer_documents(from: &Dispatcher, to: &mut Dispatcher) -> usize {
+    let pull = pull_from(from, to);
     let base = to.endpoints().clone();
     let snapshot = from.snapshot(&pull);
     let frames: Vec<Frame> = snapshot.into_frames().collect();
@@ -101,7 +101,7 @@
 }
 
 /// What one node asks another for, once it has heard it.
-pub fn ask(from: &Dispatcher, to: &mut Dispatcher) -> Pull {
+pub fn pull_from(from: &Dispatcher, to: &mut Dispatcher) -> Pull {
     let known = from.known();
     let status = Status {
         incarnation: 99,
@@ -208,7 +208,7 @@
         prompt: Prompt::default(),
         history: History::default(),
         origin: None,
-        only: None,
+        only_endpoint: None,
         avoided: Vec::new(),
         trial: false,
         bound: Bound::default(),
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -85,7 +85,7 @@
         bytes.set(count.bytes as i64);
     }
     metrics.heard.reset();
-    for (protocol, nodes) in shell.query(|dispatcher, now| dispatcher.heard_by_protocol(now)) {
+    for (protocol, nodes) in shell.query(|dispatcher, now| dispatcher.peers_by_protocol(now)) {
         let labels = [protocol.to_string()];
         metrics.heard.with_label_values(&labels).set(nodes);
     }
@@ -109,7 +109,7 @@
         };
         set("waiting", service.waiting as i64);
         set("running", i64::from(service.running));
-        set("running-elsewhere", i64::from(service.others));
+        set("running-elsewhere", i64::from(service.running_elsewhere));
         set("endpoints", service.endpoints as i64);
         set("endpoints-usable", service.usable as i64);
         set("rate-limited", service.rate_limited as i64);
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -140,7 +140,7 @@
             prompt,
             history: History::default(),
             origin: None,
-            only: None,
+            only_endpoint: None,
             avoided: Vec::new(),
             trial: false,
             bound: Bound {
--- a/crates/gateway/src/serve/charge.rs
+++ b/crates/gateway/src/serve/charge.rs
@@ -48,7 +48,7 @@
     let demand = shell.query(|dispatcher, now| Demand {
         units,
         routine: dispatcher.routine(urgency),
-        pressed: dispatcher.is_pressed(now, &admitted.target),
+        pressed: dispatcher.is_backlogged(now, &admitted.target),
     });
     let left = || admitted.deadline.since(shell.now());
     let mut charge =
--- a/crates/gateway/src/serve/handle.rs
+++ b/crates/gateway/src/serve/handle.rs
@@ -78,7 +78,7 @@
     let part = Span(left(shell, head).0 / LEFT_PARTS);
     let until = arrived + part.min(FIRST_CONFIGURATION_WITHIN);
     loop {
-        let table = shell.query(|dispatcher, now| dispatcher.admitting_table_opt(now).cloned());
+        let table = shell.query(|dispatcher, now| dispatcher.admission_table_opt(now).cloned());
         let starts = shell.running_for() < STARTS_FOR;
         if table.is_some() || !starts || shell.now() >= until {
             return table;
--- a/crates/gateway/src/serve/note.rs
+++ b/crates/gateway/src/serve/note.rs
@@ -78,7 +78,7 @@
     let now = shell.now();
     let answer = in_force.origin.answer_opt();
     let platform = shell.platform_heard.get();
-    let heard = shell.query(|dispatcher, now| dispatcher.configurations_heard(now));
+    let heard = shell.query(|dispatcher, now| dispatcher.peer_configuration_versions(now));
     let heard = heard.iter().take(HEARD_MOST);
     let heard: Vec<String> = heard
         .map(|(address, version)| format!("{address}={version}"))
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -229,7 +229,7 @@
             let life = endpoint.to_life();
             if let Some(connection) = reuse::rested(connection, keep).await {
                 let most = shell.query(|dispatcher, now| {
-                    dispatcher.connections_at_rest(now, &endpoint.service)
+                    dispatcher.max_idle_connections(now, &endpoint.service)
                 });
                 let upstream = &shell.upstream;
                 upstream.keep(shell.now(), life, connection, keep, most);
