--- a/crates/dispatch/tests/dispatch/duration.rs
+++ b/crates/dispatch/tests/dispatch/duration.rs
@@ -1,4 +1,4 @@
-//! How long whole answers take.
+//! The estimate of how long whole answers take.
 
 use rstest::rstest;
 use woadstage_dispatch::duration::Durations;
@@ -8,7 +8,7 @@
     ($($name:ident: $seen:expr => $least:expr, $most:expr;)*) => {
         #[rstest]
         $(#[case::$name($seen, $least, $most)])*
-        fn the_time_within_which_nearly_all_are_over(
+        fn the_upper_bound_covers_nearly_all_answers(
             #[case] seen: Vec<u64>,
             #[case] least: u64,
             #[case] most: u64,
@@ -27,13 +27,13 @@
 
 routes! {
     seen_once: vec![100] => 300, 300;
-    always_the_same: vec![100; 50] => 100, 101;
-    from_short_to_long: [vec![20; 50], vec![2_000; 50]].concat() => 2_000, 2_100;
-    unlike_each_other: [50, 150].repeat(50) => 150, 400;
+    constant: vec![100; 50] => 100, 101;
+    increasing: [vec![20; 50], vec![2_000; 50]].concat() => 2_000, 2_100;
+    varying: [50, 150].repeat(50) => 150, 400;
 }
 
 #[test]
-fn routes_without_end_take_no_memory() {
+fn the_number_of_routes_is_bounded() {
     let mut durations = Durations::default();
     for route in 0..10_000 {
         durations.learn(&route.to_string(), Span::from_millis(5));
--- a/crates/dispatch/tests/dispatch/main.rs
+++ b/crates/dispatch/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, without sockets or clocks.
+//! Tests of the dispatch crate, without sockets or real clocks.
 
 mod budget;
 mod cold;
--- a/crates/dispatch/tests/dispatch/order.rs
+++ b/crates/dispatch/tests/dispatch/order.rs
@@ -1,4 +1,4 @@
-//! Which request goes first, and where to.
+//! The order in which requests start, the choice of endpoint, and refusal on arrival.
 
 use rstest::rstest;
 use woadstage_dispatch::configuration::Rank;
@@ -30,8 +30,8 @@
     }
 }
 
-/// An engine whose only place is taken, and what runs there.
-fn full() -> (Dispatcher, woadstage_dispatch::job::Id) {
+/// Creates a dispatcher with one engine whose only slot is in use, and returns the request in it.
+fn full_engine() -> (Dispatcher, woadstage_dispatch::job::Id) {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let first = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     assert_eq!(starts(&mut dispatcher), [(first, "e".to_owned())]);
@@ -39,10 +39,10 @@
 }
 
 #[rstest]
-#[case::the_customer_goes_before_the_route(ranked(1, 0, 1), ranked(0, 2, 2), false)]
-#[case::among_equal_customers_the_route_decides(ranked(1, 2, 1), ranked(1, 0, 2), false)]
-#[case::among_equals_the_first_to_come(ranked(1, 2, 1), ranked(1, 2, 2), true)]
-fn the_order_of_what_waits(#[case] one: Job, #[case] other: Job, #[case] one_first: bool) {
+#[case::customer_priority_precedes_route_urgency(ranked(1, 0, 1), ranked(0, 2, 2), false)]
+#[case::route_urgency_breaks_ties(ranked(1, 2, 1), ranked(1, 0, 2), false)]
+#[case::arrival_order_breaks_remaining_ties(ranked(1, 2, 1), ranked(1, 2, 2), true)]
+fn waiting_requests_start_in_order(#[case] one: Job, #[case] other: Job, #[case] one_first: bool) {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     let running = dispatcher.enter(at(0), job(SERVICE, 2, at(0)));
     starts(&mut dispatcher);
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn only_what_is_more_urgent_goes_ahead_of_a_free_place() {
-    let (mut dispatcher, _) = full();
+fn only_urgent_requests_exceed_the_slots() {
+    let (mut dispatcher, _) = full_engine();
     dispatcher.enter(at(1), job(MODEL, 2, at(1)));
     assert_eq!(starts(&mut dispatcher), []);
     let urgent = dispatcher.enter(at(2), job(MODEL, 0, at(2)));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn room_is_left_to_more_urgent_work_that_waits_elsewhere() {
+fn slots_are_left_to_urgent_requests_on_other_nodes() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let waiting = Waiting {
         service: service_number(&mut dispatcher),
@@ -84,12 +84,13 @@
     dispatcher.tick(at(10));
     let routine = dispatcher.enter(at(11), job(MODEL, 2, at(11)));
     assert_eq!(starts(&mut dispatcher), []);
-    // Notices that are old bind nobody.
+    // Outdated reports of waiting requests are ignored.
     dispatcher.tick(at(600));
     assert_eq!(starts(&mut dispatcher), [(routine, "e".to_owned())]);
 }
 
-/// The number of the model, as a status of a node with one waiting tells it.
+/// Returns the service number of the model, taken from the status of a node with one waiting
+/// request.
 fn service_number(dispatcher: &mut Dispatcher) -> u32 {
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     let waits = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn what_others_run_counts_against_the_room() {
+fn requests_of_other_nodes_count_against_capacity() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 2), endpoint("f", MODEL, 2)]);
     let load = Load {
         endpoint: crate::support::endpoint("e", MODEL, 1).to_number(),
@@ -120,15 +121,15 @@
     for millis in 11..14 {
         dispatcher.enter(at(millis), job(MODEL, 2, at(millis)));
     }
-    let places: Vec<String> = starts(&mut dispatcher)
+    let endpoints: Vec<String> = starts(&mut dispatcher)
         .into_iter()
-        .map(|(_, place)| place)
+        .map(|(_, name)| name)
         .collect();
-    assert_eq!(places, ["f", "f"]);
+    assert_eq!(endpoints, ["f", "f"]);
 }
 
 #[test]
-fn a_long_prompt_avoids_an_endpoint_that_is_reading_another() {
+fn a_long_prompt_avoids_an_endpoint_reading_another() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 8), endpoint("f", MODEL, 8)]);
     let long = |millis| Job {
         prompt: Prompt {
@@ -140,16 +141,16 @@
     };
     dispatcher.enter(at(0), long(0));
     dispatcher.enter(at(0), long(0));
-    let mut places: Vec<String> = starts(&mut dispatcher)
+    let mut endpoints: Vec<String> = starts(&mut dispatcher)
         .into_iter()
-        .map(|(_, place)| place)
+        .map(|(_, name)| name)
         .collect();
-    places.sort();
-    assert_eq!(places, ["e", "f"]);
+    endpoints.sort();
+    assert_eq!(endpoints, ["e", "f"]);
 }
 
 #[test]
-fn a_newcomer_is_refused_at_once_when_the_wait_would_be_too_long() {
+fn a_new_request_is_refused_when_its_wait_would_be_too_long() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     for _ in 0..40 {
         dispatcher.enter(at(0), job(SERVICE, 2, at(0)));
@@ -162,30 +163,32 @@
 }
 
 #[test]
-fn a_newcomer_is_not_refused_for_how_few_came_before() {
+fn a_low_arrival_rate_causes_no_refusal() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     let brief = |millis| Job {
         objective: Span::from_millis(100),
         ..job(SERVICE, 2, at(millis))
     };
-    // Five come in a second and a half, and each is over at once.
+    // Five requests arrive in a second and a half, and each finishes at once.
     for turn in 0..5 {
         let run = dispatcher.enter(at(turn * 300), brief(turn * 300));
         dispatcher.end(at(turn * 300 + 15), run, End::Whole);
     }
-    // Then three come together: two of them will wait for 15 ms or 30.
+    // Then three arrive together; two of them will wait for 15 ms and 30 ms.
     for _ in 0..3 {
         dispatcher.enter(at(1_500), brief(1_500));
     }
     assert_eq!(refusals(&mut dispatcher), []);
 }
 
-/// One endpoint with one slot whose calls take 100 ms, and callers that want their
-/// whole answer within 250: twelve a second come where ten fit, for ten seconds.
-/// With the call's own time left out of admission, and late requests before those in
-/// time, the queue stays as long as the objective and 9 of 99 answers are in time.
+/// One endpoint with one slot and calls of 100 ms, and callers that expect the whole answer within
+/// 250 ms. For ten seconds twelve requests a second arrive where ten fit.
+///
+/// If admission ignores the duration of the call itself, and late requests are served before those
+/// that can still be in time, the queue stays as long as the objective and 9 of 99 answers are in
+/// time.
 #[test]
-fn a_plain_service_under_overload_answers_in_time() {
+fn an_overloaded_plain_service_answers_in_time() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     let objective = Span::from_millis(250);
     let mut arrivals = std::collections::HashMap::new();
@@ -223,10 +226,10 @@
 }
 
 #[test]
-fn the_most_protected_are_not_refused_for_what_waits_behind_them() {
+fn protected_requests_are_not_refused_for_requests_behind_them() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     dispatcher.enter(at(0), job(SERVICE, 2, at(0)));
-    // More than a second of work, of callers that are let in however long it is.
+    // More than a second of work, from callers that are admitted regardless of the queue length.
     for _ in 0..40 {
         let returning = Job {
             first_try: at(0) - Span::from_secs(2),
@@ -234,7 +237,7 @@
         };
         dispatcher.enter(at(0), returning);
     }
-    // Both go first as soon as the endpoint is free.
+    // Both are served first as soon as the endpoint is free.
     for _ in 0..2 {
         dispatcher.enter(at(1), job(SERVICE, 0, at(1)));
     }
@@ -242,7 +245,7 @@
 }
 
 #[test]
-fn one_that_was_refused_before_waits() {
+fn a_retry_of_a_refused_caller_is_admitted() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     for _ in 0..40 {
         dispatcher.enter(at(0), job(SERVICE, 2, at(0)));
@@ -257,7 +260,7 @@
 }
 
 #[test]
-fn what_runs_out_of_time_is_refused_when_that_shows() {
+fn a_request_is_refused_when_its_time_runs_out() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     dispatcher.enter(at(0), job(SERVICE, 2, at(0)));
     let waits = dispatcher.enter(at(1), job(SERVICE, 2, at(1)));
@@ -269,14 +272,14 @@
 }
 
 #[test]
-fn what_its_caller_would_leave_before_the_first_event_is_not_begun() {
-    let (mut dispatcher, running) = full();
+fn a_request_is_not_started_if_its_caller_would_leave_before_the_first_event() {
+    let (mut dispatcher, running) = full_engine();
     let impatient = Job {
         patience: Span::from_secs(2),
         ..job(MODEL, 2, at(0))
     };
     let waits = dispatcher.enter(at(0), impatient);
-    // Time to a first event is taken to be 150 ms until one was seen.
+    // The time to the first event is assumed to be 150 ms until one is observed.
     dispatcher.tick(at(1_900));
     let refused = refusals(&mut dispatcher);
     assert_eq!((refused[0].0, refused[0].1), (waits, Code::TooLate));
@@ -287,13 +290,13 @@
 }
 
 #[test]
-fn what_an_engine_would_reach_after_its_caller_left_is_not_begun_there() {
+fn a_request_waits_while_the_engine_would_reach_it_too_late() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 4)]);
     let prompt = |tokens| Prompt {
         tokens,
         ..Prompt::default()
     };
-    // Some seconds of reading, at what a token takes until more is known.
+    // Several seconds of reading at the assumed time for each token.
     let long = Job {
         prompt: prompt(100_000),
         ..job(MODEL, 0, at(0))
@@ -306,14 +309,14 @@
     };
     let waits = dispatcher.enter(at(1), impatient);
     assert_eq!(starts(&mut dispatcher), [(reading, "e".to_owned())]);
-    // Once the long one is read, there is time for it.
+    // Once the long prompt is read, the other request has enough time.
     dispatcher.progress(at(1_000), reading, 1);
     dispatcher.tick(at(1_001));
     assert_eq!(starts(&mut dispatcher), [(waits, "e".to_owned())]);
 }
 
 #[test]
-fn one_that_was_refused_before_goes_first_in_its_rank() {
+fn a_retry_of_a_refused_caller_goes_first_in_its_rank() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 1)]);
     let running = dispatcher.enter(at(0), job(SERVICE, 2, at(0)));
     dispatcher.enter(at(1), job(SERVICE, 2, at(1)));
@@ -328,7 +331,7 @@
 }
 
 #[test]
-fn without_any_endpoint_waiting_ends_with_the_objective() {
+fn without_endpoints_waiting_ends_at_the_objective() {
     let mut dispatcher = dispatcher(&[]);
     let waits = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     dispatcher.tick(at(900));
@@ -339,9 +342,9 @@
     assert!(refused[0].2.is_some());
 }
 
-/// Where the last of these prompts of one part each is sent; both endpoints are
-/// free each time.
-fn place_of_last(parts: &[u64]) -> String {
+/// Sends prompts of one part each, one after another to two idle endpoints, and returns the
+/// endpoint of the last one.
+fn endpoint_of_last(parts: &[u64]) -> String {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 8), endpoint("f", MODEL, 8)]);
     let mut last = String::new();
     for (millis, part) in (0..).zip(parts) {
@@ -366,18 +369,18 @@
 }
 
 #[test]
-fn a_prompt_that_was_read_goes_where_it_was_read() {
+fn a_repeated_prompt_goes_to_the_endpoint_that_read_it() {
     for part in 1..20 {
-        let first = place_of_last(&[part]);
-        assert_eq!(place_of_last(&[part, 98, 99, 100, part]), first);
+        let first = endpoint_of_last(&[part]);
+        assert_eq!(endpoint_of_last(&[part, 98, 99, 100, part]), first);
     }
 }
 
-/// Two wait for one slot, 40 ms each; an engine takes 150 ms more to a first event.
+/// Two requests wait for one slot, 40 ms each. An engine takes another 150 ms to the first event.
 #[rstest]
-#[case::an_engine_would_be_late(MODEL, true)]
-#[case::a_plain_service_would_not(SERVICE, false)]
-fn a_newcomer_is_judged_by_when_its_first_event_comes(#[case] target: &str, #[case] refused: bool) {
+#[case::engine_is_late(MODEL, true)]
+#[case::plain_service_is_in_time(SERVICE, false)]
+fn admission_depends_on_the_time_of_the_first_event(#[case] target: &str, #[case] refused: bool) {
     let mut dispatcher = dispatcher(&[endpoint("e", target, 1)]);
     for _ in 0..3 {
         dispatcher.enter(at(0), job(target, 2, at(0)));
--- a/crates/dispatch/tests/dispatch/outcomes.rs
+++ b/crates/dispatch/tests/dispatch/outcomes.rs
@@ -1,4 +1,5 @@
-//! What follows when an attempt has ended: who may be sent again, and where.
+//! What follows the end of an attempt: which requests are sent again, and which endpoints are
+//! avoided.
 
 use rstest::rstest;
 use woadstage_dispatch::budget;
@@ -25,7 +26,7 @@
 use crate::support::options;
 use crate::support::starts;
 
-fn three() -> Dispatcher {
+fn three_endpoints() -> Dispatcher {
     dispatcher(&[
         endpoint("e", SERVICE, 4),
         endpoint("f", SERVICE, 4),
@@ -33,7 +34,7 @@
     ])
 }
 
-fn once(attempts: u32) -> Job {
+fn non_repeatable(attempts: u32) -> Job {
     Job {
         attempts,
         ..job(SERVICE, 2, at(0))
@@ -43,38 +44,42 @@
 fn repeatable(attempts: u32) -> Job {
     Job {
         repeatable: true,
-        ..once(attempts)
+        ..non_repeatable(attempts)
     }
 }
 
 #[rstest]
-#[case::it_was_never_sent(once(1), End::NotSent, Next::Again)]
-#[case::it_was_rejected(once(2), End::Full, Next::Again)]
-#[case::another_was_there(once(2), End::NotThere, Next::Again)]
-#[case::rejected_by_as_many_as_allowed(once(1), End::Full, Next::Final(Cause::Attempts))]
-#[case::it_may_have_run(once(2), End::Lost, Next::Final(Cause::MayHaveRun))]
-#[case::it_ran_and_failed(once(2), End::Fault, Next::Final(Cause::MayHaveRun))]
-#[case::it_may_run_twice(repeatable(2), End::Lost, Next::Again)]
-#[case::it_failed_and_may_run_twice(repeatable(2), End::Fault, Next::Again)]
-#[case::no_attempt_is_left(repeatable(1), End::Lost, Next::Final(Cause::Attempts))]
-#[case::it_is_whole(repeatable(2), End::Whole, Next::Over)]
-#[case::its_caller_left(repeatable(2), End::Abandoned, Next::Over)]
-fn what_follows_the_first_attempt(#[case] job: Job, #[case] end: End, #[case] next: Next) {
-    let mut dispatcher = three();
+#[case::not_sent(non_repeatable(1), End::NotSent, Next::Again)]
+#[case::endpoint_full(non_repeatable(2), End::Full, Next::Again)]
+#[case::wrong_endpoint(non_repeatable(2), End::NotThere, Next::Again)]
+#[case::endpoint_full_at_last_attempt(non_repeatable(1), End::Full, Next::Final(Cause::Attempts))]
+#[case::connection_lost(non_repeatable(2), End::Lost, Next::Final(Cause::MayHaveRun))]
+#[case::endpoint_fault(non_repeatable(2), End::Fault, Next::Final(Cause::MayHaveRun))]
+#[case::repeatable_connection_lost(repeatable(2), End::Lost, Next::Again)]
+#[case::repeatable_endpoint_fault(repeatable(2), End::Fault, Next::Again)]
+#[case::attempts_used_up(repeatable(1), End::Lost, Next::Final(Cause::Attempts))]
+#[case::complete_answer(repeatable(2), End::Whole, Next::Over)]
+#[case::caller_left(repeatable(2), End::Abandoned, Next::Over)]
+fn the_end_of_an_attempt_decides_what_follows(
+    #[case] job: Job,
+    #[case] end: End,
+    #[case] next: Next,
+) {
+    let mut dispatcher = three_endpoints();
     let id = dispatcher.enter(at(0), job);
     assert_eq!(dispatcher.end(at(10), id, end), next);
     assert_eq!(dispatcher.held(), usize::from(next == Next::Again));
 }
 
 #[test]
-fn what_may_have_run_once_is_not_sent_again_after_a_rejection() {
-    // Lost at the first, rejected by the second: the first may have run it.
-    let mut dispatcher = three();
+fn a_request_that_may_have_run_is_not_sent_again_after_a_rejection() {
+    // Rejected by the first endpoint and lost at the second, which may have run it.
+    let mut dispatcher = three_endpoints();
     let id = dispatcher.enter(
         at(0),
         Job {
             attempts: 3,
-            ..once(3)
+            ..non_repeatable(3)
         },
     );
     assert_eq!(dispatcher.end(at(1), id, End::Full), Next::Again);
@@ -85,17 +90,17 @@
 }
 
 #[test]
-fn an_endpoint_is_tried_once_for_a_request() {
-    let mut dispatcher = three();
+fn a_request_tries_each_endpoint_once() {
+    let mut dispatcher = three_endpoints();
     let id = dispatcher.enter(at(0), repeatable(3));
     dispatcher.end(at(1), id, End::Fault);
     dispatcher.end(at(2), id, End::Fault);
-    let mut places: Vec<String> = starts(&mut dispatcher)
+    let mut endpoints: Vec<String> = starts(&mut dispatcher)
         .into_iter()
-        .map(|(_, place)| place)
+        .map(|(_, name)| name)
         .collect();
-    places.sort();
-    assert_eq!(places, ["e", "f", "g"]);
+    endpoints.sort();
+    assert_eq!(endpoints, ["e", "f", "g"]);
     assert_eq!(
         dispatcher.end(at(3), id, End::Fault),
         Next::Final(Cause::Attempts)
@@ -103,8 +108,8 @@
 }
 
 #[test]
-fn nothing_is_sent_again_with_no_time_left() {
-    let mut dispatcher = three();
+fn a_request_without_time_left_is_not_sent_again() {
+    let mut dispatcher = three_endpoints();
     let id = dispatcher.enter(at(0), repeatable(2));
     assert_eq!(
         dispatcher.end(at(7_990), id, End::Lost),
@@ -113,7 +118,7 @@
 }
 
 #[test]
-fn the_budget_ends_what_is_sent_again() {
+fn the_retry_budget_limits_retries() {
     let mut options = options(1);
     options.budget = budget::Options {
         ratio: 0.0,
@@ -138,7 +143,7 @@
         dispatcher.end(at(millis), id, End::Whole);
         next
     };
-    // No other node was heard, so the even part of eight is all there is.
+    // No other node was heard, so this node may use one eighth of the budget.
     assert_eq!(next(&mut dispatcher, 0), Next::Again);
     assert_eq!(next(&mut dispatcher, 1), Next::Again);
     assert_eq!(next(&mut dispatcher, 2), Next::Final(Cause::Budget));
@@ -146,16 +151,16 @@
 }
 
 #[test]
-fn an_endpoint_that_broke_a_call_rests_and_is_tried_again() {
+fn an_endpoint_backs_off_after_a_broken_call() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4)]);
-    let id = dispatcher.enter(at(0), once(1));
+    let id = dispatcher.enter(at(0), non_repeatable(1));
     dispatcher.end(at(1), id, End::Lost);
     starts(&mut dispatcher);
     let waits = dispatcher.enter(
         at(2),
         Job {
             arrived: at(2),
-            ..once(1)
+            ..non_repeatable(1)
         },
     );
     assert_eq!(starts(&mut dispatcher), []);
@@ -164,44 +169,47 @@
 }
 
 #[test]
-fn an_endpoint_that_shows_nothing_gets_no_more() {
+fn a_stalled_endpoint_gets_no_more_requests() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4), endpoint("f", SERVICE, 4)]);
-    let silent = dispatcher.enter(at(0), once(1));
-    let (_, place) = starts(&mut dispatcher).remove(0);
+    let silent = dispatcher.enter(at(0), non_repeatable(1));
+    let (_, name) = starts(&mut dispatcher).remove(0);
     dispatcher.tick(at(950));
     for millis in [1_000, 1_001, 1_002] {
         dispatcher.enter(
             at(millis),
             Job {
                 arrived: at(millis),
-                ..once(1)
+                ..non_repeatable(1)
             },
         );
     }
-    let places = starts(&mut dispatcher);
+    let endpoints = starts(&mut dispatcher);
     assert!(
-        places.iter().all(|(_, other)| *other != place),
-        "{places:?}"
+        endpoints.iter().all(|(_, other)| *other != name),
+        "{endpoints:?}"
     );
     dispatcher.abandon(at(1_100), silent);
 }
 
 #[test]
-fn an_endpoint_that_is_gone_stays_so_whatever_lists_say() {
+fn an_endpoint_that_is_gone_is_avoided_even_if_listed() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4)]);
-    let id = dispatcher.enter(at(0), once(1));
+    let id = dispatcher.enter(at(0), non_repeatable(1));
     dispatcher.end(at(10), id, End::NotThere);
-    // The platform has not noticed yet.
+    // The platform still lists the endpoint.
     dispatcher.set_endpoints(at(20), list(2, &[endpoint("e", SERVICE, 4)]));
     dispatcher.take_decisions();
-    dispatcher.enter(at(30), once(1));
+    dispatcher.enter(at(30), non_repeatable(1));
     assert_eq!(starts(&mut dispatcher), []);
 }
 
 #[rstest]
-#[case::while_it_works_on_others(2_900, 1)]
-#[case::and_it_showed_nothing_for_long(1_000, 0)]
-fn an_endpoint_rests_whose_answer_came_too_late(#[case] progress: u64, #[case] starts_then: usize) {
+#[case::other_requests_progress(2_900, 1)]
+#[case::no_progress(1_000, 0)]
+fn an_endpoint_backs_off_after_a_timeout_without_progress(
+    #[case] progress: u64,
+    #[case] starts_then: usize,
+) {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 4)]);
     let [late, other] = [0, 0].map(|millis| dispatcher.enter(at(millis), job(MODEL, 0, at(0))));
     dispatcher.progress(at(progress), other, 1);
@@ -212,8 +220,12 @@
     assert_eq!(starts(&mut dispatcher).len(), starts_then);
 }
 
-/// What a node says that finds some endpoints in trouble.
-fn finds(number: u8, trouble: Trouble, names: &[&str]) -> (std::net::SocketAddrV4, Status) {
+/// Builds the status of a node that reports trouble with some endpoints.
+fn trouble_report(
+    number: u8,
+    trouble: Trouble,
+    names: &[&str],
+) -> (std::net::SocketAddrV4, Status) {
     let loads = names.iter().map(|name| Load {
         endpoint: number_of(name),
         running: 0,
@@ -229,47 +241,47 @@
     (node(number), status)
 }
 
-/// Whether an endpoint still gets work after what others said.
-fn still_gets_work(said: Vec<(std::net::SocketAddrV4, Status)>) -> bool {
+/// Whether an endpoint still gets work after these reports.
+fn still_gets_work(reports: Vec<(std::net::SocketAddrV4, Status)>) -> bool {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4)]);
-    for (from, status) in said {
+    for (from, status) in reports {
         dispatcher.hear(at(0), from, status);
     }
     dispatcher.tick(at(1));
-    dispatcher.enter(at(2), once(1));
+    dispatcher.enter(at(2), non_repeatable(1));
     starts(&mut dispatcher).len() == 1
 }
 
 #[rstest]
-#[case::one_found_it_gone(vec![finds(2, Trouble::Gone, &["e"])], false)]
-#[case::two_cannot_connect(vec![finds(2, Trouble::Unreachable, &["e"]), finds(3, Trouble::Unreachable, &["e"])], false)]
-#[case::one_cannot_connect(vec![finds(2, Trouble::Unreachable, &["e"])], true)]
-#[case::calls_of_two_broke(vec![finds(2, Trouble::Failing, &["e"]), finds(3, Trouble::Failing, &["e"])], true)]
-#[case::two_that_seem_cut_off(
+#[case::gone_for_one(vec![trouble_report(2, Trouble::Gone, &["e"])], false)]
+#[case::unreachable_for_two(vec![trouble_report(2, Trouble::Unreachable, &["e"]), trouble_report(3, Trouble::Unreachable, &["e"])], false)]
+#[case::unreachable_for_one(vec![trouble_report(2, Trouble::Unreachable, &["e"])], true)]
+#[case::failing_for_two(vec![trouble_report(2, Trouble::Failing, &["e"]), trouble_report(3, Trouble::Failing, &["e"])], true)]
+#[case::unreachable_for_two_isolated_nodes(
     vec![
-        finds(2, Trouble::Unreachable, &["e", "f", "g", "h"]),
-        finds(3, Trouble::Unreachable, &["e", "f", "g", "h"]),
+        trouble_report(2, Trouble::Unreachable, &["e", "f", "g", "h"]),
+        trouble_report(3, Trouble::Unreachable, &["e", "f", "g", "h"]),
     ],
     true
 )]
-fn what_others_found_dead_is_left_alone(
-    #[case] said: Vec<(std::net::SocketAddrV4, Status)>,
+fn reports_of_other_nodes_keep_work_away(
+    #[case] reports: Vec<(std::net::SocketAddrV4, Status)>,
     #[case] gets_work: bool,
 ) {
-    assert_eq!(still_gets_work(said), gets_work);
+    assert_eq!(still_gets_work(reports), gets_work);
 }
 
 #[test]
-fn a_call_that_worked_outweighs_what_others_say() {
+fn a_recent_success_outweighs_reports_of_other_nodes() {
     let mut dispatcher = dispatcher(&[endpoint("e", SERVICE, 4)]);
-    let id = dispatcher.enter(at(0), once(1));
+    let id = dispatcher.enter(at(0), non_repeatable(1));
     dispatcher.end(at(10), id, End::Whole);
     for number in [2, 3] {
-        let (from, status) = finds(number, Trouble::Unreachable, &["e"]);
+        let (from, status) = trouble_report(number, Trouble::Unreachable, &["e"]);
         dispatcher.hear(at(20), from, status);
     }
     dispatcher.tick(at(21));
     dispatcher.take_decisions();
-    dispatcher.enter(at(100), once(1));
+    dispatcher.enter(at(100), non_repeatable(1));
     assert_eq!(starts(&mut dispatcher).len(), 1);
 }
--- a/crates/dispatch/tests/dispatch/prefix_cache.rs
+++ b/crates/dispatch/tests/dispatch/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Which endpoint has read which prompt.
+//! The record of which endpoint has read which prompt.
 
 use woadstage_dispatch::job::Part;
 use woadstage_dispatch::prefix_cache;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_was_read_is_known_as_far_as_it_is_the_same() {
+fn the_longest_common_prefix_is_cached() {
     let mut cache = PrefixCache::new(Options::default());
     cache.record(at(0), &prompt(&[1, 2, 3]), 7);
     assert_eq!(cache.cached_tokens(at(1), &prompt(&[1, 2, 3]), 7), 300);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn hints_are_bounded_and_grow_old() {
+fn entries_are_bounded_and_expire() {
     let options = Options {
         limit: 10,
         ttl: Span::from_secs(5),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_endpoint_that_is_gone_holds_nothing() {
+fn a_removed_endpoint_caches_nothing() {
     let mut cache = PrefixCache::new(Options::default());
     cache.record(at(0), &prompt(&[1]), 7);
     cache.remove_endpoint(7);
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with a few endpoints, and requests for it.
+//! Builds dispatchers with a few endpoints, and requests for them.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -37,23 +37,23 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// The model that most tests are about.
+/// The model used by most tests.
 pub const MODEL: &str = "model";
 
-/// The plain service.
+/// A plain service.
 pub const SERVICE: &str = "service";
 
-/// A moment so many milliseconds after the tests' start.
+/// The time `millis` milliseconds after the start of a test.
 pub fn at(millis: u64) -> Time {
     Time(1_000_000_000) + Span::from_millis(millis)
 }
 
-/// The address of the node with a number.
+/// The address of a node.
 pub fn node(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7_600)
 }
 
-/// Options of the node with a number.
+/// The options of a node.
 pub fn options(number: u8) -> Options {
     Options {
         own: node(number),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Gives one node what it asks another for. Returns the bytes that go to it.
+/// Transfers what one node pulls from another. Returns the number of bytes sent.
 pub fn transfer_documents(from: &Dispatcher, to: &mut Dispatcher) -> usize {
     let pull = pull_from(from, to);
     let base = to.endpoints().clone();
@@ -100,7 +100,7 @@
     bytes
 }
 
-/// What one node asks another for, once it has heard it.
+/// Returns what `to` pulls from `from` after hearing its status.
 pub fn pull_from(from: &Dispatcher, to: &mut Dispatcher) -> Pull {
     let known = from.known();
     let status = Status {
@@ -114,7 +114,7 @@
     to.pull(node(99))
 }
 
-/// A route to a service.
+/// Builds a route to a service.
 pub fn route(name: &str, target: &str, kind: Kind, priority: u8) -> Route {
     Route {
         name: name.into(),
@@ -134,8 +134,8 @@
     }
 }
 
-/// A configuration with an urgent and a routine route to the model, and one
-/// route to the plain service.
+/// Builds a configuration with an urgent and a routine route to the model and one route to the
+/// plain service.
 pub fn configuration(version: u64) -> Arc<Configuration> {
     let service = |name: &str, engine| Service {
         name: id::Target::new(name),
@@ -155,7 +155,7 @@
     })
 }
 
-/// An endpoint.
+/// Builds an endpoint.
 pub fn endpoint(name: &str, service: &str, slots: u32) -> Endpoint {
     Endpoint {
         name: id::Endpoint::new(name),
@@ -169,7 +169,7 @@
     }
 }
 
-/// A list of endpoints.
+/// Builds a list of endpoints.
 pub fn list(revision: u64, endpoints: &[Endpoint]) -> Arc<List> {
     Arc::new(List {
         settled: true,
@@ -179,7 +179,7 @@
     })
 }
 
-/// A dispatcher that knows its configuration and the given endpoints.
+/// Creates a dispatcher with a configuration and the given endpoints.
 pub fn dispatcher(endpoints: &[Endpoint]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(options(1));
     dispatcher.set_configuration(at(0), configuration(1));
@@ -187,7 +187,7 @@
     dispatcher
 }
 
-/// A request for a service with a route's priority.
+/// Builds a request for a service with the priority of a route.
 pub fn job(target: &str, urgency: u8, arrived: Time) -> Job {
     Job {
         fingerprint: Fingerprint(0),
@@ -215,7 +215,7 @@
     }
 }
 
-/// Where requests were sent, in order.
+/// Takes the decisions and returns the started requests with their endpoints, in order.
 pub fn starts(dispatcher: &mut Dispatcher) -> Vec<(job::Id, String)> {
     let decisions = dispatcher.take_decisions().into_iter();
     let starts = decisions.filter_map(|decision| match decision {
@@ -225,7 +225,8 @@
     starts.collect()
 }
 
-/// Which requests were refused, with the code and the time to come back.
+/// Takes the decisions and returns the refused requests with the code and the time after which to
+/// retry.
 pub fn refusals(
     dispatcher: &mut Dispatcher,
 ) -> Vec<(job::Id, woadstage_types::code::Code, Option<Span>)> {
--- a/crates/dispatch/tests/dispatch/worker.rs
+++ b/crates/dispatch/tests/dispatch/worker.rs
@@ -1,4 +1,4 @@
-//! What is learnt of one engine.
+//! What is learnt about one endpoint.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::support::at;
 use crate::support::endpoint;
 
-/// The step of an engine, in milliseconds, after pauses between events.
+/// Returns the step of an engine, in milliseconds, after these pauses between events.
 fn step(pauses: impl IntoIterator<Item = f64>) -> f64 {
     let mut worker = Worker::new(Arc::new(endpoint("e", MODEL, 4)));
     for (count, pause) in pauses.into_iter().enumerate() {
@@ -24,12 +24,12 @@
 }
 
 #[rstest]
-#[case::at_once(times(16.0, 1), 16.0..16.1)]
-#[case::prompts_read_beside_a_stream_say_little([16.0, 90.0, 16.0, 90.0, 16.0].repeat(8), 16.0..24.0)]
-#[case::first_seen_while_a_prompt_was_read([times(90.0, 1), times(16.0, 20)].concat(), 16.0..17.0)]
-#[case::it_became_slow([times(16.0, 20), times(64.0, 80)].concat(), 55.0..64.1)]
-#[case::it_became_fast_again([times(64.0, 80), times(16.0, 20)].concat(), 16.0..17.0)]
-#[case::a_pause_of_a_stream_that_stood_still([times(16.0, 9), times(9_000.0, 1)].concat(), 16.0..19.0)]
+#[case::first_pause(times(16.0, 1), 16.0..16.1)]
+#[case::pauses_from_reading_prompts([16.0, 90.0, 16.0, 90.0, 16.0].repeat(8), 16.0..24.0)]
+#[case::first_pause_from_reading_a_prompt([times(90.0, 1), times(16.0, 20)].concat(), 16.0..17.0)]
+#[case::slowdown([times(16.0, 20), times(64.0, 80)].concat(), 55.0..64.1)]
+#[case::recovery([times(64.0, 80), times(16.0, 20)].concat(), 16.0..17.0)]
+#[case::stalled_stream([times(16.0, 9), times(9_000.0, 1)].concat(), 16.0..19.0)]
 fn the_step_follows_the_short_pauses(
     #[case] pauses: Vec<f64>,
     #[case] expected: std::ops::Range<f64>,
@@ -38,14 +38,14 @@
     assert!(expected.contains(&learnt), "{learnt} ms");
 }
 
-/// An endpoint that breaks some calls in a row, long or shortly after one worked.
+/// Calls to an endpoint break in a row, soon or long after one succeeded.
 #[rstest]
-#[case::one_among_those_that_work(1, 100, false, true)]
-#[case::some_among_those_that_work(2, 100, false, true)]
-#[case::many_in_a_row(3, 100, false, false)]
-#[case::one_after_a_long_silence(1, 900, false, false)]
-#[case::one_that_cannot_be_connected_to(1, 100, true, false)]
-fn work_is_kept_away_from_what_breaks_calls(
+#[case::one_soon_after_success(1, 100, false, true)]
+#[case::two_soon_after_success(2, 100, false, true)]
+#[case::three_in_a_row(3, 100, false, false)]
+#[case::one_long_after_success(1, 900, false, false)]
+#[case::unreachable_endpoint(1, 100, true, false)]
+fn an_endpoint_that_breaks_calls_gets_no_work(
     #[case] broken: u32,
     #[case] after: u64,
     #[case] unreachable: bool,
@@ -58,7 +58,7 @@
         worker.record_failure(at(after), unreachable, &options);
     }
     assert_eq!(worker.accepts_work(at(after + 1), &options), accepts_work);
-    // One that works ends the row.
+    // A success ends the series of failures.
     worker.record_success(at(after + 2));
     worker.record_failure(at(after + 3), false, &options);
     assert_eq!(worker.consecutive_failures, 0);
