--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -31,7 +31,7 @@
 impl Dispatcher {
     /// Handles an owner's answer.
     pub fn receive_lease_reply(&mut self, now: Time, from: SocketAddrV4, reply: Reply) {
-        let mut questions = self.questions.iter();
+        let mut questions = self.open_requests.iter();
         let found = questions.find(|(_, open_request)| {
             open_request.number == reply.number && open_request.owner == from
         });
@@ -41,13 +41,13 @@
         };
         match reply.answer {
             Answer::Waiting => {
-                if let Some(open_request) = self.questions.get_mut(&id) {
+                if let Some(open_request) = self.open_requests.get_mut(&id) {
                     open_request.unanswered = 0;
                 }
             }
             Answer::Granted { endpoint, reason } => self.start_in_slot(now, id, endpoint, reason),
             Answer::Refused(refusal) => {
-                self.questions.remove(&id);
+                self.open_requests.remove(&id);
                 let owner = Some(from);
                 self.refuse(now, id, None, Refusal { owner, ..refusal });
             }
@@ -67,10 +67,10 @@
     }
 
     fn start_in_slot(&mut self, now: Time, id: job::Id, endpoint: u32, reason: Reason) {
-        let Some(open_request) = self.questions.remove(&id) else {
+        let Some(open_request) = self.open_requests.remove(&id) else {
             return;
         };
-        let target = self.places.get(&id).cloned();
+        let target = self.targets.get(&id).cloned();
         let pool = target
             .as_ref()
             .and_then(|target| self.pools.get_mut(target));
@@ -118,7 +118,7 @@
         job: &Job,
         worker: &Worker,
     ) -> Option<UnusableSlot> {
-        if !worker.is_staying() {
+        if !worker.is_present() {
             // This node's list is newer than the owner's.
             return Some(UnusableSlot {
                 end: End::NotThere,
@@ -144,11 +144,11 @@
 
     /// Handles a denial: submits the request again, or decides on this node.
     fn handle_denial(&mut self, now: Time, id: job::Id) {
-        let Some(open_request) = self.questions.remove(&id) else {
+        let Some(open_request) = self.open_requests.remove(&id) else {
             return;
         };
         let Some(job) = open_request.job else {
-            self.denied.insert(open_request.owner, now);
+            self.spare_denied_at.insert(open_request.owner, now);
             return;
         };
         let pool = self.pools.get_mut(&job.target);
@@ -160,7 +160,7 @@
             });
         match worker {
             Some(worker) => {
-                worker.rests_until = worker.rests_until.max(now + ENDPOINT_DENIAL_BACKOFF);
+                worker.backoff_until = worker.backoff_until.max(now + ENDPOINT_DENIAL_BACKOFF);
                 self.submit(now, id, job);
             }
             None => self.enqueue(now, id, job),
@@ -171,7 +171,7 @@
     pub fn answer_lease_check(&mut self, from: SocketAddrV4, check: lease::Check) {
         let runs = self.runs.values().filter_map(|run| run.lease);
         let mut leases = runs.map(|lease| (lease.owner, lease.number));
-        let questions = self.questions.values();
+        let questions = self.open_requests.values();
         let mut questions = questions.map(|open_request| (open_request.owner, open_request.number));
         let requested = (from, check.number);
         if leases.any(|lease| lease == requested) || questions.any(|question| question == requested)
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -87,11 +87,11 @@
         }
         match self.arbiter(now, &job) {
             Arbiter::Local { only } => {
-                job.only = only;
+                job.only_endpoint = only;
                 self.enqueue(now, id, job);
             }
             Arbiter::Remote(target) => {
-                self.places.insert(id, job.target.clone());
+                self.targets.insert(id, job.target.clone());
                 self.request_slot(now, id, target, Some(job));
             }
         }
@@ -102,7 +102,7 @@
         let Some(pool) = self.pools.get(&job.target) else {
             return local;
         };
-        let per_endpoint = pool.shared || self.is_limited_throughout(now, pool, job);
+        let per_endpoint = pool.shared || self.is_fully_rate_limited(now, pool, job);
         let endpoint = match per_endpoint {
             true => self.sample_endpoint(now, pool, job),
             false => None,
@@ -112,7 +112,7 @@
             return local;
         }
         let owner = match self.is_displaced(pool, job) {
-            true => self.host_owner(now, pool, job, self.next_question),
+            true => self.fallback_owner(now, pool, job, self.next_question),
             false => self.slot_owner(now, pool, endpoint),
         };
         match owner {
@@ -143,12 +143,14 @@
     fn sample_endpoint<'a>(&self, now: Time, pool: &'a Pool, job: &Job) -> Option<&'a Worker> {
         let options = &self.options.worker;
         let candidates = pool.workers.iter().filter(|worker| {
-            worker.takes_work(now, options)
+            worker.accepts_work(now, options)
                 && !job.history.tried.contains(&worker.number)
                 && self.may_run_at(job, worker)
         });
         let candidates: Vec<&Worker> = candidates.collect();
-        let confirmed = candidates.iter().filter(|worker| !worker.is_in_doubt(now));
+        let confirmed = candidates
+            .iter()
+            .filter(|worker| !worker.is_unconfirmed(now));
         let confirmed: Vec<&Worker> = confirmed.copied().collect();
         let candidates = if confirmed.is_empty() {
             candidates
@@ -180,7 +182,7 @@
 
     /// Counts this node's open requests for a slot of an endpoint.
     fn open_requests_at(&self, worker: &Worker) -> usize {
-        let questions = self.questions.values();
+        let questions = self.open_requests.values();
         questions
             .filter(|open_request| open_request.endpoint == Some(worker.number))
             .count()
@@ -221,18 +223,18 @@
             unanswered: 0,
             job,
         };
-        self.questions.insert(id, open_request);
+        self.open_requests.insert(id, open_request);
         self.send_open_request(now, id);
     }
 
     fn send_open_request(&mut self, now: Time, id: job::Id) {
-        let Some(open_request) = self.questions.get_mut(&id) else {
+        let Some(open_request) = self.open_requests.get_mut(&id) else {
             return;
         };
         open_request.last_sent = now;
         open_request.unanswered += 1;
-        let open_request = &self.questions[&id];
-        let target = self.places.get(&id);
+        let open_request = &self.open_requests[&id];
+        let target = self.targets.get(&id);
         let pool = target.and_then(|target| self.pools.get(target));
         let waiting = pool.and_then(|pool| pool.queue.get(id));
         let Some((pool, job)) = pool.zip(open_request.job.as_ref().or(waiting)) else {
@@ -266,7 +268,8 @@
             return job.avoided.clone();
         }
         let workers = pool.workers.iter().filter(|worker| worker.listed);
-        let resting = workers.filter(|worker| worker.rest.is_resting(now) || worker.rest.is_probing());
+        let resting =
+            workers.filter(|worker| worker.rest.is_resting(now) || worker.rest.is_probing());
         resting
             .map(|worker| worker.number)
             .take(MAX_AVOIDED_ENDPOINTS)
@@ -276,7 +279,7 @@
     /// Repeats unanswered requests, and turns to another owner if one is silent or no
     /// longer owns the slots.
     pub(super) fn renew_open_requests(&mut self, now: Time) {
-        let ids: Vec<job::Id> = self.questions.keys().copied().collect();
+        let ids: Vec<job::Id> = self.open_requests.keys().copied().collect();
         for id in ids {
             self.renew_open_request(now, id);
         }
@@ -289,7 +292,7 @@
             }
             return;
         }
-        let Some(open_request) = self.questions.get(&id) else {
+        let Some(open_request) = self.open_requests.get(&id) else {
             return;
         };
         let since = now.since(open_request.last_sent);
@@ -299,11 +302,11 @@
         }
         let Some(job) = &open_request.job else {
             // A spare slot is of no use any more after this long.
-            self.denied.insert(open_request.owner, now);
+            self.spare_denied_at.insert(open_request.owner, now);
             self.cancel_open_request(id);
             return;
         };
-        if job.latest() <= now + self.options.policy.least_left {
+        if job.expires_at() <= now + self.options.policy.least_left {
             let refusal = self.too_late_refusal(now, job);
             self.cancel_open_request(id);
             self.refuse(now, id, None, refusal);
@@ -325,9 +328,9 @@
     /// Whether a request waits at the owner of one endpoint that is closed or resting. In a
     /// fleet of one cell the owner may grant any endpoint that it owns.
     fn waits_for_closed_endpoint(&self, now: Time, id: job::Id) -> bool {
-        let open_request = self.questions.get(&id).filter(|one| one.job.is_some());
+        let open_request = self.open_requests.get(&id).filter(|one| one.job.is_some());
         let requested = open_request.and_then(|open_request| open_request.endpoint);
-        let Some((endpoint, target)) = requested.zip(self.places.get(&id)) else {
+        let Some((endpoint, target)) = requested.zip(self.targets.get(&id)) else {
             return false;
         };
         let worker = self.worker_opt(target, endpoint);
@@ -343,19 +346,19 @@
 
     /// Whether the node that was asked still owns the requested slots.
     fn is_still_owner(&self, now: Time, id: job::Id) -> bool {
-        let Some(open_request) = self.questions.get(&id) else {
+        let Some(open_request) = self.open_requests.get(&id) else {
             return false;
         };
-        let target = self.places.get(&id);
+        let target = self.targets.get(&id);
         let pool = target.and_then(|target| self.pools.get(target));
         let Some((pool, job)) = pool.zip(open_request.job.as_ref()) else {
             return false;
         };
-        if self.members.cell().whole && !self.is_limited_throughout(now, pool, job) {
+        if self.members.cell().whole && !self.is_fully_rate_limited(now, pool, job) {
             return false;
         }
         if self.is_displaced(pool, job) {
-            let mut hosts = self.host_owners(now, pool, job).into_iter();
+            let mut hosts = self.fallback_owners(now, pool, job).into_iter();
             return hosts.any(|(owner, _)| owner == open_request.owner);
         }
         self.slot_owner(now, pool, open_request.endpoint) == Owner::Other(open_request.owner)
@@ -363,7 +366,7 @@
 
     /// Cancels an open request and returns it.
     pub(super) fn cancel_open_request(&mut self, id: job::Id) -> Option<OpenRequest> {
-        let open_request = self.questions.remove(&id)?;
+        let open_request = self.open_requests.remove(&id)?;
         self.release_slot(open_request.owner, open_request.number, End::Abandoned);
         Some(open_request)
     }
@@ -393,17 +396,24 @@
         let waiting = pool.queue.iter();
         let is_stuck = |number| {
             let worker = self.worker_opt(target, number);
-            !worker.is_some_and(|worker| worker.takes_work(now, &self.options.worker))
+            !worker.is_some_and(|worker| worker.accepts_work(now, &self.options.worker))
         };
-        let stuck_ids =
-            waiting.filter(|(_, job)| job.origin.is_none() && job.only.is_some_and(is_stuck));
+        let stuck_ids = waiting
+            .filter(|(_, job)| job.origin.is_none() && job.only_endpoint.is_some_and(is_stuck));
         let stuck_ids: Vec<job::Id> = stuck_ids.map(|(id, _)| id).collect();
         for id in stuck_ids {
             let pool = self.pools.get_mut(target);
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 continue;
             };
-            self.submit(now, id, Job { only: None, ..job });
+            self.submit(
+                now,
+                id,
+                Job {
+                    only_endpoint: None,
+                    ..job
+                },
+            );
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -53,14 +53,14 @@
         self.next_job += 1;
         let id = job::Id(self.next_job);
         self.budget.note_request(now, &job.target);
-        pool_mut(&mut self.pools, &self.options.warm, &job.target);
+        pool_mut(&mut self.pools, &self.options.prefix_cache, &job.target);
         self.submit(now, id, job);
         id
     }
 
     /// Adds a request to this node's queue, unless admission control refuses it.
     pub(super) fn enqueue(&mut self, now: Time, id: job::Id, job: Job) {
-        let refusal = match job.is_newcomer() {
+        let refusal = match job.is_untried() {
             true => self.admission_refusal(now, &job),
             false => None,
         };
@@ -81,14 +81,14 @@
         origin: Option<Origin>,
         refusal: Refusal,
     ) {
-        self.places.remove(&id);
+        self.targets.remove(&id);
         match origin {
             None => {
                 self.first_tries.note_refused(now);
                 self.decisions.push(Decision::Refuse { job: id, refusal });
             }
             Some(origin) => {
-                self.remote.remove(&origin);
+                self.remote_requests.remove(&origin);
                 self.send_lease_reply(origin, Answer::Refused(refusal));
             }
         }
@@ -112,7 +112,7 @@
     pub(super) fn push(&mut self, now: Time, id: job::Id, job: Job) {
         let target = job.target.clone();
         if let Some(pool) = self.pools.get_mut(&target) {
-            self.places.insert(id, target);
+            self.targets.insert(id, target);
             pool.queue.push(now, id, job);
             self.urgent = true;
         }
@@ -132,11 +132,11 @@
             });
         }
         // A caller that was refused before accepts a late answer rather than none.
-        let most = match job.is_returning() {
+        let most = match job.is_caller_retry() {
             true => job.patience.0 as f64,
             false => job.objective.0 as f64 * self.options.policy.refuse_beyond,
         };
-        let answer = self.pools.get(&job.target).map(Pool::usual_answer);
+        let answer = self.pools.get(&job.target).map(Pool::typical_response_time);
         let expected = (wait + answer.unwrap_or(Span::ZERO)).0 as f64;
         (wait > Span::ZERO && expected > most).then(|| Refusal {
             code: Code::TooLate,
@@ -174,15 +174,18 @@
     /// requests that wait now, on this node and others, and that do not rank behind this
     /// one.
     fn expected_wait_by_slots(&self, now: Time, pool: &Pool, rank: Rank) -> Span {
-        let goes_before = |other: Rank| other <= rank;
-        let here = pool.queue.counts().filter(|(other, _)| goes_before(*other));
+        let is_preferred_to = |other: Rank| other <= rank;
+        let here = pool
+            .queue
+            .counts()
+            .filter(|(other, _)| is_preferred_to(*other));
         let here: usize = here.map(|(_, count)| count).sum();
         let others = self.waiting_elsewhere(now, pool.number);
-        let others = others.filter(|waiting| goes_before(waiting.rank));
+        let others = others.filter(|waiting| is_preferred_to(waiting.rank));
         let others: usize = others.map(|waiting| usize::from(waiting.count)).sum();
         let waiting = here + others;
         let slots = pool.usable_slots(now, &self.options.worker).max(1);
-        Span((waiting as f64 * pool.call / f64::from(slots)) as u64)
+        Span((waiting as f64 * pool.call_us / f64::from(slots)) as u64)
     }
 
     /// Returns the requests that wait for a service on other nodes of this cell,
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -55,14 +55,17 @@
     /// and only to those of the cell, which send requests there, if it moves.
     fn announce_limit_change(&mut self, before: Option<Limit>, after: Option<Limit>) {
         self.urgent = true;
-        self.news |= before.is_none() || after.is_none();
+        self.has_news |= before.is_none() || after.is_none();
     }
 
     /// Stores limits announced by another node until its load is processed.
     pub(super) fn receive_rate_limits(&mut self, now: Time, told: &[Announcement]) {
         for one in told {
             let report = one.to_report(now);
-            let known = self.rate_limits_heard.entry(one.endpoint).or_insert(report);
+            let known = self
+                .received_rate_limits
+                .entry(one.endpoint)
+                .or_insert(report);
             if known.at < report.at {
                 *known = report;
             }
@@ -71,10 +74,10 @@
 
     /// Applies the limits announced by other nodes.
     pub(super) fn apply_received_rate_limits(&mut self, now: Time) {
-        if self.rate_limits_heard.is_empty() {
+        if self.received_rate_limits.is_empty() {
             return;
         }
-        let heard = std::mem::take(&mut self.rate_limits_heard);
+        let heard = std::mem::take(&mut self.received_rate_limits);
         let mut changes = Vec::new();
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
             let Some(report) = heard.get(&worker.number) else {
@@ -126,7 +129,7 @@
         };
         let limited = pool.workers.iter().enumerate();
         let limited = limited.filter(|(_, worker)| worker.is_rate_limited());
-        let others = limited.filter(|(_, worker)| !self.keeps_limit(now, pool, worker, permit));
+        let others = limited.filter(|(_, worker)| !self.owns_rate_limit(now, pool, worker, permit));
         others.map(|(at, _)| at).collect()
     }
 
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -59,7 +59,10 @@
             node: from,
             number: request.number,
         };
-        let known = self.remote.get(&origin).map(|remote| remote.incarnation);
+        let known = self
+            .remote_requests
+            .get(&origin)
+            .map(|remote| remote.incarnation);
         match known {
             Some(incarnation) if incarnation == request.incarnation => {
                 self.repeat_answer(now, origin);
@@ -94,9 +97,9 @@
             self.lend_spare_slot(now, id, job, remote);
             return;
         }
-        self.remote.insert(origin, remote);
+        self.remote_requests.insert(origin, remote);
         self.enqueue(now, id, job);
-        let waiting = self.remote.get(&origin);
+        let waiting = self.remote_requests.get(&origin);
         if waiting.is_some_and(|remote| remote.granted.is_none()) {
             self.send_lease_reply(origin, Answer::Waiting);
         }
@@ -108,12 +111,12 @@
         let options = &self.options.worker;
         endpoint.is_none_or(|number| {
             let worker = self.worker_opt(target, number);
-            worker.is_some_and(|worker| worker.lends(now, options))
+            worker.is_some_and(|worker| worker.is_lendable(now, options))
         })
     }
 
     fn repeat_answer(&mut self, now: Time, origin: Origin) {
-        let Some(remote) = self.remote.get_mut(&origin) else {
+        let Some(remote) = self.remote_requests.get_mut(&origin) else {
             return;
         };
         remote.last_heard = now;
@@ -122,9 +125,9 @@
             self.send_lease_reply(origin, Answer::Granted { endpoint, reason });
             return;
         }
-        let target = self.places.get(&id).cloned();
+        let target = self.targets.get(&id).cloned();
         let pool = target.as_ref().and_then(|target| self.pools.get(target));
-        let only = pool.and_then(|pool| pool.queue.get(id)?.only);
+        let only = pool.and_then(|pool| pool.queue.get(id)?.only_endpoint);
         if target.is_some_and(|target| !self.may_lend(now, &target, only)) {
             self.end_remote_request(now, origin, job::End::Abandoned, Observation::default());
             self.send_lease_reply(origin, Answer::Denied);
@@ -162,7 +165,7 @@
             origin: Some(origin),
             // In a fleet of one cell the endpoint only selects the owner, which may grant
             // any rate-limited endpoint that it owns.
-            only: request.endpoint.filter(|_| !self.members.cell().whole),
+            only_endpoint: request.endpoint.filter(|_| !self.members.cell().whole),
             avoided: request.avoided.clone(),
             trial: false,
             bound: Constraint::default(),
@@ -180,7 +183,7 @@
 
     /// Records the slot granted to a remote request, and tells its node.
     pub(super) fn grant_slot(&mut self, origin: Origin, endpoint: u32, reason: Reason) {
-        if let Some(remote) = self.remote.get_mut(&origin) {
+        if let Some(remote) = self.remote_requests.get_mut(&origin) {
             remote.granted = Some((endpoint, reason));
         }
         self.send_lease_reply(origin, Answer::Granted { endpoint, reason });
@@ -192,7 +195,7 @@
             node: from,
             number: report.number,
         };
-        let Some(remote) = self.remote.get_mut(&origin) else {
+        let Some(remote) = self.remote_requests.get_mut(&origin) else {
             return;
         };
         remote.last_heard = now;
@@ -200,7 +203,7 @@
         match report.event {
             Event::Held => {}
             Event::First => self.progress(now, id, 1),
-            Event::Progress => self.note_alive(now, id),
+            Event::Progress => self.record_remote_progress(now, id),
             Event::Cold { cold_for } => {
                 self.note_cold(now, id, cold_for);
             }
@@ -219,10 +222,10 @@
         end: job::End,
         seen: Observation,
     ) {
-        let Some(remote) = self.remote.remove(&origin) else {
+        let Some(remote) = self.remote_requests.remove(&origin) else {
             return;
         };
-        let Some(target) = self.places.remove(&remote.id) else {
+        let Some(target) = self.targets.remove(&remote.id) else {
             return;
         };
         self.urgent = true;
@@ -237,7 +240,7 @@
                 pool.turnaround.learn(now.since(run.started), used);
             }
             self.learn_reported_step(now, &run, seen.step);
-            self.close(now, run, end);
+            self.finish_attempt(now, run, end);
         }
         self.place(now, &target);
     }
@@ -247,7 +250,7 @@
     pub(super) fn check_remote_requests(&mut self, now: Time) {
         let mut lost = Vec::new();
         let mut unheard = Vec::new();
-        for (origin, remote) in &mut self.remote {
+        for (origin, remote) in &mut self.remote_requests {
             let silence = now.since(remote.last_heard);
             let limit = match remote.granted {
                 Some(_) => LOST_AFTER,
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -1,30 +1,30 @@
-//! One node's whole state. Commands take the time; what they decide is handed
-//! over by [`Dispatcher::take_decisions`].
+//! The scheduling state of one node. Each command takes the current time; the resulting decisions
+//! are collected with [`Dispatcher::take_decisions`].
 //!
-//! * `publish.rs`: what the platform published comes into force.
-//! * `reserve.rs`: requests are charged to their customer's quota.
-//! * `enter.rs`: requests come.
-//! * `retry.rs`: when callers that are refused come back.
-//! * `borrow.rs`: slots that other nodes own are asked for.
-//! * `answer.rs`: what becomes of their answers.
-//! * `lend.rs`: slots that this node owns are given to others.
-//! * `spare.rs`: slots that one cell has to spare for another.
-//! * `policy.rs`: bounds and weights.
-//! * `decision.rs`: what is decided.
-//! * `place.rs`: which request goes to which endpoint now.
-//! * `doubt.rs`: endpoints that may turn a request away.
-//! * `begin.rs`: a request is counted in at its endpoint.
-//! * `permit.rs`: who may send a request to an endpoint with a bound over all nodes.
-//! * `start_cold.rs`: endpoints that are cold.
-//! * `keep_rate_limit.rs`: endpoints that name how many requests a second they take.
-//! * `displace.rs`: where requests go that may not run in this data centre.
-//! * `predict.rs`: what is expected of an engine.
-//! * `observe.rs`: calls make progress and end.
-//! * `apply_notice.rs`: what endpoints say of themselves in answers.
-//! * `suspect.rs`: requests under which endpoints ended.
-//! * `tick.rs`: what only the passing of time brings about.
-//! * `share.rs`: what nodes tell each other.
-//! * `query.rs`: queries.
+//! * `publish.rs`: applies configurations and endpoint lists from the platform.
+//! * `reserve.rs`: charges requests to their customer's quota.
+//! * `enter.rs`: admits or refuses new requests.
+//! * `retry.rs`: computes when refused callers should retry.
+//! * `borrow.rs`: requests slots that other nodes own.
+//! * `answer.rs`: handles their replies.
+//! * `lend.rs`: grants slots that this node owns to other nodes.
+//! * `spare.rs`: lends a cell's spare slots to other cells.
+//! * `policy.rs`: limits and weights of the scheduling policy.
+//! * `decision.rs`: decision types.
+//! * `place.rs`: assigns waiting requests to endpoints.
+//! * `rejection.rs`: ranks endpoints that may reject a request.
+//! * `start.rs`: records the start of a request at its endpoint.
+//! * `permit.rs`: decides which node may send to an endpoint with a fleet-wide limit.
+//! * `start_cold.rs`: limits the rate of requests to cold endpoints.
+//! * `keep_rate_limit.rs`: enforces the rate limits that endpoints announce.
+//! * `displace.rs`: queues requests in other data centres when they may not run in this one.
+//! * `predict.rs`: forecasts engine performance.
+//! * `observe.rs`: records the progress and the end of attempts.
+//! * `apply_notice.rs`: applies what endpoints announce about themselves in answers.
+//! * `suspect.rs`: tracks requests suspected of crashing endpoints.
+//! * `tick.rs`: periodic work.
+//! * `share.rs`: exchanges status with other nodes.
+//! * `query.rs`: read-only queries.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -54,6 +54,8 @@
 use crate::message::Message;
 use crate::notice;
 use crate::parts;
+use crate::prefix_cache;
+use crate::prefix_cache::PrefixCache;
 use crate::quarantine;
 use crate::quarantine::Registry;
 use crate::queue::Queue;
@@ -65,18 +67,14 @@
 use crate::section;
 use crate::table::Table;
 use crate::turnaround::Turnaround;
-use crate::warm;
-use crate::warm::Warm;
 use crate::worker;
 use crate::worker::Worker;
 
 mod answer;
 mod apply_notice;
-mod begin;
 mod borrow;
 mod decision;
 mod displace;
-mod doubt;
 mod enter;
 mod keep_rate_limit;
 mod lend;
@@ -87,10 +85,12 @@
 mod predict;
 mod publish;
 mod query;
+mod rejection;
 mod reserve;
 mod retry;
 mod share;
 mod spare;
+mod start;
 mod start_cold;
 mod suspect;
 mod tick;
@@ -109,36 +109,36 @@
 pub use suspect::Change;
 pub use suspect::Evidence;
 
-/// What a dispatcher is told at its start.
+/// The settings of a dispatcher.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// This node's address among the nodes.
+    /// The address at which other nodes reach this node.
     pub own: SocketAddrV4,
-    /// This life of the node; must never be used twice.
+    /// The incarnation of this node; must be unique for each start.
     pub incarnation: u64,
     /// This node's data centre.
     pub data_centre: id::DataCentre,
-    /// Addresses of some other nodes, perhaps stale.
+    /// The addresses of some other nodes; may be out of date.
     pub seeds: Vec<SocketAddrV4>,
-    /// Bounds of the policy.
+    /// The scheduling policy.
     pub policy: Policy,
-    /// Bounds of what is learnt of endpoints.
+    /// Settings for tracking endpoint state.
     pub worker: worker::Options,
-    /// Bounds of prompt hints.
-    pub warm: warm::Options,
-    /// Bounds of membership.
+    /// Settings of the prefix cache.
+    pub prefix_cache: prefix_cache::Options,
+    /// Settings of cluster membership.
     pub member: member::Options,
     /// How far quotas may be exceeded.
     pub quota: quota::Options,
-    /// What may be sent again.
+    /// The budget for sending requests again.
     pub budget: budget::Options,
-    /// What is not run any more.
+    /// Settings of the quarantine for requests that crash endpoints.
     pub quarantine: quarantine::Options,
     /// The region of each data centre.
     pub regions: region::Map,
 }
 
-/// A request that runs at an endpoint.
+/// A request in progress at an endpoint.
 #[derive(Debug)]
 struct Run {
     job: Job,
@@ -146,61 +146,60 @@
     started: Time,
     uncached: u64,
     ahead: u64,
-    /// True where it was sent beyond the endpoint's slots.
+    /// Whether it was sent while all slots of the endpoint were in use.
     queued: bool,
     first: Option<Time>,
     marked: Time,
     events: u32,
-    /// Events that it has shown.
+    /// Events received so far.
     shown: u32,
-    /// When it last showed an event.
+    /// When the last event was received.
     last: Time,
-    /// The shortest time between two of its events, in microseconds.
+    /// The shortest time between two events, in microseconds.
     step: Option<f64>,
-    /// The slot, where another node gave it.
+    /// The lease, if another node granted the slot.
     lease: Option<Lease>,
-    /// When that node was last told of progress.
+    /// When the granting node was last told of progress.
     reported: Time,
 }
 
-/// What one node knows of one service.
+/// The state that this node keeps for one service.
 #[derive(Debug)]
 struct Pool {
     engine: bool,
-    /// True where it has too few endpoints for each cell to have its own.
+    /// Whether the service has too few endpoints to give each cell its own.
     shared: bool,
     number: u32,
     least_protected: Priority,
-    /// What its endpoints bear while they are cold; none where nothing says so.
+    /// The request rate that its endpoints sustain while cold, if configured.
     cold: Option<cold::Bound>,
     workers: Vec<Worker>,
     index: HashMap<id::Endpoint, usize>,
     queue: Queue,
-    warm: Warm,
-    /// The share of prompts that were seen before, whole.
-    recurring: f64,
-    /// When requests of each rank were lately sent.
+    prefix_cache: PrefixCache,
+    /// The share of prompts that had been seen before in full.
+    repeat_ratio: f64,
+    /// When requests of each rank were recently started.
     starts: HashMap<Rank, VecDeque<Time>>,
-    /// Usual time to the first event, in microseconds.
-    first: f64,
-    /// The longest pauses between two events, as a multiple of the engine's
-    /// step.
+    /// The typical time to the first event, in microseconds.
+    first_event_us: f64,
+    /// The length of the longest pauses between two events, as a multiple of the step.
     longest_pause: f64,
-    /// Usual time between two events of a stream, in microseconds.
-    step: f64,
-    /// How long streams are beside what their callers estimate.
+    /// The typical time between two events of a stream, in microseconds.
+    step_us: f64,
+    /// The lengths of streams relative to their callers' estimates.
     lengths: Lengths,
-    /// Usual time for reading one prompt token, in microseconds.
-    prefill: f64,
-    /// Usual time of a whole call, in microseconds.
-    call: f64,
-    /// How long its slots stand idle between calls of other nodes.
+    /// The typical time to read one prompt token, in microseconds.
+    prefill_us: f64,
+    /// The typical duration of a call, in microseconds.
+    call_us: f64,
+    /// How long its slots stay idle between calls of other nodes.
     turnaround: Turnaround,
-    /// When one of its endpoints was last open; none where none was yet.
+    /// When one of its endpoints was last open, if ever.
     open_at: Option<Time>,
 }
 
-/// One node's decisions.
+/// The scheduler of one node.
 #[derive(Debug)]
 pub struct Dispatcher {
     options: Options,
@@ -208,56 +207,56 @@
     /// Parts of a configuration that is not in force yet.
     received: parts::Received,
     list: Arc<List>,
-    /// The sections of that list.
+    /// The sections of `list`.
     sections: section::Index,
-    /// That list as the platform has it, where more is known of what it says.
+    /// The list as published by the platform, if `list` contains corrections.
     uncorrected: Option<Arc<List>>,
-    /// What earlier lists said that an older copy of the platform may not say.
+    /// Facts from earlier lists that an older copy of the platform's data may lack.
     memory: Memory,
     pools: HashMap<id::Target, Pool>,
-    places: HashMap<job::Id, id::Target>,
+    targets: HashMap<job::Id, id::Target>,
     runs: HashMap<job::Id, Run>,
     members: Members,
     accounts: Accounts,
     budget: Budget,
-    /// Requests under which endpoints ended.
+    /// Requests suspected of crashing endpoints.
     quarantine: Registry,
-    /// What became known of them.
-    changes: Vec<Change>,
-    /// Endpoints that said in answers that they leave.
+    /// Changes to the quarantine since they were last taken.
+    quarantine_changes: Vec<Change>,
+    /// Endpoints that announced in an answer that they are leaving.
     leaving_endpoints: leaving::Registry,
-    /// What is believed of endpoints otherwise than before, by no answer to this node.
-    updates: Vec<notice::Update>,
+    /// Changes in endpoint state that did not come from answers to this node.
+    endpoint_updates: Vec<notice::Update>,
     durations: Durations,
     first_tries: first_try::Histogram,
-    /// Requests of this node for which others were asked for a slot.
-    questions: HashMap<job::Id, OpenRequest>,
-    /// Requests of other nodes that wait or run in slots of this node's.
-    remote: HashMap<Origin, RemoteRequest>,
-    /// What others told of endpoints' rate limits since the last tick.
-    rate_limits_heard: HashMap<u32, rate_limit::Report>,
-    /// Until when endpoints rest for other nodes, as heard since the last tick.
-    rests_heard: HashMap<u32, Time>,
-    /// When the owners of other cells last had no slot to spare.
-    denied: HashMap<SocketAddrV4, Time>,
-    /// Messages that are to be sent.
+    /// Requests of this node for which a slot of another node was requested.
+    open_requests: HashMap<job::Id, OpenRequest>,
+    /// Requests of other nodes that wait for or run in slots of this node.
+    remote_requests: HashMap<Origin, RemoteRequest>,
+    /// Rate limits that other nodes reported since the last tick.
+    received_rate_limits: HashMap<u32, rate_limit::Report>,
+    /// When endpoints stop resting for other nodes, as reported since the last tick.
+    received_rests: HashMap<u32, Time>,
+    /// When the owners in other cells last denied a spare slot.
+    spare_denied_at: HashMap<SocketAddrV4, Time>,
+    /// Messages to be sent.
     outbox: Vec<(SocketAddrV4, Message)>,
     next_job: u64,
     next_question: u64,
     next_reserve: u64,
     sequence: u64,
     leaving: bool,
-    cut_off: bool,
+    is_partitioned: bool,
     urgent: bool,
-    /// True while documents have come into force of which nobody was told.
-    news: bool,
-    ticked: Time,
-    arranged: Time,
+    /// Whether documents came into force that were not announced to other nodes yet.
+    has_news: bool,
+    ticked_at: Time,
+    arranged_at: Time,
     decisions: Vec<Decision>,
 }
 
 impl Dispatcher {
-    /// Nothing is known yet.
+    /// Creates a dispatcher without configuration or endpoints.
     pub fn new(options: Options) -> Dispatcher {
         Dispatcher {
             members: Members::new(
@@ -269,9 +268,9 @@
             accounts: Accounts::new(options.quota.clone()),
             budget: Budget::new(options.budget.clone()),
             quarantine: Registry::new(options.quarantine.clone()),
-            changes: Vec::new(),
+            quarantine_changes: Vec::new(),
             leaving_endpoints: leaving::Registry::default(),
-            updates: Vec::new(),
+            endpoint_updates: Vec::new(),
             durations: Durations::default(),
             first_tries: first_try::Histogram::default(),
             options,
@@ -282,40 +281,40 @@
             uncorrected: None,
             memory: Memory::default(),
             pools: HashMap::new(),
-            places: HashMap::new(),
+            targets: HashMap::new(),
             runs: HashMap::new(),
-            questions: HashMap::new(),
-            remote: HashMap::new(),
-            rate_limits_heard: HashMap::new(),
-            rests_heard: HashMap::new(),
-            denied: HashMap::new(),
+            open_requests: HashMap::new(),
+            remote_requests: HashMap::new(),
+            received_rate_limits: HashMap::new(),
+            received_rests: HashMap::new(),
+            spare_denied_at: HashMap::new(),
             outbox: Vec::new(),
             next_job: 0,
             next_question: 0,
             next_reserve: 0,
             sequence: 0,
             leaving: false,
-            cut_off: false,
+            is_partitioned: false,
             urgent: false,
-            news: false,
-            ticked: Time(0),
-            arranged: Time(0),
+            has_news: false,
+            ticked_at: Time(0),
+            arranged_at: Time(0),
             decisions: Vec::new(),
         }
     }
 
-    /// Takes what was decided since the last call.
+    /// Takes the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Takes what is believed of endpoints otherwise than at the last call, but for what
-    /// answers to this node's requests brought.
+    /// Takes the changes in endpoint state since the last call, except those that came from answers
+    /// to this node's requests.
     pub fn take_updates(&mut self) -> Vec<notice::Update> {
-        std::mem::take(&mut self.updates)
+        std::mem::take(&mut self.endpoint_updates)
     }
 
-    /// Takes the messages that are to be sent since the last call.
+    /// Takes the messages queued since the last call.
     pub fn take_messages(&mut self) -> Vec<(SocketAddrV4, Message)> {
         std::mem::take(&mut self.outbox)
     }
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -1,4 +1,4 @@
-//! Calls make progress and end.
+//! Records the progress and the end of attempts and learns from them.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -12,38 +12,37 @@
 use crate::job::End;
 use crate::job::Job;
 use crate::lease;
-use crate::worker::PACE_LEAST;
-use crate::worker::PACE_MOST;
+use crate::worker::MAX_PACE;
+use crate::worker::MIN_PACE;
 
-/// Prompt tokens under which a first event says little of the reading speed.
-const LEARN_FROM: u64 = 400;
+/// The minimum number of prompt tokens for measuring the reading speed by the first event.
+const MIN_SAMPLE_TOKENS: u64 = 400;
 
-/// Bounds of the time for reading one prompt token, in microseconds: from a
-/// million tokens a second down to a thousand.
-const PREFILL_LEAST: f64 = 1.0;
-const PREFILL_MOST: f64 = 1_000.0;
+/// The limits of the time to read one prompt token, in microseconds: from a million tokens a second
+/// down to a thousand.
+const MIN_PREFILL_US: f64 = 1.0;
+const MAX_PREFILL_US: f64 = 1_000.0;
 
-/// Weight of one observation in what is usual for a service.
-const NEWEST: f64 = 0.03;
+/// The weight of one observation in the averages of a service.
+const SAMPLE_WEIGHT: f64 = 0.03;
 
-/// Weight of a pause longer than the longest that are expected, and of a
-/// shorter one: about one in fifty is longer.
-const PAUSE_LONGER: f64 = 0.2;
-const PAUSE_SHORTER: f64 = 0.002;
+/// The weights of a pause above and below the current estimate of the longest pauses. With these
+/// weights about one pause in fifty is longer than the estimate.
+const LONGER_PAUSE_WEIGHT: f64 = 0.2;
+const SHORTER_PAUSE_WEIGHT: f64 = 0.002;
 
-/// The longest pause that counts, as a multiple of a step: longer ones are
-/// those of an endpoint that stands still.
-const LONGEST_PAUSE: f64 = 10.0;
+/// The longest pause that is counted, in steps. A longer one means that the endpoint has stalled.
+const MAX_PAUSE_STEPS: f64 = 10.0;
 
-/// How often the owner of a slot is told that a stream goes on: more than twice
-/// in the silence after which it would take the endpoint to stand still.
-const REPORT_EVERY: Span = Span::from_millis(400);
+/// How often the owner of a slot is told that a stream makes progress: more than twice within the
+/// time after which it would consider the endpoint stalled.
+const REPORT_INTERVAL: Span = Span::from_millis(400);
 
-/// Events after which the time between them is looked at.
-const MARK: u32 = 4;
+/// The number of events over which the time between events is measured.
+const EVENTS_PER_SAMPLE: u32 = 4;
 
 impl Dispatcher {
-    /// Events of a stream were seen.
+    /// Records events of a stream.
     pub fn progress(&mut self, now: Time, id: job::Id, events: u32) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -51,7 +50,7 @@
         let Some(pool) = self.pools.get_mut(&run.job.target) else {
             return;
         };
-        pool.workers[run.worker].heard = now;
+        pool.workers[run.worker].last_progress = now;
         if run.job.origin.is_none() {
             pool.workers[run.worker].rest.note_served(run.started);
         }
@@ -59,7 +58,7 @@
         let first = run.first.is_none();
         let told = match first {
             true => Some(lease::Event::First),
-            false if now.since(run.reported) >= REPORT_EVERY => Some(lease::Event::Progress),
+            false if now.since(run.reported) >= REPORT_INTERVAL => Some(lease::Event::Progress),
             false => None,
         };
         let told = run.lease.zip(told);
@@ -71,7 +70,7 @@
             }
             run.last = now;
             run.events += events;
-            if run.events >= MARK {
+            if run.events >= EVENTS_PER_SAMPLE {
                 learn_events(pool, run, now);
             }
         }
@@ -84,10 +83,9 @@
         }
     }
 
-    /// Another node tells that the stream it has goes on. Where what it said of the
-    /// first event was lost, that has come, but nobody knows when: nothing is
-    /// learnt from it.
-    pub(super) fn note_alive(&mut self, now: Time, id: job::Id) {
+    /// Records that another node's stream makes progress. If the report of its first event was
+    /// lost, the time of that event is unknown and nothing is learnt from it.
+    pub(super) fn record_remote_progress(&mut self, now: Time, id: job::Id) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
@@ -95,7 +93,7 @@
             return;
         };
         let worker = &mut pool.workers[run.worker];
-        worker.heard = now;
+        worker.last_progress = now;
         if run.first.is_none() {
             run.first = Some(now);
             worker.pending = worker.pending.saturating_sub(run.uncached);
@@ -105,7 +103,7 @@
         }
     }
 
-    /// An attempt ended. Says what is to happen with its request.
+    /// Records the end of an attempt and returns what follows for its request.
     pub fn end(&mut self, now: Time, id: job::Id, end: End) -> Next {
         let Some(run) = self.runs.remove(&id) else {
             self.abandon(now, id);
@@ -113,8 +111,8 @@
         };
         self.urgent |= run.lease.is_none();
         let target = run.job.target.clone();
-        self.note_outcome(now, &run, end);
-        let mut job = self.close(now, run, end);
+        self.update_quarantine(now, &run, end);
+        let mut job = self.finish_attempt(now, run, end);
         let next = match end {
             End::Whole | End::Rejected | End::Abandoned => Next::Over,
             _ => self.next_attempt(now, &mut job, end),
@@ -122,26 +120,26 @@
         match next {
             Next::Again => self.submit(now, id, job),
             _ => {
-                self.places.remove(&id);
+                self.targets.remove(&id);
             }
         }
         self.place(now, &target);
         next
     }
 
-    /// Learns of a request of this node's callers from how an attempt ended.
-    fn note_outcome(&mut self, now: Time, run: &Run, end: End) {
+    /// Updates the quarantine from the end of an attempt.
+    fn update_quarantine(&mut self, now: Time, run: &Run, end: End) {
         let fingerprint = run.job.fingerprint;
         match end {
             End::Whole => self.note_whole(now, fingerprint),
-            // One whose time ran out may have taken a whole host with it, which then says
-            // nothing: only the platform's list tells.
+            // A timeout may mean that a whole host failed and no longer answers; only the
+            // platform's list can tell.
             //
-            // Endpoints that all end at one moment are met one after the other by one
-            // attempt, which may be free of blame: it is charged once. With each of them
-            // charged, six callers that returned after such a moment were refused on a
-            // day played with ten hosts, and without none.
-            End::Lost | End::Late if !run.job.history.broke => {
+            // When several endpoints fail at the same moment, one attempt may meet them one after
+            // another without being the cause, so only the first is charged to it. When each was
+            // charged, returning callers were refused although their requests had done nothing
+            // wrong.
+            End::Lost | End::Late if !run.job.history.connection_broke => {
                 let pool = self.pools.get(&run.job.target);
                 if let Some(worker) = pool.and_then(|pool| pool.workers.get(run.worker)) {
                     let number = worker.number;
@@ -152,13 +150,13 @@
         }
     }
 
-    /// A caller left, or its time ran out.
+    /// Records that a caller left or that its time ran out.
     pub fn abandon(&mut self, now: Time, id: job::Id) {
         if self.runs.contains_key(&id) {
             self.end(now, id, End::Abandoned);
             return;
         }
-        let Some(target) = self.places.remove(&id) else {
+        let Some(target) = self.targets.remove(&id) else {
             return;
         };
         self.cancel_open_request(id);
@@ -168,8 +166,8 @@
         }
     }
 
-    /// Counts an attempt out and learns from how it ended.
-    pub(super) fn close(&mut self, now: Time, run: Run, end: End) -> Job {
+    /// Removes an attempt from its endpoint's load and learns from how it ended.
+    pub(super) fn finish_attempt(&mut self, now: Time, run: Run, end: End) -> Job {
         if let Some(lease) = run.lease {
             let seen = lease::Observation {
                 events: run.shown,
@@ -194,7 +192,7 @@
         }
         match end {
             End::Whole | End::Rejected => {
-                worker.succeed(now);
+                worker.record_success(now);
                 learn_call(pool, &run, now);
                 learn_length(pool, &run);
                 if run.job.origin.is_none() {
@@ -202,25 +200,24 @@
                     self.durations.learn(&run.job.route, took);
                 }
             }
-            End::Fault => worker.fault(now),
-            End::Full => worker.fill(now, options),
+            End::Fault => worker.record_fault(now),
+            End::Full => worker.record_full(now, options),
             End::NotThere => worker.gone_at = Some(now),
             End::NotSent | End::Lost => {
                 let number = worker.number;
-                worker.fail(now, end == End::NotSent, options);
-                pool.warm.forget(number);
+                worker.record_failure(now, end == End::NotSent, options);
+                pool.prefix_cache.remove_endpoint(number);
             }
-            // That the time ran out says little of an endpoint that shows
-            // progress with other requests.
-            End::Late if now.since(worker.heard) > options.silence => {
-                worker.fail(now, false, options);
+            // A timeout says little about an endpoint that makes progress with other requests.
+            End::Late if now.since(worker.last_progress) > options.stall_timeout => {
+                worker.record_failure(now, false, options);
             }
             End::Late | End::Abandoned => {}
         }
         run.job
     }
 
-    /// Learns an engine's step from what another node saw of it.
+    /// Learns an engine's step from the observation of another node.
     pub(super) fn learn_reported_step(&mut self, now: Time, run: &Run, step: Option<u32>) {
         let pool = self.pools.get_mut(&run.job.target);
         if let Some((pool, step)) = pool.filter(|pool| pool.engine).zip(step) {
@@ -230,11 +227,11 @@
 
     fn next_attempt(&mut self, now: Time, job: &mut Job, end: End) -> Next {
         if end == End::NotSent {
-            job.history.unsent += 1;
+            job.history.connect_failures += 1;
         } else {
             job.history.sent += 1;
             job.history.may_have_run |= !end.is_not_run();
-            job.history.broke |= end == End::Lost;
+            job.history.connection_broke |= end == End::Lost;
         }
         if job.history.may_have_run && !job.repeatable {
             return Next::Final(Cause::MayHaveRun);
@@ -242,14 +239,14 @@
         if end == End::Lost && self.quarantine.is_suspect(job.fingerprint) {
             return Next::Final(Cause::Suspect);
         }
-        let unsent = job.history.unsent >= self.options.policy.connects;
+        let unsent = job.history.connect_failures >= self.options.policy.connects;
         if unsent || job.history.sent >= job.attempts {
             return Next::Final(Cause::Attempts);
         }
         if job.deadline.since(now) <= self.options.policy.least_left {
             return Next::Final(Cause::Time);
         }
-        // Only what reaches a second endpoint counts as sent again.
+        // Only a request that reaches a second endpoint counts as sent again.
         let nodes = self.budget_nodes(now);
         let counted = job.history.sent > 0 && end != End::NotSent;
         if counted && !self.budget.try_spend(now, &job.target, nodes) {
@@ -258,48 +255,53 @@
         Next::Again
     }
 
-    /// Nodes that share what may be sent again.
+    /// The number of nodes that share the retry budget.
     pub(super) fn budget_nodes(&self, now: Time) -> usize {
         let reach = self.members.reach(now);
-        if reach.isolated { ALONE } else { reach.nodes }
+        if reach.isolated {
+            ASSUMED_NODES
+        } else {
+            reach.nodes
+        }
     }
 }
 
-/// Nodes that share the budget as long as none was heard.
-const ALONE: usize = 8;
+/// The assumed number of nodes until another node is heard.
+const ASSUMED_NODES: usize = 8;
 
 fn learn_first(pool: &mut Pool, run: &mut Run, now: Time) {
     run.first = Some(now);
     run.marked = now;
     run.last = now;
     let after = now.since(run.started).0 as f64;
-    pool.first += (after - pool.first) * NEWEST;
+    pool.first_event_us += (after - pool.first_event_us) * SAMPLE_WEIGHT;
     let worker = &mut pool.workers[run.worker];
     worker.pending = worker.pending.saturating_sub(run.uncached);
     let tokens = run.uncached + run.ahead;
-    // Of a request that waited there for a slot the time says nothing of reading.
-    if pool.engine && tokens >= LEARN_FROM && !run.queued {
-        let reading = after - worker.step.unwrap_or(pool.step);
-        let seen = reading / tokens as f64 / worker.pace.max(PACE_LEAST);
-        pool.prefill += (seen.clamp(PREFILL_LEAST, PREFILL_MOST) - pool.prefill) * NEWEST;
+    // The time includes waiting for a slot if the request was queued at the endpoint.
+    if pool.engine && tokens >= MIN_SAMPLE_TOKENS && !run.queued {
+        let reading = after - worker.step_us.unwrap_or(pool.step_us);
+        let seen = reading / tokens as f64 / worker.pace.max(MIN_PACE);
+        pool.prefill_us +=
+            (seen.clamp(MIN_PREFILL_US, MAX_PREFILL_US) - pool.prefill_us) * SAMPLE_WEIGHT;
     }
 }
 
-/// Learns how much longer than a step the longest pauses are: from a longer one
-/// at once, from shorter ones slowly.
+/// Learns the length of the longest pauses in steps: quickly from a longer one, slowly from shorter
+/// ones.
 fn learn_pause(pool: &mut Pool, run: &Run, now: Time) {
-    let Some(step) = pool.workers[run.worker].step else {
+    let Some(step) = pool.workers[run.worker].step_us else {
         return;
     };
-    let ratio = (now.since(run.last).0 as f64 / step.max(1.0)).min(LONGEST_PAUSE);
+    let ratio = (now.since(run.last).0 as f64 / step.max(1.0)).min(MAX_PAUSE_STEPS);
     let weight = match ratio > pool.longest_pause {
-        true => PAUSE_LONGER,
-        false => PAUSE_SHORTER,
+        true => LONGER_PAUSE_WEIGHT,
+        false => SHORTER_PAUSE_WEIGHT,
     };
     pool.longest_pause += (ratio - pool.longest_pause) * weight;
 }
 
-/// Learns from the time that the last events of a stream took.
+/// Learns the step from the time that the last events of a stream took.
 fn learn_events(pool: &mut Pool, run: &mut Run, now: Time) {
     let gap = now.since(run.marked).0 as f64 / f64::from(run.events);
     run.marked = now;
@@ -312,10 +314,10 @@
 
 fn learn_step(pool: &mut Pool, worker: usize, gap: f64, now: Time) {
     let step = pool.workers[worker].learn_step(now, gap);
-    pool.step += (step - pool.step) * NEWEST;
-    let usual = pool.step.max(1.0);
+    pool.step_us += (step - pool.step_us) * SAMPLE_WEIGHT;
+    let usual = pool.step_us.max(1.0);
     let worker = &mut pool.workers[worker];
-    worker.pace = (step / usual).clamp(PACE_LEAST, PACE_MOST);
+    worker.pace = (step / usual).clamp(MIN_PACE, MAX_PACE);
 }
 
 fn learn_length(pool: &mut Pool, run: &Run) {
@@ -327,7 +329,7 @@
 fn learn_call(pool: &mut Pool, run: &Run, now: Time) {
     let micros = now.since(run.started).0 as f64;
     if !pool.engine {
-        pool.workers[run.worker].learn_pace(now, micros / pool.call.max(1.0));
+        pool.workers[run.worker].learn_pace(now, micros / pool.call_us.max(1.0));
     }
-    pool.call += (micros - pool.call) * NEWEST;
+    pool.call_us += (micros - pool.call_us) * SAMPLE_WEIGHT;
 }
--- a/crates/dispatch/src/dispatcher/permit.rs
+++ b/crates/dispatch/src/dispatcher/permit.rs
@@ -1,10 +1,10 @@
-//! Who may send a request to an endpoint with a bound that holds over all nodes: one that
-//! is cold, or that names a rate limit.
+//! Decides which node may send requests to an endpoint with a fleet-wide limit: one that is cold or
+//! that announced a rate limit.
 //!
-//! One node alone sends requests there, the owner of its slots, and gives others leave.
-//! Where nodes are cut off from each other each side has an owner of its own; each then
-//! spaces its requests by the part of the fleet that it hears, so that all sides together
-//! keep to the bound. A node that has just started, or reaches no owner, sends nothing.
+//! Only the node that owns the endpoint's slots sends requests there and permits others to do so.
+//! In a network partition each side has its own owner. Each owner then scales its request interval
+//! by the share of the fleet that it can reach, so that all sides together stay within the limit. A
+//! node that has just started, or that reaches no owner, sends nothing.
 
 use woadstage_types::unit::Time;
 
@@ -16,44 +16,44 @@
 use crate::quota::Reach;
 use crate::worker::Worker;
 
-/// Whether this node may send requests to the bounded endpoints of a service.
+/// Whether this node may send requests to the limited endpoints of a service.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Permit {
-    right: Right,
+    authority: Authority,
     reach: Reach,
 }
 
-/// To which of them.
+/// The endpoints that a permit covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Right {
-    /// To all that are its cell's, or to none.
-    All(bool),
-    /// To those whose slots it owns one by one.
-    Each,
+enum Authority {
+    /// All limited endpoints of its cell, or none.
+    Service(bool),
+    /// The endpoints whose slots this node owns.
+    PerEndpoint,
 }
 
 impl Dispatcher {
-    /// Whether this node may send requests to bounded endpoints of a service now; none
-    /// where there are none.
+    /// Returns the permit of this node for the limited endpoints of a service, or `None` if the
+    /// service has no limited endpoint.
     pub(super) fn permit_opt(&self, now: Time, pool: &Pool) -> Option<Permit> {
         let is_bounded = |worker: &Worker| pool.is_cold(now, worker) || worker.is_rate_limited();
         pool.workers.iter().any(is_bounded).then(|| Permit {
-            right: self.right(now, pool),
+            authority: self.authority(now, pool),
             reach: self.members.reach(now),
         })
     }
 
-    fn right(&self, now: Time, pool: &Pool) -> Right {
+    fn authority(&self, now: Time, pool: &Pool) -> Authority {
         if self.accounts.is_discovering(now) {
-            return Right::All(false);
+            return Authority::Service(false);
         }
         if pool.shared || self.members.cell().whole {
-            return Right::Each;
+            return Authority::PerEndpoint;
         }
-        Right::All(self.slot_owner(now, pool, None) == Owner::Own)
+        Authority::Service(self.slot_owner(now, pool, None) == Owner::Own)
     }
 
-    /// True unless an endpoint has a bound by which it must not be sent a request now.
+    /// Whether the limits of an endpoint allow a request to be sent there now.
     pub(super) fn may_start(
         &self,
         now: Time,
@@ -65,52 +65,59 @@
             return true;
         };
         let cold = pool.is_cold(now, worker);
-        let may_while_cold = || worker.cold.may_start(now) && self.owns_cold(now, worker, permit);
-        (!cold || may_while_cold()) && self.may_start_limited(now, pool, worker, permit)
+        let may_while_cold =
+            || worker.cold.may_start(now) && self.owns_cold_start(now, worker, permit);
+        (!cold || may_while_cold()) && self.may_start_rate_limited(now, pool, worker, permit)
     }
 
-    fn owns_cold(&self, now: Time, worker: &Worker, permit: Permit) -> bool {
+    fn owns_cold_start(&self, now: Time, worker: &Worker, permit: Permit) -> bool {
         let key = u64::from(worker.number);
-        match permit.right {
-            Right::All(may) => may,
-            Right::Each => self.members.owner(now, Scope::Fleet, key) == Owner::Own,
+        match permit.authority {
+            Authority::Service(may) => may,
+            Authority::PerEndpoint => self.members.owner(now, Scope::Fleet, key) == Owner::Own,
         }
     }
 
-    fn may_start_limited(&self, now: Time, pool: &Pool, worker: &Worker, permit: Permit) -> bool {
+    fn may_start_rate_limited(
+        &self,
+        now: Time,
+        pool: &Pool,
+        worker: &Worker,
+        permit: Permit,
+    ) -> bool {
         let Some(limit) = worker.rate_limit.limit_opt() else {
             return true;
         };
         let spacing = permit.reach.scale_interval(limit.to_interval());
-        worker.rate_limit.may_start(now, spacing) && self.keeps_limit(now, pool, worker, permit)
+        worker.rate_limit.may_start(now, spacing) && self.owns_rate_limit(now, pool, worker, permit)
     }
 
-    /// True where this node keeps the rate limit of an endpoint.
-    pub(super) fn keeps_limit(
+    /// Whether this node enforces the rate limit of an endpoint.
+    pub(super) fn owns_rate_limit(
         &self,
         now: Time,
         pool: &Pool,
         worker: &Worker,
         permit: Permit,
     ) -> bool {
-        match permit.right {
-            Right::All(may) => may,
-            Right::Each => self.slot_owner(now, pool, Some(worker.number)) == Owner::Own,
+        match permit.authority {
+            Authority::Service(may) => may,
+            Authority::PerEndpoint => self.slot_owner(now, pool, Some(worker.number)) == Owner::Own,
         }
     }
 
-    /// True where all endpoints that could take a request name rate limits, in a fleet of
-    /// one cell, so that requests wait for a slot at the owners of those.
+    /// Whether the fleet has one cell and every endpoint that can take a request has a rate limit.
+    /// Such a request waits for a slot at the owners of those endpoints.
     ///
-    /// Without it an owner's own callers alone would use what its endpoints take, and those
-    /// of a node that owns none would not be served at all.
-    pub(super) fn is_limited_throughout(&self, now: Time, pool: &Pool, job: &Job) -> bool {
+    /// Without this rule the callers of an owner would use up the rate limit of its endpoints, and
+    /// callers of a node that owns none would not be served at all.
+    pub(super) fn is_fully_rate_limited(&self, now: Time, pool: &Pool, job: &Job) -> bool {
         if !self.members.cell().whole {
             return false;
         }
         let options = &self.options.worker;
         let open = pool.workers.iter().filter(|worker| {
-            worker.takes_work(now, options)
+            worker.accepts_work(now, options)
                 && !job.history.tried.contains(&worker.number)
                 && self.may_run_at(job, worker)
         });
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -1,4 +1,4 @@
-//! Which waiting request goes to which endpoint now.
+//! Assigns waiting requests to endpoints.
 
 use std::collections::BTreeMap;
 
@@ -9,41 +9,42 @@
 
 use super::Dispatcher;
 use super::Pool;
-use super::doubt::Turn;
 use super::predict::Forecast;
+use super::rejection::Preference;
 use crate::configuration::Rank;
 use crate::job;
 use crate::job::Job;
-use crate::warm;
+use crate::prefix_cache;
 use crate::worker::Worker;
 
-/// An endpoint that could take a request.
+/// An endpoint that can run a request.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Choice {
-    /// Its place among the endpoints of its service.
+pub(super) struct Candidate {
+    /// The index of the endpoint in the pool of its service.
     pub worker: usize,
-    /// Prompt tokens that it is believed to have to read.
+    /// The estimated number of prompt tokens that it has to read.
     pub uncached: u64,
-    micros: f64,
-    /// The time until its first event is expected, in microseconds.
-    first: f64,
-    /// True where it should rather wait for another.
-    unfit: bool,
-    turn: Turn,
+    cost_us: f64,
+    /// The expected time to the first event, in microseconds.
+    first_event_us: f64,
+    /// Whether the request should wait for another endpoint instead.
+    should_wait: bool,
+    preference: Preference,
 }
 
-impl Choice {
-    fn goes_before(&self, other: &Choice) -> bool {
-        self.turn < other.turn || (self.turn == other.turn && self.micros < other.micros)
+impl Candidate {
+    fn is_preferred_to(&self, other: &Candidate) -> bool {
+        self.preference < other.preference
+            || (self.preference == other.preference && self.cost_us < other.cost_us)
     }
 }
 
-/// What it counts for that other nodes keep away from an endpoint: half of what
-/// it would if all calls of this node failed.
-const REPORTED: f64 = 0.5;
+/// The failure rate assumed for an endpoint that other nodes avoid. Half of what it would be if all
+/// calls of this node failed.
+const REPORTED_FAILURE_RATE: f64 = 0.5;
 
 impl Dispatcher {
-    /// Gives free endpoints of every service what waits.
+    /// Starts waiting requests of all services on free endpoints.
     pub(super) fn place_all(&mut self, now: Time) {
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
         for target in targets {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Gives free endpoints of one service what waits, in its order.
+    /// Starts waiting requests of one service on free endpoints, in queue order.
     pub(super) fn place(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get_mut(target) else {
             return;
@@ -60,55 +61,57 @@
             return;
         }
         if self.options.policy.late_last {
-            // One whose answer would be late is late already.
-            let answer = pool.usual_answer();
+            // A request counts as late as soon as its answer would be late.
+            let answer = pool.typical_response_time();
             pool.queue.demote_late(now + answer);
         }
         for worker in &mut pool.workers {
-            worker.fade(now, &self.options.worker);
+            worker.decay(now, &self.options.worker);
         }
-        let elsewhere = self.near_waiting(now, target);
-        while let Some((id, choice)) = self.next(now, target, &elsewhere) {
+        let elsewhere = self.waiting_in_cell(now, target);
+        while let Some((id, candidate)) = self.next_placement(now, target, &elsewhere) {
             let pool = self.pools.get_mut(target);
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 return;
             };
             self.cancel_open_request(id);
-            self.start(now, id, job, choice);
+            self.start(now, id, job, candidate);
         }
     }
 
-    /// The first request in line that an endpoint has room for, where so many
-    /// wait `elsewhere`.
-    fn next(
+    /// Returns the first request in the queue for which an endpoint has capacity. `elsewhere`
+    /// counts the requests that wait on other nodes.
+    fn next_placement(
         &self,
         now: Time,
         target: &id::Target,
         elsewhere: &BTreeMap<Rank, usize>,
-    ) -> Option<(job::Id, Choice)> {
+    ) -> Option<(job::Id, Candidate)> {
         let pool = self.pools.get(target)?;
         let free: u32 = self.free_slots(now, pool);
         let one_cell = self.members.cell().whole;
         let limited = one_cell && pool.workers.iter().any(Worker::is_rate_limited);
         for (id, job) in pool.queue.iter().take(self.options.policy.look_ahead) {
-            // Others have more protected work waiting: leave them the room, but for what
-            // this node alone gives out.
-            let before = elsewhere.range(..job.rank).map(|(_, count)| count);
-            let before: usize = before.sum();
-            let leave = before > 0 && before >= free as usize;
-            let may_take = |worker: &Worker| !leave || (one_cell && worker.is_rate_limited());
-            if let Some(choice) = self.cheapest(now, pool, job, self.ahead(pool, job), may_take) {
-                return Some((id, choice));
+            // Leaves the free slots to more protected requests that wait on other nodes, except for
+            // slots that only this node hands out.
+            let higher_ranked = elsewhere.range(..job.rank).map(|(_, count)| count);
+            let higher_ranked: usize = higher_ranked.sum();
+            let reserve = higher_ranked > 0 && higher_ranked >= free as usize;
+            let may_take = |worker: &Worker| !reserve || (one_cell && worker.is_rate_limited());
+            if let Some(candidate) =
+                self.cheapest(now, pool, job, self.overcommit(pool, job), may_take)
+            {
+                return Some((id, candidate));
             }
-            if leave && !limited {
+            if reserve && !limited {
                 return None;
             }
         }
         None
     }
 
-    /// Requests of a service that wait on other nodes of this cell, by rank.
-    fn near_waiting(&self, now: Time, target: &id::Target) -> BTreeMap<Rank, usize> {
+    /// Counts the requests of a service that wait on other nodes of this cell, by rank.
+    fn waiting_in_cell(&self, now: Time, target: &id::Target) -> BTreeMap<Rank, usize> {
         let mut counts = BTreeMap::new();
         let Some(pool) = self.pools.get(target) else {
             return counts;
@@ -119,15 +122,15 @@
         counts
     }
 
-    /// Slots of this cell that nothing runs in. Where each node decides alone, those of
-    /// endpoints that name rate limits are for their owners.
+    /// Counts the free slots of this cell. In a fleet of one cell, endpoints with a rate limit are
+    /// left out because only their owners hand out their slots.
     pub(super) fn free_slots(&self, now: Time, pool: &Pool) -> u32 {
         let one_cell = self.members.cell().whole;
         let usable = pool.workers.iter().filter(|worker| {
             let options = &self.options.worker;
             let open = match one_cell {
-                true => worker.takes_work(now, options) && !worker.is_rate_limited(),
-                false => worker.lends(now, options),
+                true => worker.accepts_work(now, options) && !worker.is_rate_limited(),
+                false => worker.is_lendable(now, options),
             };
             worker.own_cell && open
         });
@@ -135,11 +138,11 @@
         usable.map(free).sum()
     }
 
-    /// Requests beyond its slots that an endpoint may have when it is given this one.
-    fn ahead(&self, pool: &Pool, job: &Job) -> u32 {
+    /// The number of requests that an endpoint may have beyond its slots when it is sent this one.
+    fn overcommit(&self, pool: &Pool, job: &Job) -> u32 {
         if !pool.engine {
             let slots = pool.workers.iter().map(|worker| worker.endpoint.slots);
-            return pool.turnaround.beyond(slots.max().unwrap_or(0));
+            return pool.turnaround.overcommit(slots.max().unwrap_or(0));
         }
         match job.rank.urgency < pool.least_protected {
             true => self.options.policy.ahead,
@@ -147,9 +150,9 @@
         }
     }
 
-    /// Of the endpoints of this cell that have room and that `may_take` the request, the
-    /// one that costs least; `ahead` is what each may have beyond its slots. One that may
-    /// turn the request away comes after all others.
+    /// Returns the cheapest endpoint of this cell that has capacity and satisfies `may_take`.
+    /// `ahead` is the number of requests that each endpoint may have beyond its slots. Endpoints
+    /// that may reject the request come last.
     pub(super) fn cheapest(
         &self,
         now: Time,
@@ -157,68 +160,73 @@
         job: &Job,
         ahead: u32,
         may_take: impl Fn(&Worker) -> bool,
-    ) -> Option<Choice> {
-        let chain = warm::chain(&job.prompt.parts);
-        let home = home(pool, &chain);
-        let slowest = pool.slowest_step_opt(now, job, &self.options.worker);
+    ) -> Option<Candidate> {
+        let chain = prefix_cache::chain(&job.prompt.parts);
+        let home = home_endpoint(pool, &chain);
+        let slowest = pool.max_step_opt(now, job, &self.options.worker);
         let permit = self.permit_opt(now, pool);
         let apart = self.isolation_opt(now, &job.target, job);
         if apart.as_ref().is_some_and(|apart| apart.is_starting) {
             return None;
         }
         let risk = self.risk(now, pool, job);
-        let mut best: Option<Choice> = None;
+        let mut best: Option<Candidate> = None;
         for (at, worker) in pool.workers.iter().enumerate() {
             if !worker.own_cell
                 || !self.is_usable(now, job, worker)
                 || !may_take(worker)
-                || job.only.is_some_and(|only| only != worker.number)
+                || job
+                    .only_endpoint
+                    .is_some_and(|only_endpoint| only_endpoint != worker.number)
                 || job.history.tried.contains(&worker.number)
                 || !self.may_run_at(job, worker)
             {
                 continue;
             }
-            if worker.busy() >= room(worker, ahead) || !self.may_start(now, pool, worker, permit) {
+            if worker.busy() >= capacity(worker, ahead)
+                || !self.may_start(now, pool, worker, permit)
+            {
                 continue;
             }
-            // Its stream would be cut off at its deadline, after holding a slot
-            // for all that time.
+            // The stream would hold a slot until its deadline and then be cut off.
             if slowest.is_some_and(|slowest| pool.step_of(worker) > slowest) {
                 continue;
             }
-            let mut choice = match pool.engine {
-                true => self.engine_choice(now, pool, at, job, &chain, home == Some(at)),
-                false => self.service_choice(pool, at, job),
+            let mut candidate = match pool.engine {
+                true => self.engine_candidate(now, pool, at, job, &chain, home == Some(at)),
+                false => self.service_candidate(pool, at, job),
             };
-            // Its caller would have left before anything came.
-            if choice.unfit || now + Span(choice.first as u64) > job.latest() {
+            // The caller would give up before the first event.
+            if candidate.should_wait
+                || now + Span(candidate.first_event_us as u64) > job.expires_at()
+            {
                 continue;
             }
-            let Some(turn) = risk.turn_opt(now, job, worker) else {
+            let Some(preference) = risk.preference_opt(now, job, worker) else {
                 continue;
             };
-            choice.turn = turn;
+            candidate.preference = preference;
             if let Some(apart) = &apart {
-                choice.micros += apart.risk(at, worker.busy());
+                candidate.cost_us += apart.risk(at, worker.busy());
             }
-            if best.is_none_or(|best| choice.goes_before(&best)) {
-                best = Some(choice);
+            if best.is_none_or(|best| candidate.is_preferred_to(&best)) {
+                best = Some(candidate);
             }
         }
         best
     }
 
-    /// True where an endpoint may be sent a request now: of this node, or of another for
-    /// which it does not rest.
+    /// Whether an endpoint can be sent this request now. Requests of other nodes must not go to
+    /// endpoints that rest for those nodes.
     fn is_usable(&self, now: Time, job: &Job, worker: &Worker) -> bool {
         let options = &self.options.worker;
         match job.origin {
-            None => worker.takes_work(now, options),
-            Some(_) => worker.lends(now, options) && !job.avoided.contains(&worker.number),
+            None => worker.accepts_work(now, options),
+            Some(_) => worker.is_lendable(now, options) && !job.avoided.contains(&worker.number),
         }
     }
 
-    fn engine_choice(
+    fn engine_candidate(
         &self,
         now: Time,
         pool: &Pool,
@@ -226,37 +234,36 @@
         job: &Job,
         chain: &[(u64, u64)],
         home: bool,
-    ) -> Choice {
+    ) -> Candidate {
         let policy = &self.options.policy;
         let worker = &pool.workers[at];
-        let cached = pool.warm.cached(now, chain, worker.number);
+        let cached = pool.prefix_cache.cached_tokens(now, chain, worker.number);
         let unread = job.prompt.tokens.saturating_sub(cached);
         let believed = if home && cached == 0 {
-            // All nodes send a prompt to its home first: as often as prompts
-            // recur, the home has read this one for another node.
-            unread as f64 * (1.0 - pool.recurring)
+            // All nodes send a prompt to its home endpoint first, so another node may already have
+            // sent this one there. The likelihood is the share of prompts that repeat.
+            unread as f64 * (1.0 - pool.repeat_ratio)
         } else {
             unread as f64
         };
         let output = job.prompt.output_hint.unwrap_or(job.prompt.output) as f64;
         let forecast = pool.forecast(worker, believed);
-        let writing = output * pool.step * worker.pace * policy.decode;
-        Choice {
+        let decode_us = output * pool.step_us * worker.pace * policy.decode;
+        Candidate {
             worker: at,
             uncached: unread,
-            first: forecast.first,
-            micros: (forecast.first + writing) * spread(worker, job)
+            first_event_us: forecast.first_event_us,
+            cost_us: (forecast.first_event_us + decode_us) * jitter(worker, job)
                 + believed * policy.reread
-                + self.doubt(worker),
-            unfit: self.is_unfit(now, pool, worker, job, forecast),
-            turn: Turn::Sure,
+                + self.failure_cost(worker),
+            should_wait: self.should_wait(now, pool, worker, job, forecast),
+            preference: Preference::Normal,
         }
     }
 
-    /// True for an engine that a request should rather wait than take: streams
-    /// there would be disturbed, or it would be late there. Once a request has
-    /// no time left for waiting it takes any.
-    fn is_unfit(
+    /// Whether a request should wait rather than take this engine, because it would delay streams
+    /// there or be late itself. A request that can no longer meet its objective takes any engine.
+    fn should_wait(
         &self,
         now: Time,
         pool: &Pool,
@@ -265,18 +272,18 @@
         forecast: Forecast,
     ) -> bool {
         let policy = &self.options.policy;
-        let latest = job.in_time_until();
-        let soonest = now + Span(pool.soonest_first(job) as u64);
+        let latest = job.objective_deadline();
+        let soonest = now + Span(pool.min_first_event_time(job) as u64);
         if soonest > latest {
             return false;
         }
-        let late = now + Span(forecast.first as u64) > latest;
-        let disturbs =
-            policy.pause_part > 0.0 && pool.disturbs(worker, job, forecast, policy.pause_part);
-        (late && policy.wait_for_objective) || disturbs
+        let late = now + Span(forecast.first_event_us as u64) > latest;
+        let delays_streams = policy.pause_part > 0.0
+            && pool.delays_streams(worker, job, forecast, policy.pause_part);
+        (late && policy.wait_for_objective) || delays_streams
     }
 
-    fn service_choice(&self, pool: &Pool, at: usize, job: &Job) -> Choice {
+    fn service_candidate(&self, pool: &Pool, at: usize, job: &Job) -> Candidate {
         let worker = &pool.workers[at];
         let slots = f64::from(worker.endpoint.slots.max(1));
         let load = f64::from(worker.busy()) / slots;
@@ -286,51 +293,53 @@
         } else {
             self.options.policy.crossing
         };
-        let spread = spread(worker, job);
-        Choice {
+        let jitter = jitter(worker, job);
+        Candidate {
             worker: at,
             uncached: 0,
-            first: 0.0,
-            unfit: false,
-            turn: Turn::Sure,
-            micros: pool.call * worker.pace * (1.0 + load) * spread + crossing + self.doubt(worker),
+            first_event_us: 0.0,
+            should_wait: false,
+            preference: Preference::Normal,
+            cost_us: pool.call_us * worker.pace * (1.0 + load) * jitter
+                + crossing
+                + self.failure_cost(worker),
         }
     }
 
-    fn doubt(&self, worker: &Worker) -> f64 {
-        let reports = worker.others_trouble;
+    fn failure_cost(&self, worker: &Worker) -> f64 {
+        let reports = worker.remote_reports;
         let others = if reports.failing + reports.unreachable > 0 {
-            REPORTED
+            REPORTED_FAILURE_RATE
         } else {
             0.0
         };
-        (worker.failing + others) * self.options.policy.failing
+        (worker.failure_rate + others) * self.options.policy.failing
     }
 }
 
-/// Requests that an endpoint may have before a further one goes there. An
-/// endpoint that failed gets one at a time until one works.
-fn room(worker: &Worker, ahead: u32) -> u32 {
-    match worker.failures {
+/// The number of requests that an endpoint may have in progress before it counts as full. After a
+/// failure it gets one request of this node at a time until one succeeds.
+fn capacity(worker: &Worker, ahead: u32) -> u32 {
+    match worker.consecutive_failures {
         0 => worker.endpoint.slots + ahead,
-        _ => 1 + worker.others,
+        _ => 1 + worker.remote_running,
     }
 }
 
-/// By how much costs are spread, and in how many steps.
-const SPREAD: f64 = 0.1;
-const SPREAD_STEPS: u64 = 100;
+/// The range over which costs are spread, and the number of steps in it.
+const JITTER_RATIO: f64 = 0.1;
+const JITTER_STEPS: u64 = 100;
 
-/// Up to a tenth more, as if at random, so that nodes do not all choose the
-/// same endpoint at the same moment.
-fn spread(worker: &Worker, job: &Job) -> f64 {
+/// Returns a factor that adds up to a tenth to the cost, by a hash of endpoint and request, so that
+/// nodes do not all choose the same endpoint at the same moment.
+fn jitter(worker: &Worker, job: &Job) -> f64 {
     let mixed = hash::chain(u64::from(worker.number), &job.arrived.0.to_le_bytes());
-    1.0 + SPREAD * (mixed % SPREAD_STEPS) as f64 / SPREAD_STEPS as f64
+    1.0 + JITTER_RATIO * (mixed % JITTER_STEPS) as f64 / JITTER_STEPS as f64
 }
 
-/// The endpoint that all nodes take for the home of a prompt (rendezvous
-/// hashing): the last part is the request's own or its session's.
-fn home(pool: &Pool, chain: &[(u64, u64)]) -> Option<usize> {
+/// Returns the home endpoint of a prompt, which all nodes agree on (rendezvous hashing). The key is
+/// the last part of the prompt, which belongs to the request or its session.
+fn home_endpoint(pool: &Pool, chain: &[(u64, u64)]) -> Option<usize> {
     let (key, _) = chain.last()?;
     let takers = pool.workers.iter().enumerate();
     let homes = takers.filter(|(_, worker)| {
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -20,12 +20,12 @@
 use crate::notice::Update;
 use crate::parts::Head;
 use crate::parts::Part;
+use crate::prefix_cache;
+use crate::prefix_cache::PrefixCache;
 use crate::queue::Queue;
 use crate::section;
 use crate::table::Table;
 use crate::turnaround::Turnaround;
-use crate::warm;
-use crate::warm::Warm;
 use crate::worker::Worker;
 
 /// The initial estimate of the time to the first event, in microseconds.
@@ -55,7 +55,7 @@
         }
         let table = Table::new(configuration);
         for service in &table.configuration().services {
-            let pool = pool_mut(&mut self.pools, &self.options.warm, &service.name);
+            let pool = pool_mut(&mut self.pools, &self.options.prefix_cache, &service.name);
             pool.engine = service.engine;
             pool.cold = service.cold;
         }
@@ -64,14 +64,14 @@
         }
         for route in &table.configuration().routes {
             for (target, _) in &route.targets {
-                let pool = pool_mut(&mut self.pools, &self.options.warm, target);
+                let pool = pool_mut(&mut self.pools, &self.options.prefix_cache, target);
                 pool.least_protected = pool.least_protected.max(route.priority);
             }
         }
         self.table = Some(Arc::new(table));
         self.received.clear();
         self.urgent = true;
-        self.news = true;
+        self.has_news = true;
         self.apply_list(now);
         true
     }
@@ -112,7 +112,7 @@
         self.memory.note(now, &self.list, &list);
         self.sections = section::Index::new(&list);
         self.list = list;
-        self.news = true;
+        self.has_news = true;
         self.apply_list(now);
     }
 
@@ -138,7 +138,7 @@
         for endpoint in ended {
             self.note_endpoint_ended(now, endpoint);
         }
-        self.note_evacuated(now, &list);
+        self.mark_evacuated(now, &list);
         self.remove_unlisted_workers();
         self.assign_cell_workers();
         self.sum_remote_loads(now);
@@ -160,7 +160,11 @@
     /// name is a new one, of which nothing is known.
     fn apply_endpoint(&mut self, now: Time, endpoint: &Endpoint) {
         let endpoint = Arc::new(endpoint.clone());
-        let pool = pool_mut(&mut self.pools, &self.options.warm, &endpoint.service);
+        let pool = pool_mut(
+            &mut self.pools,
+            &self.options.prefix_cache,
+            &endpoint.service,
+        );
         let at = pool.index.get(&endpoint.name).copied();
         let at = at.filter(|at| pool.workers[*at].endpoint.started_at == endpoint.started_at);
         if let Some(at) = at {
@@ -265,9 +269,10 @@
             let mut kept = Vec::new();
             for (at, worker) in std::mem::take(&mut pool.workers).into_iter().enumerate() {
                 if gone(at, &worker) {
-                    pool.warm.forget(worker.number);
+                    pool.prefix_cache.remove_endpoint(worker.number);
                     if worker.leaving {
-                        self.updates.push(Update::new(&worker, Change::Left));
+                        self.endpoint_updates
+                            .push(Update::new(&worker, Change::Left));
                     }
                 } else {
                     moved.insert(at, kept.len());
@@ -293,7 +298,7 @@
 /// Returns a service's pool, creating it if it doesn't exist.
 pub(super) fn pool_mut<'a>(
     pools: &'a mut HashMap<id::Target, Pool>,
-    warm: &warm::Options,
+    prefix_cache: &prefix_cache::Options,
     target: &id::Target,
 ) -> &'a mut Pool {
     pools.entry(target.clone()).or_insert_with(|| Pool {
@@ -305,15 +310,15 @@
         workers: Vec::new(),
         index: HashMap::new(),
         queue: Queue::default(),
-        warm: Warm::new(warm.clone()),
-        recurring: 0.0,
+        prefix_cache: PrefixCache::new(prefix_cache.clone()),
+        repeat_ratio: 0.0,
         starts: HashMap::new(),
-        first: INITIAL_FIRST_EVENT_US,
+        first_event_us: INITIAL_FIRST_EVENT_US,
         longest_pause: INITIAL_LONGEST_PAUSE,
-        step: INITIAL_STEP_US,
+        step_us: INITIAL_STEP_US,
         lengths: Lengths::default(),
-        prefill: INITIAL_PREFILL_US,
-        call: INITIAL_CALL_US,
+        prefill_us: INITIAL_PREFILL_US,
+        call_us: INITIAL_CALL_US,
         turnaround: Turnaround::default(),
         open_at: None,
     })
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -114,9 +114,9 @@
         }
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
             let sum = sums.get(&worker.number).copied().unwrap_or_default();
-            worker.others = sum.running;
-            worker.others_pending = sum.pending;
-            worker.others_trouble = sum.trouble;
+            worker.remote_running = sum.running;
+            worker.remote_pending = sum.pending;
+            worker.remote_reports = sum.trouble;
         }
     }
 
@@ -126,14 +126,14 @@
         let occasion = Occasion {
             urgent: self.urgent,
             pressed: self.accounts.is_usage_high(now),
-            news: self.news,
+            news: self.has_news,
         };
         let due = self.members.due(now, occasion);
         if due.is_empty() {
             return Vec::new();
         }
         self.urgent = false;
-        self.news = false;
+        self.has_news = false;
         let due = due.into_iter();
         let (newcomers, established): (Vec<_>, Vec<_>) =
             due.partition(|address| self.members.is_newcomer(now, *address));
@@ -159,7 +159,7 @@
             endpoints: self.list.edition(),
             data_centre: endpoint::number_of(self.options.data_centre.as_str()),
             leaving: self.leaving,
-            cut_off: self.cut_off,
+            cut_off: self.is_partitioned,
             loads: self.loads(now),
             waiting: self.waiting(),
             usage: self.accounts.usage(now, MAX_USAGE_ENTRIES),
@@ -340,8 +340,8 @@
 
     /// Tells the other nodes whether this node is cut off from the platform.
     pub fn set_platform_unreachable(&mut self, cut_off: bool) {
-        self.urgent |= self.cut_off != cut_off;
-        self.cut_off = cut_off;
+        self.urgent |= self.is_partitioned != cut_off;
+        self.is_partitioned = cut_off;
     }
 
     /// Announces to the other nodes that this node is stopping.
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -35,9 +35,9 @@
         if self.members.cell().whole || pool.shared || pool.queue.is_empty() {
             return;
         }
-        let questions = self.questions.iter();
+        let questions = self.open_requests.iter();
         let open = questions.filter(|(id, open_request)| {
-            open_request.job.is_none() && self.places.get(id) == Some(target)
+            open_request.job.is_none() && self.targets.get(id) == Some(target)
         });
         let remaining = MAX_OPEN_SPARE_REQUESTS.saturating_sub(open.count());
         let no_usable_endpoint = pool.usable(now, &self.options.worker) == 0;
@@ -45,25 +45,25 @@
         let waiting = pool.queue.iter().take(self.options.policy.look_ahead);
         let seeking = waiting.filter(|(id, job)| {
             let waited = no_usable_endpoint || now.since(job.arrived) >= own_cell_for;
-            waited && !self.questions.contains_key(id)
+            waited && !self.open_requests.contains_key(id)
         });
         let seeking: Vec<job::Id> = seeking.map(|(id, _)| id).take(remaining).collect();
         if seeking.is_empty() {
             return;
         }
         let key = u64::from(pool.number);
-        self.denied
+        self.spare_denied_at
             .retain(|_, denied| now.since(*denied) < DENIAL_BACKOFF);
         let owners = self.members.other_owners(now, key, self.next_question);
         let owners = owners.into_iter();
         let mut owners: VecDeque<SocketAddrV4> = owners
-            .filter(|owner| !self.denied.contains_key(owner))
+            .filter(|owner| !self.spare_denied_at.contains_key(owner))
             .collect();
         for id in seeking {
             let job = self.pools.get(target).and_then(|pool| pool.queue.get(id));
             let mut candidates = owners.iter();
             let at =
-                candidates.position(|owner| job.is_some_and(|job| self.may_run_near(job, *owner)));
+                candidates.position(|owner| job.is_some_and(|job| self.may_run_on(job, *owner)));
             let Some(owner) = at.and_then(|at| owners.remove(at)) else {
                 continue;
             };
@@ -95,8 +95,8 @@
             self.send_lease_reply(origin, Answer::Denied);
             return;
         };
-        self.remote.insert(origin, remote);
-        self.places.insert(id, job.target.clone());
+        self.remote_requests.insert(origin, remote);
+        self.targets.insert(id, job.target.clone());
         self.start(now, id, job, choice);
     }
 
--- a/crates/dispatch/src/dispatcher/begin.rs
+++ b/crates/dispatch/src/dispatcher/start.rs
@@ -1,4 +1,4 @@
-//! A request begins at an endpoint: it is counted in, and whoever has it is told.
+//! Starts requests: records them at their endpoint and notifies the node that holds them.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -7,39 +7,39 @@
 use super::Dispatcher;
 use super::Reason;
 use super::Run;
-use super::place::Choice;
+use super::place::Candidate;
 use crate::job;
 use crate::job::Job;
 use crate::lease::Lease;
-use crate::warm;
+use crate::prefix_cache;
 
-/// Starts of one rank that are remembered.
-const STARTS_KEPT: usize = 256;
+/// The number of recent starts kept for each rank.
+const MAX_RECENT_STARTS: usize = 256;
 
-/// Weight of one prompt in the share of those that were seen before.
-const NEWEST: f64 = 0.02;
+/// The weight of one prompt in the share of prompts seen before.
+const PROMPT_WEIGHT: f64 = 0.02;
 
 impl Dispatcher {
-    /// Gives a request an endpoint that was chosen here.
-    pub(super) fn start(&mut self, now: Time, id: job::Id, job: Job, choice: Choice) {
-        let oldest = self.oldest_word(now);
+    /// Starts a request on an endpoint chosen by this node.
+    pub(super) fn start(&mut self, now: Time, id: job::Id, job: Job, candidate: Candidate) {
+        let oldest = self.oldest_status_age(now);
         let Some(pool) = self.pools.get(&job.target) else {
             return;
         };
-        let worker = &pool.workers[choice.worker];
+        let worker = &pool.workers[candidate.worker];
         let reason = Reason {
             waited: now.since(job.arrived),
             running: worker.running,
-            others: worker.others,
-            uncached: choice.uncached,
-            unread: worker.pending + worker.others_pending,
+            others: worker.remote_running,
+            uncached: candidate.uncached,
+            unread: worker.pending + worker.remote_pending,
             pace: worker.pace,
             oldest,
         };
-        self.run(now, id, job, choice.worker, None, reason);
+        self.run(now, id, job, candidate.worker, None, reason);
     }
 
-    /// Counts a request in at its endpoint, and tells the one who has it.
+    /// Records a request at its endpoint and notifies the node that holds it.
     pub(super) fn run(
         &mut self,
         now: Time,
@@ -61,13 +61,13 @@
         let worker = &mut pool.workers[at];
         let starts = pool.starts.entry(job.rank).or_default();
         starts.push_back(now);
-        if starts.len() > STARTS_KEPT {
+        if starts.len() > MAX_RECENT_STARTS {
             starts.pop_front();
         }
-        let ahead = worker.pending + worker.others_pending;
+        let ahead = worker.pending + worker.remote_pending;
         let queued = worker.busy() >= worker.endpoint.slots;
         worker.start(now, reason.uncached);
-        if job.origin.is_none() && worker.is_in_doubt(now) {
+        if job.origin.is_none() && worker.is_unconfirmed(now) {
             worker.rest.start_probe(now);
         }
         if let Some(interval) = interval {
@@ -79,10 +79,10 @@
         let endpoint = worker.endpoint.clone();
         let number = worker.number;
         job.history.tried.push(number);
-        let chain = warm::chain(&job.prompt.parts);
-        let seen = f64::from(u8::from(pool.warm.knows(&chain)));
-        pool.recurring += (seen - pool.recurring) * NEWEST;
-        pool.warm.add(now, &chain, number);
+        let chain = prefix_cache::chain(&job.prompt.parts);
+        let seen = f64::from(u8::from(pool.prefix_cache.contains(&chain)));
+        pool.repeat_ratio += (seen - pool.repeat_ratio) * PROMPT_WEIGHT;
+        pool.prefix_cache.record(now, &chain, number);
         let origin = job.origin;
         let run = Run {
             worker: at,
@@ -113,7 +113,7 @@
         }
     }
 
-    fn oldest_word(&self, now: Time) -> Span {
+    fn oldest_status_age(&self, now: Time) -> Span {
         let heard = self
             .members
             .fresh(now)
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -110,7 +110,7 @@
 
     /// Returns and clears the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.changes)
+        std::mem::take(&mut self.quarantine_changes)
     }
 
     /// Whether a request is no longer run.
@@ -165,7 +165,7 @@
     fn note_change(&mut self, now: Time, fingerprint: Fingerprint, what: Evidence) {
         let barred = self.is_barred(now, fingerprint);
         let record = self.quarantine.get(fingerprint);
-        self.changes.push(Change {
+        self.quarantine_changes.push(Change {
             fingerprint,
             what,
             ends: record.map_or(0, |record| record.ends.len()),
@@ -173,7 +173,7 @@
         });
         // Other nodes should know before the request reaches them.
         self.urgent = true;
-        self.news = true;
+        self.has_news = true;
         if barred {
             self.refuse_barred(now, fingerprint);
         }
@@ -186,14 +186,14 @@
         let queues = self.pools.values().map(|pool| &pool.queue);
         let waiting = queues.flat_map(|queue| queue.iter());
         let waiting = waiting.filter(|(_, job)| job.origin.is_none() && is_it(job));
-        let asked = self.questions.iter();
+        let asked = self.open_requests.iter();
         let asked = asked.filter(|(_, question)| question.job.as_ref().is_some_and(is_it));
         let ids: Vec<job::Id> = waiting
             .map(|(id, _)| id)
             .chain(asked.map(|(id, _)| *id))
             .collect();
         for id in ids {
-            let target = self.places.get(&id).cloned();
+            let target = self.targets.get(&id).cloned();
             self.cancel_open_request(id);
             if let Some(pool) = target.and_then(|target| self.pools.get_mut(&target)) {
                 pool.queue.remove(id);
@@ -209,20 +209,20 @@
         if job.trial || !self.is_barred(now, job.fingerprint) {
             return None;
         }
-        if !job.is_newcomer() || !self.may_start_trial(now, job.fingerprint) {
+        if !job.is_untried() || !self.may_start_trial(now, job.fingerprint) {
             return Some(self.barred_refusal(now, job.fingerprint));
         }
         job.trial = true;
         self.quarantine.note_trial(now, job.fingerprint);
         let record = self.quarantine.get(job.fingerprint);
-        self.changes.push(Change {
+        self.quarantine_changes.push(Change {
             fingerprint: job.fingerprint,
             what: Evidence::Trial,
             ends: record.map_or(0, |record| record.ends.len()),
             barred: true,
         });
         self.urgent = true;
-        self.news = true;
+        self.has_news = true;
         None
     }
 
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -1,4 +1,4 @@
-//! What only the passing of time brings about.
+//! Periodic work.
 
 use woadstage_types::code::Code;
 use woadstage_types::id;
@@ -12,33 +12,33 @@
 use crate::job::Job;
 use crate::worker::Worker;
 
-/// Time between two arrangements of cells.
-const ARRANGE_EVERY: Span = Span::from_millis(200);
+/// The interval between two rearrangements of cells.
+const ARRANGE_INTERVAL: Span = Span::from_millis(200);
 
-/// Pause between two ticks after which the process is taken to have been
-/// stopped in between, so that nothing that others said holds any more.
-const PAUSE: Span = Span::from_millis(1_500);
+/// The gap between two ticks above which the process is assumed to have been suspended, so that
+/// statuses of other nodes are no longer valid.
+const MIN_PROCESS_PAUSE: Span = Span::from_millis(1_500);
 
-/// What a request may expect of the endpoints of its service.
+/// The state of the endpoints that may run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Prospect {
-    /// One is neither leaving nor evacuated.
+enum Availability {
+    /// At least one is neither leaving nor evacuated.
     Live,
-    /// Some are listed, and leave.
+    /// Some are listed, and at least one is leaving, but none is live.
     Leaving,
     /// None is listed, or all are evacuated.
-    Nothing,
+    Unavailable,
 }
 
 impl Dispatcher {
-    /// Refuses what ran out of time, forgets what is old and gives free
-    /// endpoints work. True where this process seems to have been paused.
+    /// Refuses expired requests, drops outdated state and starts waiting requests. Returns true if
+    /// the process appears to have been suspended.
     pub fn tick(&mut self, now: Time) -> bool {
-        let paused = self.ticked > Time(0) && now.since(self.ticked) > PAUSE;
+        let paused = self.ticked_at > Time(0) && now.since(self.ticked_at) > MIN_PROCESS_PAUSE;
         if paused {
             self.members.forget_statuses();
         }
-        self.ticked = now;
+        self.ticked_at = now;
         self.accounts.note_start(now);
         self.members.forget(now);
         self.quarantine.expire(now);
@@ -50,8 +50,8 @@
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
         for target in targets {
             self.refuse_expired(now, &target);
-            self.note_open(now, &target);
-            self.refuse_without_endpoint(now, &target);
+            self.record_open(now, &target);
+            self.refuse_unservable(now, &target);
             self.resubmit_stuck_requests(now, &target);
             self.resubmit_displaced(now, &target);
             self.place(now, &target);
@@ -61,13 +61,12 @@
         paused
     }
 
-    /// Arranges cells anew, now and then, and looks who owns what: nodes and endpoints
-    /// come and go.
+    /// Periodically rearranges cells and slot ownership, as nodes and endpoints come and go.
     fn arrange(&mut self, now: Time) {
-        if now.since(self.arranged) < ARRANGE_EVERY {
+        if now.since(self.arranged_at) < ARRANGE_INTERVAL {
             return;
         }
-        self.arranged = now;
+        self.arranged_at = now;
         let before = (self.members.cell(), self.members.cells());
         self.members.arrange(now);
         if (self.members.cell(), self.members.cells()) != before {
@@ -80,8 +79,8 @@
     fn refuse_expired(&mut self, now: Time, target: &id::Target) {
         let least = self.options.policy.least_left;
         while let Some(pool) = self.pools.get_mut(target) {
-            // What could not bring anything any more in time is not begun.
-            let answer = pool.usual_answer();
+            // A request that cannot be answered in time is not started.
+            let answer = pool.typical_response_time();
             let Some(id) = pool.queue.expired_opt(now + least.max(answer)) else {
                 return;
             };
@@ -95,8 +94,8 @@
         }
     }
 
-    /// Notes whether a service has an open endpoint.
-    fn note_open(&mut self, now: Time, target: &id::Target) {
+    /// Records whether a service has an open endpoint.
+    fn record_open(&mut self, now: Time, target: &id::Target) {
         if let Some(pool) = self.pools.get_mut(target)
             && pool.workers.iter().any(Worker::is_open)
         {
@@ -104,36 +103,36 @@
         }
     }
 
-    /// With no endpoint at all where a request may run, waiting beyond the objective
-    /// helps nobody; where all have said that they leave, waiting at all.
-    fn refuse_without_endpoint(&mut self, now: Time, target: &id::Target) {
+    /// Refuses requests that no endpoint can run: at once if endpoints are leaving and none is
+    /// live, otherwise after their objective.
+    fn refuse_unservable(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target) else {
             return;
         };
         let closed_for = pool.open_at.map_or(Span::ZERO, |at| now.since(at));
-        let hopeless = pool.queue.iter().filter(|(_, job)| {
+        let unservable = pool.queue.iter().filter(|(_, job)| {
             let waited = now.since(job.arrived) > job.objective;
-            match self.prospect(pool, job) {
-                Prospect::Live => false,
-                Prospect::Leaving => true,
-                Prospect::Nothing => waited,
+            match self.availability(pool, job) {
+                Availability::Live => false,
+                Availability::Leaving => true,
+                Availability::Unavailable => waited,
             }
         });
-        let hopeless: Vec<job::Id> = hopeless.map(|(id, _)| id).collect();
-        for id in hopeless {
+        let unservable: Vec<job::Id> = unservable.map(|(id, _)| id).collect();
+        for id in unservable {
             let pool = self.pools.get_mut(target);
             let Some(job) = pool.and_then(|pool| pool.queue.remove(id)) else {
                 continue;
             };
             self.cancel_open_request(id);
-            let refusal = self.without_endpoint(now, &job, closed_for);
+            let refusal = self.unservable_refusal(now, &job, closed_for);
             self.refuse(now, id, job.origin, refusal);
         }
     }
 
-    /// What a caller is told whose request no endpoint can run, where the service was
-    /// closed for so long.
-    fn without_endpoint(&self, now: Time, job: &Job, closed_for: Span) -> Refusal {
+    /// Builds the refusal of a request that no endpoint can run. `closed_for` is how long the
+    /// service has had no open endpoint.
+    fn unservable_refusal(&self, now: Time, job: &Job, closed_for: Span) -> Refusal {
         let outage = now.since(job.arrived).max(closed_for);
         let retry_after = self.retry_after_estimate(now, outage, job.deadline.since(now));
         Refusal {
@@ -147,20 +146,20 @@
         }
     }
 
-    /// What a request may expect of the endpoints where it may run.
-    fn prospect(&self, pool: &Pool, job: &Job) -> Prospect {
+    /// Determines the state of the endpoints that may run a request.
+    fn availability(&self, pool: &Pool, job: &Job) -> Availability {
         let workers = pool.workers.iter();
         let mut near = workers.filter(|worker| worker.listed && self.may_run_at(job, worker));
-        let mut prospect = Prospect::Nothing;
+        let mut availability = Availability::Unavailable;
         let live = near.any(|worker| {
             if worker.is_leaving() {
-                prospect = Prospect::Leaving;
+                availability = Availability::Leaving;
             }
             !worker.is_leaving() && !worker.evacuated
         });
         match live {
-            true => Prospect::Live,
-            false => prospect,
+            true => Availability::Live,
+            false => availability,
         }
     }
 }
--- a/crates/dispatch/tests/dispatch/connections.rs
+++ b/crates/dispatch/tests/dispatch/connections.rs
@@ -45,5 +45,5 @@
         dispatcher.receive_status(at(2), node(other), status);
     }
     let service = id::Target::new(SERVICE);
-    assert_eq!(dispatcher.connections_at_rest(at(3), &service), expected);
+    assert_eq!(dispatcher.max_idle_connections(at(3), &service), expected);
 }
--- a/crates/dispatch/tests/dispatch/main.rs
+++ b/crates/dispatch/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, without sockets or clocks.
+//! Tests of the dispatch crate, without sockets or real clocks.
 
 mod budget;
 mod cold;
@@ -13,6 +13,7 @@
 mod outcomes;
 mod parts;
 mod predict;
+mod prefix_cache;
 mod publish;
 mod quarantine;
 mod quota;
@@ -28,6 +29,5 @@
 mod suspect;
 mod table;
 mod turnaround;
-mod warm;
 mod wire;
 mod worker;
