--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -133,7 +133,7 @@
         // An owner that is told so gives another; one of a build before does not know.
         worker.rest.is_resting(now).then(|| Unusable {
             end: End::Abandoned,
-            is_tried: !self.members.knows_notices(owner),
+            is_tried: !self.members.supports_notices(owner),
         })
     }
 
--- a/crates/dispatch/src/dispatcher/begin.rs
+++ b/crates/dispatch/src/dispatcher/begin.rs
@@ -116,8 +116,8 @@
     fn oldest_word(&self, now: Time) -> Span {
         let heard = self
             .members
-            .fresh(now)
-            .filter_map(|(_, member)| member.heard);
+            .live(now)
+            .filter_map(|(_, member)| member.last_heard);
         heard.map(|at| now.since(at)).max().unwrap_or(Span::ZERO)
     }
 }
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -115,11 +115,11 @@
             false => self.slot_owner(now, pool, endpoint),
         };
         match owner {
-            Owner::Unheard => alone,
-            Owner::Own => Arbiter::Own {
+            Owner::Unreachable => alone,
+            Owner::Local => Arbiter::Own {
                 only: endpoint.filter(|_| pool.shared),
             },
-            Owner::Other(owner) => Arbiter::Other(Asked { owner, endpoint }),
+            Owner::Remote(owner) => Arbiter::Other(Asked { owner, endpoint }),
         }
     }
 
@@ -127,12 +127,12 @@
     /// service. In a fleet of one cell each node decides alone, but for endpoints that
     /// name a rate limit.
     pub(super) fn slot_owner(&self, now: Time, pool: &Pool, endpoint: Option<u32>) -> Owner {
-        let whole = self.members.cell().whole;
+        let whole = self.members.cell().covers_fleet;
         let (scope, key) = match endpoint {
             Some(endpoint) if !whole => (Scope::Fleet, endpoint),
-            Some(endpoint) if pool.is_rate_limited(endpoint) => (Scope::Keepers, endpoint),
+            Some(endpoint) if pool.is_rate_limited(endpoint) => (Scope::RateLimitCapable, endpoint),
             None if !whole => (Scope::Cell, pool.number),
-            Some(_) | None => return Owner::Own,
+            Some(_) | None => return Owner::Local,
         };
         self.members.owner(now, scope, u64::from(key))
     }
@@ -150,7 +150,7 @@
         let sure = usable.iter().filter(|worker| !worker.is_in_doubt(now));
         let sure: Vec<&Worker> = sure.copied().collect();
         let usable = if sure.is_empty() { usable } else { sure };
-        let one_cell = self.members.cell().whole;
+        let one_cell = self.members.cell().covers_fleet;
         let (choices, waiting): (usize, &dyn Fn(&Worker) -> f64) = match one_cell {
             true => (CHOICES_OF_ONE_CELL, &|worker| {
                 self.waiting_at_owner(now, pool, worker)
@@ -188,9 +188,9 @@
         let limits = kept.filter_map(|other| other.rate_limit.limit_opt());
         let rate: f64 = limits.map(Limit::per_second).sum();
         let told = match owner {
-            Owner::Own => pool.queue.len(),
-            Owner::Other(owner) => self.members.waiting_at(owner, pool.number),
-            Owner::Unheard => 0,
+            Owner::Local => pool.queue.len(),
+            Owner::Remote(owner) => self.members.waiting_at(owner, pool.number),
+            Owner::Unreachable => 0,
         };
         (told + self.asked_for(worker) + 1) as f64 / rate
     }
@@ -297,7 +297,7 @@
         }
         let silent = question.unanswered >= UNANSWERED_MOST;
         if silent {
-            self.members.note_unanswered(now, question.owner);
+            self.members.record_unanswered(now, question.owner);
         }
         if silent || (answered && !self.is_still_owner(now, id)) {
             if let Some(Question { job: Some(job), .. }) = self.withdraw(id) {
@@ -318,7 +318,7 @@
         };
         let worker = self.worker_opt(target, endpoint);
         let is_closed = |worker: &Worker| !worker.is_open() || worker.rest.is_resting(now);
-        !self.members.cell().whole && worker.is_some_and(is_closed)
+        !self.members.cell().covers_fleet && worker.is_some_and(is_closed)
     }
 
     /// What is known of the endpoint of a service that has a number.
@@ -337,14 +337,14 @@
         let Some((pool, job)) = pool.zip(question.job.as_ref()) else {
             return false;
         };
-        if self.members.cell().whole && !self.is_limited_throughout(now, pool, job) {
+        if self.members.cell().covers_fleet && !self.is_limited_throughout(now, pool, job) {
             return false;
         }
         if self.is_displaced(pool, job) {
             let mut hosts = self.host_owners(now, pool, job).into_iter();
             return hosts.any(|(owner, _)| owner == question.owner);
         }
-        self.slot_owner(now, pool, question.endpoint) == Owner::Other(question.owner)
+        self.slot_owner(now, pool, question.endpoint) == Owner::Remote(question.owner)
     }
 
     /// Takes a question back, with its request.
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -39,7 +39,7 @@
     /// True where a request may not run in this node's data centre, or all endpoints of
     /// its cell leave, so that the cell has no slots for it of a service that is not shared.
     pub(super) fn is_displaced(&self, pool: &Pool, job: &Job) -> bool {
-        if self.members.cell().whole || pool.shared {
+        if self.members.cell().covers_fleet || pool.shared {
             return false;
         }
         let own = &self.options.data_centre;
@@ -91,16 +91,16 @@
         let all: u64 = hosts.iter().map(|(_, slots)| u64::from(*slots)).sum();
         let drawn = hash::chain(self.options.incarnation, &turn.to_le_bytes());
         let Some(mut at) = drawn.checked_rem(all) else {
-            return Owner::Unheard;
+            return Owner::Unreachable;
         };
         for (owner, slots) in hosts {
             let slots = u64::from(slots);
             if at < slots {
-                return Owner::Other(owner);
+                return Owner::Remote(owner);
             }
             at -= slots;
         }
-        Owner::Unheard
+        Owner::Unreachable
     }
 
     /// Owners of slots in cells of data centres that are not evacuated and where a
@@ -111,8 +111,10 @@
         pool: &Pool,
         job: &Job,
     ) -> Vec<(SocketAddrV4, u32)> {
-        let owners = self.members.other_owners(now, u64::from(pool.number), 0);
-        let cells = self.members.cells_by_data_centre();
+        let owners = self
+            .members
+            .owners_in_other_cells(now, u64::from(pool.number), 0);
+        let cells = self.members.other_cell_counts();
         let centres = owners.into_iter().filter_map(|owner| {
             let centre = self.members.data_centre_opt(owner)?;
             let allowed = self.options.regions.allows_number(&job.bound, centre);
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -191,9 +191,9 @@
         service: u32,
     ) -> impl Iterator<Item = &Waiting> + '_ {
         let fresh = self.options.policy.waiting_fresh;
-        let members = self.members.near(now).map(|(_, member)| member);
-        let heard =
-            members.filter(move |member| member.heard.is_some_and(|at| now.since(at) <= fresh));
+        let members = self.members.cell_members(now).map(|(_, member)| member);
+        let heard = members
+            .filter(move |member| member.last_heard.is_some_and(|at| now.since(at) <= fresh));
         let waiting = heard.flat_map(|member| &member.status.waiting);
         waiting.filter(move |waiting| waiting.service == service)
     }
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -45,7 +45,7 @@
     /// Tells the owner of a slot what its endpoint said. It may be in another cell, and
     /// would hear of it seconds later.
     fn report_rate_limit(&mut self, lease: Lease, limit: Option<Limit>) {
-        if self.members.keeps_rate_limits(lease.owner) {
+        if self.members.supports_rate_limits(lease.owner) {
             let event = lease::Event::RateLimit { limit };
             self.report(lease.owner, lease.number, event);
         }
@@ -137,6 +137,6 @@
     /// True unless an owner that keeps no rate limits gave a slot of an endpoint that
     /// names one: how much it lets through to other nodes nobody knows.
     pub(super) fn may_use_slot(&self, owner: SocketAddrV4, worker: &Worker) -> bool {
-        !worker.is_rate_limited() || self.members.keeps_rate_limits(owner)
+        !worker.is_rate_limited() || self.members.supports_rate_limits(owner)
     }
 }
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -153,7 +153,9 @@
             origin: Some(origin),
             // In a fleet of one cell it says whose slots are asked for, of all that are
             // limited: any that this node owns will do.
-            only: request.endpoint.filter(|_| !self.members.cell().whole),
+            only: request
+                .endpoint
+                .filter(|_| !self.members.cell().covers_fleet),
             avoided: request.avoided.clone(),
             trial: false,
             bound: Bound::default(),
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -61,7 +61,7 @@
 use crate::quota::Accounts;
 use crate::rate_limit;
 use crate::region;
-use crate::restore::Memory;
+use crate::restore::Corrections;
 use crate::section;
 use crate::table::Table;
 use crate::turnaround::Turnaround;
@@ -213,7 +213,7 @@
     /// That list as the platform has it, where more is known of what it says.
     uncorrected: Option<Arc<List>>,
     /// What earlier lists said that an older copy of the platform may not say.
-    memory: Memory,
+    memory: Corrections,
     pools: HashMap<id::Target, Pool>,
     places: HashMap<job::Id, id::Target>,
     runs: HashMap<job::Id, Run>,
@@ -280,7 +280,7 @@
             list: Arc::default(),
             sections: section::Index::default(),
             uncorrected: None,
-            memory: Memory::default(),
+            memory: Corrections::default(),
             pools: HashMap::new(),
             places: HashMap::new(),
             runs: HashMap::new(),
--- a/crates/dispatch/src/dispatcher/permit.rs
+++ b/crates/dispatch/src/dispatcher/permit.rs
@@ -47,10 +47,10 @@
         if self.accounts.is_meeting(now) {
             return Right::All(false);
         }
-        if pool.shared || self.members.cell().whole {
+        if pool.shared || self.members.cell().covers_fleet {
             return Right::Each;
         }
-        Right::All(self.slot_owner(now, pool, None) == Owner::Own)
+        Right::All(self.slot_owner(now, pool, None) == Owner::Local)
     }
 
     /// True unless an endpoint has a bound by which it must not be sent a request now.
@@ -73,7 +73,7 @@
         let key = u64::from(worker.number);
         match permit.right {
             Right::All(may) => may,
-            Right::Each => self.members.owner(now, Scope::Fleet, key) == Owner::Own,
+            Right::Each => self.members.owner(now, Scope::Fleet, key) == Owner::Local,
         }
     }
 
@@ -95,7 +95,7 @@
     ) -> bool {
         match permit.right {
             Right::All(may) => may,
-            Right::Each => self.slot_owner(now, pool, Some(worker.number)) == Owner::Own,
+            Right::Each => self.slot_owner(now, pool, Some(worker.number)) == Owner::Local,
         }
     }
 
@@ -105,7 +105,7 @@
     /// Without it an owner's own callers alone would use what its endpoints take, and those
     /// of a node that owns none would not be served at all.
     pub(super) fn is_limited_throughout(&self, now: Time, pool: &Pool, job: &Job) -> bool {
-        if !self.members.cell().whole {
+        if !self.members.cell().covers_fleet {
             return false;
         }
         let options = &self.options.worker;
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -88,7 +88,7 @@
     ) -> Option<(job::Id, Choice)> {
         let pool = self.pools.get(target)?;
         let free: u32 = self.free_slots(now, pool);
-        let one_cell = self.members.cell().whole;
+        let one_cell = self.members.cell().covers_fleet;
         let limited = one_cell && pool.workers.iter().any(Worker::is_rate_limited);
         for (id, job) in pool.queue.iter().take(self.options.policy.look_ahead) {
             // Others have more protected work waiting: leave them the room, but for what
@@ -122,7 +122,7 @@
     /// Slots of this cell that nothing runs in. Where each node decides alone, those of
     /// endpoints that name rate limits are for their owners.
     pub(super) fn free_slots(&self, now: Time, pool: &Pool) -> u32 {
-        let one_cell = self.members.cell().whole;
+        let one_cell = self.members.cell().covers_fleet;
         let usable = pool.workers.iter().filter(|worker| {
             let options = &self.options.worker;
             let open = match one_cell {
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -18,7 +18,7 @@
 use crate::length::Lengths;
 use crate::notice::Change;
 use crate::notice::Update;
-use crate::parts::Head;
+use crate::parts::Manifest;
 use crate::parts::Part;
 use crate::queue::Queue;
 use crate::section;
@@ -109,7 +109,7 @@
             true => list,
             false => Arc::new(list.merge(&self.list)),
         };
-        self.memory.note(now, &self.list, &list);
+        self.memory.record_list(now, &self.list, &list);
         self.sections = section::Index::new(&list);
         self.list = list;
         self.news = true;
@@ -195,7 +195,7 @@
 
     /// Takes a configuration of which another node gave the parts that were
     /// missing; false where one as new is in force or parts are still missing.
-    pub fn take_head(&mut self, now: Time, head: &Head) -> bool {
+    pub fn take_head(&mut self, now: Time, head: &Manifest) -> bool {
         if head.version <= self.configuration_version() {
             return false;
         }
@@ -211,7 +211,7 @@
     /// few for all cells is shared by them.
     pub(super) fn assign_workers(&mut self) {
         let cell = self.members.cell();
-        let cells = self.members.cells();
+        let cells = self.members.cell_count();
         let own = &self.options.data_centre;
         for pool in self.pools.values_mut() {
             let mut near: Vec<&mut Worker> = pool
@@ -219,8 +219,8 @@
                 .iter_mut()
                 .filter(|worker| worker.listed)
                 .collect();
-            pool.shared = !cell.whole && near.len() < cells * SHARED_LEAST;
-            let all = cell.whole || pool.shared;
+            pool.shared = !cell.covers_fleet && near.len() < cells * SHARED_LEAST;
+            let all = cell.covers_fleet || pool.shared;
             for worker in &mut near {
                 worker.own_cell = all;
             }
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -87,7 +87,7 @@
 
     /// The versions of the configuration that other nodes say they have, the newest first.
     pub fn configurations_heard(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
-        self.members.configurations(now)
+        self.members.configuration_versions(now)
     }
 
     /// The list of endpoints in force.
@@ -117,10 +117,10 @@
     /// within the time in which nodes meet, the platform alone is believed.
     fn is_catching_up(&self, now: Time) -> bool {
         let started = self.accounts.started();
-        if now.since(started) >= CATCH_UP_WITHIN || self.members.has_nobody_to_ask() {
+        if now.since(started) >= CATCH_UP_WITHIN || self.members.has_no_peers() {
             return false;
         }
-        match self.members.newest_configuration_opt(now) {
+        match self.members.newest_configuration_version_opt(now) {
             None => self.accounts.is_meeting(now),
             Some(newest) => newest > self.configuration_version(),
         }
@@ -173,7 +173,7 @@
 
     /// True while at least as many other nodes serve as are stopping.
     pub fn are_most_others_serving(&self, now: Time) -> bool {
-        let others = self.members.fresh(now);
+        let others = self.members.live(now);
         let (stopping, serving): (Vec<_>, Vec<_>) =
             others.partition(|(_, member)| member.status.leaving);
         serving.len() >= stopping.len().max(1)
@@ -210,13 +210,13 @@
 
     /// True for a node of this one's cell.
     pub fn is_near(&self, address: SocketAddrV4) -> bool {
-        self.members.is_near(address)
+        self.members.is_in_cell(address)
     }
 
     /// Other nodes that are heard, by the protocol that they speak.
     pub fn heard_by_protocol(&self, now: Time) -> BTreeMap<Protocol, i64> {
         let mut heard = BTreeMap::new();
-        for (_, member) in self.members.fresh(now) {
+        for (_, member) in self.members.live(now) {
             *heard.entry(member.status.protocol).or_default() += 1;
         }
         heard
--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -82,11 +82,11 @@
             self.accounts.admit(now, number, quota, demand, reach)
         } else {
             match self.members.owner(now, Scope::Fleet, number) {
-                Owner::Own => self.grant(now, number, quota, demand),
-                Owner::Other(address) => {
+                Owner::Local => self.grant(now, number, quota, demand),
+                Owner::Remote(address) => {
                     return Charge::Ask(address, self.next_question(number, demand));
                 }
-                Owner::Unheard => {
+                Owner::Unreachable => {
                     let admitted = self
                         .accounts
                         .admit_unheard(now, number, quota, demand, reach);
@@ -173,7 +173,7 @@
     ) -> Result<(), Denied> {
         let reach = self.members.reach(now);
         self.accounts.admit(now, customer, quota, demand, reach)?;
-        if !self.members.is_first_owner(now, customer) {
+        if !self.members.is_preferred_owner(now, customer) {
             self.accounts.set_aside(customer, demand.units);
         }
         Ok(())
@@ -202,7 +202,7 @@
             }
             Some(Verdict::Denied(denied)) => self.refuse_charge(now, denied, left),
             Some(Verdict::Unknown) | None => {
-                self.members.note_unanswered(now, owner);
+                self.members.record_unanswered(now, owner);
                 self.charge(now, customer, demand, left)
             }
         }
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -9,16 +9,16 @@
 
 use super::Dispatcher;
 use crate::endpoint;
-use crate::member::News;
-use crate::member::Occasion;
-use crate::member::Reading;
+use crate::member::Reception;
+use crate::member::Role;
+use crate::member::Trigger;
 use crate::message::Document;
-use crate::message::Known;
 use crate::message::Load;
 use crate::message::Pull;
 use crate::message::Snapshot;
 use crate::message::Status;
-use crate::message::Trouble;
+use crate::message::Unavailability;
+use crate::message::Versions;
 use crate::message::Waiting;
 use crate::parts::Digest;
 use crate::protocol::Protocol;
@@ -60,22 +60,22 @@
 impl Dispatcher {
     /// Takes in what another node said. What it runs counts from the next tick
     /// on, so that a word costs little in a large fleet.
-    pub fn hear(&mut self, now: Time, from: SocketAddrV4, mut status: Status) -> News {
+    pub fn hear(&mut self, now: Time, from: SocketAddrV4, mut status: Status) -> Reception {
         self.accounts.begin(now);
         let findings = std::mem::take(&mut status.findings);
         let rate_limits = std::mem::take(&mut status.rate_limits);
         let notices = std::mem::take(&mut status.notices);
-        let quarantine = status.quarantine;
+        let quarantine = status.quarantine_digest;
         let incarnation = status.incarnation;
         let usage = status.usage.clone();
-        let news = self.members.hear(now, from, status);
-        if news == News::Old {
+        let news = self.members.record_status(now, from, status);
+        if news == Reception::Stale {
             return news;
         }
         let speaker = Speaker {
             address: from,
             incarnation,
-            known: news == News::Known,
+            known: news == Reception::Refreshed,
         };
         let reach = self.members.reach(now);
         let table = self.table.as_ref();
@@ -94,18 +94,18 @@
     /// Adds up what the other nodes run at each endpoint, and what they found.
     pub(super) fn count_others(&mut self, now: Time) {
         let mut sums: HashMap<u32, Elsewhere> = HashMap::new();
-        for (_, member) in self.members.fresh(now) {
+        for (_, member) in self.members.live(now) {
             let loads = &member.status.loads;
             let believed = !is_cut_off(loads);
             for load in loads {
                 let sum = sums.entry(load.endpoint).or_default();
                 sum.running += u32::from(load.running);
-                sum.pending += u64::from(load.pending);
-                match load.trouble {
-                    Some(Trouble::Gone) => sum.trouble.gone += 1,
-                    Some(Trouble::Failing) => sum.trouble.failing += 1,
-                    Some(Trouble::Unreachable) if believed => sum.trouble.unreachable += 1,
-                    Some(Trouble::Unreachable) | None => {}
+                sum.pending += u64::from(load.pending_tokens);
+                match load.unavailability {
+                    Some(Unavailability::Gone) => sum.trouble.gone += 1,
+                    Some(Unavailability::Failing) => sum.trouble.failing += 1,
+                    Some(Unavailability::Unreachable) if believed => sum.trouble.unreachable += 1,
+                    Some(Unavailability::Unreachable) | None => {}
                 }
             }
         }
@@ -120,12 +120,12 @@
     /// Statuses that are to be sent now, with the nodes to which each goes: those that
     /// may know few others are told of more than the rest.
     pub fn statuses(&mut self, now: Time) -> Vec<(Status, Vec<SocketAddrV4>)> {
-        let occasion = Occasion {
+        let occasion = Trigger {
             urgent: self.urgent,
-            pressed: self.accounts.is_pressed(now),
-            news: self.news,
+            usage_high: self.accounts.is_pressed(now),
+            new_documents: self.news,
         };
-        let due = self.members.due(now, occasion);
+        let due = self.members.take_due(now, occasion);
         if due.is_empty() {
             return Vec::new();
         }
@@ -136,7 +136,10 @@
             due.partition(|address| self.members.is_newcomer(now, *address));
         let status = self.status(now);
         let to_known = Status {
-            members: self.members.told_to_known(&status.members).to_vec(),
+            members: self
+                .members
+                .advertised_to_established(&status.members)
+                .to_vec(),
             rate_limits: told_to_known(&status.rate_limits),
             notices: told_to_known(&status.notices),
             ..status.clone()
@@ -156,14 +159,14 @@
             endpoints: self.list.edition(),
             data_centre: endpoint::number_of(self.options.data_centre.as_str()),
             leaving: self.leaving,
-            cut_off: self.cut_off,
+            platform_unreachable: self.cut_off,
             loads: self.loads(now),
             waiting: self.waiting(),
             usage: self.accounts.usage(now, USAGE_MOST),
-            members: self.members.told(now, self.sequence),
-            quarantine: self.quarantine.digest(),
+            members: self.members.advertised_members(now, self.sequence),
+            quarantine_digest: self.quarantine.digest(),
             findings: self.quarantine.news(now),
-            protocol: Protocol::OWN,
+            protocol: Protocol::CURRENT,
             rate_limits: self.in_turn(self.rate_limits_to_tell(now)),
             notices: self.in_turn(self.notices_to_tell(now)),
         }
@@ -191,11 +194,11 @@
             Load {
                 endpoint: worker.number,
                 running: running.min(u32::from(u16::MAX)) as u16,
-                pending: pending.min(u64::from(u32::MAX)) as u32,
-                trouble: worker.trouble(now, &self.options.worker),
+                pending_tokens: pending.min(u64::from(u32::MAX)) as u32,
+                unavailability: worker.trouble(now, &self.options.worker),
             }
         });
-        let told = loads.filter(|load| load.running > 0 || load.trouble.is_some());
+        let told = loads.filter(|load| load.running > 0 || load.unavailability.is_some());
         told.take(LOADS_MOST).collect()
     }
 
@@ -240,7 +243,7 @@
     /// changes seldom, so neither comes along with the other, and of the
     /// configuration and of the list only the parts that differ.
     pub fn snapshot(&self, pull: &Pull) -> Snapshot {
-        let edition = match pull.protocol.knows_eras() {
+        let edition = match pull.protocol.supports_eras() {
             true => self.list.edition(),
             false => self.list.edition().without_era(),
         };
@@ -258,8 +261,8 @@
         let configuration = table.configuration();
         Snapshot {
             endpoints,
-            head: Some(table.parts().to_head(configuration)),
-            parts: table.parts().to_missing(configuration, &held),
+            manifest: Some(table.parts().to_manifest(configuration)),
+            parts: table.parts().to_missing_parts(configuration, &held),
         }
     }
 
@@ -286,13 +289,13 @@
             known,
             held: if newer { held.collect() } else { Vec::new() },
             sections: self.sections.clone(),
-            protocol: Protocol::OWN,
+            protocol: Protocol::CURRENT,
         }
     }
 
     /// The newest documents that this node has.
-    pub fn known(&self) -> Known {
-        Known {
+    pub fn known(&self) -> Versions {
+        Versions {
             configuration: self.configuration_version(),
             endpoints: self.list.edition(),
         }
@@ -302,7 +305,7 @@
     /// for each `attempt`, where there are several.
     pub fn ahead_opt(&self, now: Time, document: Document, attempt: u64) -> Option<SocketAddrV4> {
         let known = self.known().only(document);
-        self.members.ahead_opt(now, known, attempt)
+        self.members.newer_peer_opt(now, known, attempt)
     }
 
     /// Takes other seeds, from settings that changed.
@@ -311,10 +314,10 @@
     }
 
     /// Who reads the platform, as this node sees it.
-    pub fn reading(&self, now: Time) -> Reading {
+    pub fn reading(&self, now: Time) -> Role {
         match self.list.revision {
-            0 => self.members.first_reading(now, self.accounts.met_at()),
-            _ => self.members.reading(now),
+            0 => self.members.startup_role(now, self.accounts.met_at()),
+            _ => self.members.role(now),
         }
     }
 
@@ -335,7 +338,7 @@
 /// True where a node cannot connect to so many endpoints that it is rather
 /// itself cut off from them.
 fn is_cut_off(loads: &[Load]) -> bool {
-    let unreachable = |load: &&Load| load.trouble == Some(Trouble::Unreachable);
+    let unreachable = |load: &&Load| load.unavailability == Some(Unavailability::Unreachable);
     let unreachable = loads.iter().filter(unreachable).count();
     unreachable >= MANY_UNREACHABLE && unreachable * 2 > loads.len()
 }
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -32,7 +32,7 @@
         let Some(pool) = self.pools.get(target) else {
             return;
         };
-        if self.members.cell().whole || pool.shared || pool.queue.is_empty() {
+        if self.members.cell().covers_fleet || pool.shared || pool.queue.is_empty() {
             return;
         }
         let questions = self.questions.iter();
@@ -53,7 +53,9 @@
         let key = u64::from(pool.number);
         self.denied
             .retain(|_, denied| now.since(*denied) < DENIED_FOR);
-        let owners = self.members.other_owners(now, key, self.next_question);
+        let owners = self
+            .members
+            .owners_in_other_cells(now, key, self.next_question);
         let owners = owners.into_iter();
         let mut owners: VecDeque<SocketAddrV4> = owners
             .filter(|owner| !self.denied.contains_key(owner))
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -260,7 +260,7 @@
         let turn = (since.0 - after.0) / self.quarantine.options().trial_turn.0.max(1);
         let score = |node: &SocketAddrV4| hash::chain(fingerprint.0, &node.ip().octets());
         let own = score(&self.options.own);
-        let before = self.members.fresh(now);
+        let before = self.members.live(now);
         let before = before.filter(|(node, _)| score(node) > own).count() as u64;
         before < 1 << turn.min(TURNS_MOST)
     }
@@ -296,7 +296,10 @@
             return;
         }
         let every = self.quarantine.options().send_every;
-        if !self.members.note_told(now, to, (ours, theirs), every) {
+        if !self
+            .members
+            .record_findings_sent(now, to, (ours, theirs), every)
+        {
             return;
         }
         let findings = self.quarantine.findings(now);
@@ -305,7 +308,7 @@
 
     /// True for the nodes of the cell of another, and some beyond it.
     fn is_teller(&self, now: Time, to: SocketAddrV4) -> bool {
-        if self.members.is_near(to) {
+        if self.members.is_in_cell(to) {
             return true;
         }
         let mixed = hash::chain(self.options.incarnation, &now.0.to_le_bytes());
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -36,11 +36,11 @@
     pub fn tick(&mut self, now: Time) -> bool {
         let paused = self.ticked > Time(0) && now.since(self.ticked) > PAUSE;
         if paused {
-            self.members.forget_statuses();
+            self.members.clear_loads();
         }
         self.ticked = now;
         self.accounts.begin(now);
-        self.members.forget(now);
+        self.members.remove_expired(now);
         self.quarantine.forget(now);
         self.stop_correcting(now);
         self.arrange(now);
@@ -68,9 +68,9 @@
             return;
         }
         self.arranged = now;
-        let before = (self.members.cell(), self.members.cells());
-        self.members.arrange(now);
-        if (self.members.cell(), self.members.cells()) != before {
+        let before = (self.members.cell(), self.members.cell_count());
+        self.members.assign_cells(now);
+        if (self.members.cell(), self.members.cell_count()) != before {
             self.assign_workers();
         }
         self.check_remote(now);
--- a/crates/dispatch/src/edition.rs
+++ b/crates/dispatch/src/edition.rs
@@ -48,7 +48,7 @@
 
 impl Edition {
     /// Later than any list.
-    pub const LAST: Edition = Edition {
+    pub const MAX: Edition = Edition {
         era: Era(u64::MAX),
         revision: u64::MAX,
         settled: true,
--- a/crates/dispatch/src/member/cell.rs
+++ b/crates/dispatch/src/member/cell.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cell {
     /// True where the whole fleet is this one cell.
-    pub whole: bool,
+    pub covers_fleet: bool,
     /// Which cell of the data centre this is.
     pub index: usize,
     /// Cells of the data centre.
@@ -24,18 +24,18 @@
 
 /// Who reads the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
+pub enum Role {
     /// This node reads for itself, as do all others.
-    Alone,
+    Standalone,
     /// This node reads for others.
-    ForOthers,
+    Reader,
     /// Others of its data centre read for this node.
-    Resting,
+    Follower,
 }
 
 /// The cell of a fleet that is small.
-pub(super) const ONE_CELL: Cell = Cell {
-    whole: true,
+pub(super) const SINGLE_CELL: Cell = Cell {
+    covers_fleet: true,
     index: 0,
     count: 1,
 };
@@ -44,32 +44,35 @@
     /// Arranges the nodes that were heard into cells. Nodes that see different
     /// fleets for a while arrange them differently, which costs balance and
     /// nothing else.
-    pub fn arrange(&mut self, now: Time) {
-        let heard: Vec<(SocketAddrV4, u32)> = self
-            .fresh(now)
+    pub fn assign_cells(&mut self, now: Time) {
+        let live: Vec<(SocketAddrV4, u32)> = self
+            .live(now)
             .filter(|(_, member)| !member.status.leaving)
             .map(|(address, member)| (*address, member.status.data_centre))
             .collect();
-        if heard.len() < self.options.one_cell {
-            self.cell = ONE_CELL;
+        if live.len() < self.options.single_cell_max {
+            self.cell = SINGLE_CELL;
             self.other_cells.clear();
             self.others
                 .values_mut()
-                .for_each(|member| member.near = true);
+                .for_each(|member| member.in_cell = true);
             return;
         }
         let mut centres: BTreeMap<u32, Vec<SocketAddrV4>> = BTreeMap::new();
-        for (address, centre) in heard {
+        for (address, centre) in live {
             centres.entry(centre).or_default().push(address);
         }
         let own_centre = centres.entry(self.data_centre).or_default();
-        own_centre.push(self.own);
+        own_centre.push(self.own_address);
         let mut cells: Vec<Vec<SocketAddrV4>> = Vec::new();
         for nodes in centres.into_values() {
-            let divided = divide(nodes, self.options.cell);
-            if let Some(index) = divided.iter().position(|cell| cell.contains(&self.own)) {
+            let divided = partition_nodes(nodes, self.options.cell_size);
+            if let Some(index) = divided
+                .iter()
+                .position(|cell| cell.contains(&self.own_address))
+            {
                 self.cell = Cell {
-                    whole: false,
+                    covers_fleet: false,
                     index,
                     count: divided.len(),
                 };
@@ -77,25 +80,26 @@
             cells.extend(divided);
         }
         for member in self.others.values_mut() {
-            member.near = false;
+            member.in_cell = false;
         }
-        let (own, others): (Vec<_>, Vec<_>) =
-            cells.into_iter().partition(|cell| cell.contains(&self.own));
+        let (own, others): (Vec<_>, Vec<_>) = cells
+            .into_iter()
+            .partition(|cell| cell.contains(&self.own_address));
         for address in own.iter().flatten() {
             if let Some(member) = self.others.get_mut(address) {
-                member.near = true;
+                member.in_cell = true;
             }
         }
         self.other_cells = others;
     }
 
     /// Cells of the whole fleet.
-    pub fn cells(&self) -> usize {
+    pub fn cell_count(&self) -> usize {
         self.other_cells.len() + 1
     }
 
     /// Cells of each data centre other than this node's own, by its number.
-    pub fn cells_by_data_centre(&self) -> BTreeMap<u32, usize> {
+    pub fn other_cell_counts(&self) -> BTreeMap<u32, usize> {
         let mut cells = BTreeMap::new();
         for cell in &self.other_cells {
             let mut centres = cell.iter().filter_map(|node| self.data_centre_opt(*node));
@@ -109,7 +113,7 @@
     /// The number of another node's data centre, where it was ever heard.
     pub fn data_centre_opt(&self, address: SocketAddrV4) -> Option<u32> {
         let member = self.others.get(&address);
-        let heard = member.filter(|member| member.heard.is_some());
+        let heard = member.filter(|member| member.last_heard.is_some());
         heard.map(|member| member.status.data_centre)
     }
 
@@ -121,37 +125,37 @@
     /// Who reads the platform, as this node sees it. Only what nodes read that know
     /// eras serves this one. All others count them in as well, so that wherever builds
     /// run side by side some more nodes read, and none too few.
-    pub fn reading(&self, now: Time) -> Reading {
-        if self.cell.whole {
-            return Reading::Alone;
+    pub fn role(&self, now: Time) -> Role {
+        if self.cell.covers_fleet {
+            return Role::Standalone;
         }
-        let own = score(&self.own);
-        let before = self.fresh(now).filter(|(address, member)| {
+        let own = score(&self.own_address);
+        let before = self.live(now).filter(|(address, member)| {
             let status = &member.status;
             status.data_centre == self.data_centre
-                && status.protocol.knows_eras()
+                && status.protocol.supports_eras()
                 && !status.leaving
                 && score(address) < own
         });
-        let (cut_off, able): (Vec<_>, Vec<_>) =
-            before.partition(|(_, member)| member.status.cut_off);
-        let is_candidate = cut_off.len() + able.len() < self.options.reader_candidates;
-        match is_candidate && able.len() < self.options.readers {
-            true => Reading::ForOthers,
-            false => Reading::Resting,
+        let (unable, able): (Vec<_>, Vec<_>) =
+            before.partition(|(_, member)| member.status.platform_unreachable);
+        let is_candidate = unable.len() + able.len() < self.options.reader_candidates;
+        match is_candidate && able.len() < self.options.platform_readers {
+            true => Role::Reader,
+            false => Role::Follower,
         }
     }
 
     /// The nodes of this cell that were heard lately.
-    pub fn near(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
-        self.fresh(now).filter(|(_, member)| member.near)
+    pub fn cell_members(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
+        self.live(now).filter(|(_, member)| member.in_cell)
     }
 }
 
 /// The nodes of one data centre in cells of about `most`.
-fn divide(mut nodes: Vec<SocketAddrV4>, most: usize) -> Vec<Vec<SocketAddrV4>> {
+fn partition_nodes(mut nodes: Vec<SocketAddrV4>, target_size: usize) -> Vec<Vec<SocketAddrV4>> {
     nodes.sort_by_key(|address| (score(address), *address));
-    let count = nodes.len().div_ceil(most).max(1);
+    let count = nodes.len().div_ceil(target_size).max(1);
     let mut cells = vec![Vec::new(); count];
     for (place, address) in nodes.into_iter().enumerate() {
         cells[place % count].push(address);
--- a/crates/dispatch/src/member/mod.rs
+++ b/crates/dispatch/src/member/mod.rs
@@ -2,10 +2,10 @@
 //! nodes say. Used for sharing only: no promise to a caller rests on it.
 //!
 //! * `cell.rs`: parts of a large fleet, and who reads the platform for them.
-//! * `speak.rs`: to whom a node speaks, and how often.
+//! * `gossip.rs`: to whom a node speaks, and how often.
 //! * `owner.rs`: which node owns a customer's quota, and slots of endpoints.
-//! * `start.rs`: who reads the platform while nodes start.
-//! * `ahead.rs`: which node to take newer documents from.
+//! * `startup.rs`: who reads the platform while nodes start.
+//! * `catch_up.rs`: which node to take newer documents from.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -17,17 +17,17 @@
 use crate::message::Status;
 use crate::quota::Reach;
 
-mod ahead;
+mod catch_up;
 mod cell;
+mod gossip;
 mod owner;
-mod speak;
-mod start;
+mod startup;
 
 pub use cell::Cell;
-pub use cell::Reading;
+pub use cell::Role;
+pub use gossip::Trigger;
 pub use owner::Owner;
 pub use owner::Scope;
-pub use speak::Occasion;
 
 /// Bounds of membership.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,31 +37,31 @@
     /// Silence after which a node is forgotten.
     pub forget_after: Span,
     /// How often a silent node is asked for a sign of life.
-    pub probe_every: Span,
+    pub probe_interval: Span,
     /// Shortest time between two statuses to one node.
-    pub status_every: Span,
+    pub min_status_interval: Span,
     /// Statuses that one node sends a second, to all others together.
     pub statuses_per_second: u64,
     /// Longest time between two statuses to one node.
-    pub status_at_least_every: Span,
+    pub max_status_interval: Span,
     /// Addresses of others in one status to a node that may know few.
-    pub told: usize,
+    pub members_to_newcomer: usize,
     /// The same to a node that was heard for long: it knows them, and 16 take 96 of the 118
     /// bytes that a status of a node at rest has (test
     /// `a_node_that_knows_the_fleet_is_told_of_few_others`).
-    pub told_to_known: usize,
+    pub members_to_established: usize,
     /// How long a node that was first heard may know few others.
-    pub meets_for: Span,
+    pub newcomer_for: Span,
     /// Nodes up to which a fleet is one cell.
-    pub one_cell: usize,
+    pub single_cell_max: usize,
     /// Nodes of one cell in a larger fleet, about.
-    pub cell: usize,
+    pub cell_size: usize,
     /// Statuses that one node sends a second beyond its cell.
-    pub beyond_per_second: u64,
+    pub remote_statuses_per_second: u64,
     /// The same while a customer presses on its quota.
-    pub pressed_per_second: u64,
+    pub high_usage_statuses_per_second: u64,
     /// Nodes of one data centre of a larger fleet that read the platform.
-    pub readers: usize,
+    pub platform_readers: usize,
     /// Nodes of one data centre that take part in reading at all: the first of
     /// them that can read do. While the platform is down no more than these try,
     /// where otherwise all would take over from each other.
@@ -77,18 +77,18 @@
         Options {
             silent_after: Span::from_millis(1_200),
             forget_after: Span::from_secs(40),
-            probe_every: Span::from_millis(400),
-            status_every: Span::from_millis(40),
+            probe_interval: Span::from_millis(400),
+            min_status_interval: Span::from_millis(40),
             statuses_per_second: 200,
-            status_at_least_every: Span::from_millis(400),
-            told: 16,
-            told_to_known: 2,
-            meets_for: Span::from_secs(5),
-            one_cell: 16,
-            cell: 24,
-            beyond_per_second: 120,
-            pressed_per_second: 300,
-            readers: 2,
+            max_status_interval: Span::from_millis(400),
+            members_to_newcomer: 16,
+            members_to_established: 2,
+            newcomer_for: Span::from_secs(5),
+            single_cell_max: 16,
+            cell_size: 24,
+            remote_statuses_per_second: 120,
+            high_usage_statuses_per_second: 300,
+            platform_readers: 2,
             reader_candidates: 8,
             fan_out: 3,
         }
@@ -99,21 +99,21 @@
 #[derive(Debug, Clone, Default)]
 pub struct Member {
     /// When it was last heard, or none when only others spoke of it.
-    pub heard: Option<Time>,
+    pub last_heard: Option<Time>,
     /// When its address was first met.
-    pub met: Time,
+    pub discovered: Time,
     /// When it was last sent a status.
-    pub sent: Time,
+    pub last_sent: Time,
     /// True while it belongs to this node's cell.
-    pub near: bool,
+    pub in_cell: bool,
     /// When it was first heard in its life, or again after a silence.
     pub joined: Option<Time>,
     /// When it was heard again in the same life after a silence.
-    pub returned: Option<Time>,
+    pub last_returned: Option<Time>,
     /// When it last left a question unanswered.
-    pub unanswered: Option<Time>,
+    pub last_unanswered: Option<Time>,
     /// When it was last sent findings, with what named all that this node and it knew.
-    told: Option<(Time, (u32, u32))>,
+    findings_sent: Option<(Time, (u32, u32))>,
     /// What it last said.
     pub status: Status,
 }
@@ -122,7 +122,7 @@
 #[derive(Debug)]
 pub struct Members {
     options: Options,
-    own: SocketAddrV4,
+    own_address: SocketAddrV4,
     data_centre: u32,
     seeds: Vec<SocketAddrV4>,
     others: HashMap<SocketAddrV4, Member>,
@@ -137,30 +137,30 @@
 
 /// What a status brought.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum Reception {
     /// Nothing: it was old or our own.
-    Old,
+    Stale,
     /// A life of a node that was not known, or was silent.
     Joined,
     /// A node that was known said something new.
-    Known,
+    Refreshed,
 }
 
 impl Members {
     /// Only the seeds are known.
     pub fn new(
-        own: SocketAddrV4,
+        own_address: SocketAddrV4,
         data_centre: u32,
         seeds: &[SocketAddrV4],
         options: Options,
     ) -> Members {
         let mut members = Members {
             options,
-            own,
+            own_address,
             data_centre,
             seeds: Vec::new(),
             others: HashMap::new(),
-            cell: cell::ONE_CELL,
+            cell: cell::SINGLE_CELL,
             other_cells: Vec::new(),
             first_heard: None,
             leaving: false,
@@ -174,51 +174,55 @@
         self.seeds = seeds
             .iter()
             .copied()
-            .filter(|seed| *seed != self.own)
+            .filter(|seed| *seed != self.own_address)
             .collect();
     }
 
     /// Takes in what another node said.
-    pub fn hear(&mut self, now: Time, from: SocketAddrV4, status: Status) -> News {
-        if from == self.own {
-            return News::Old;
+    pub fn record_status(&mut self, now: Time, from: SocketAddrV4, status: Status) -> Reception {
+        if from == self.own_address {
+            return Reception::Stale;
         }
         for address in &status.members {
-            self.meet(now, *address);
+            self.discover(now, *address);
         }
-        let silent_after = self.silent_after(self.cell.whole);
-        let near = self.cell.whole;
+        let silent_after = self.silent_after(self.cell.covers_fleet);
+        let in_cell = self.cell.covers_fleet;
         let member = self.others.entry(from).or_insert_with(|| Member {
-            met: now,
-            near,
+            discovered: now,
+            in_cell,
             ..Member::default()
         });
         let same = member.status.incarnation == status.incarnation;
         if same && status.sequence <= member.status.sequence {
-            return News::Old;
+            return Reception::Stale;
         }
         let was_heard = member
-            .heard
-            .is_some_and(|heard| now.since(heard) <= silent_after);
+            .last_heard
+            .is_some_and(|last_heard| now.since(last_heard) <= silent_after);
         if same && !was_heard {
-            member.returned = Some(now);
+            member.last_returned = Some(now);
         }
         let known = same && was_heard;
         if !known {
             member.joined = Some(now);
         }
-        member.heard = Some(now);
+        member.last_heard = Some(now);
         member.status = status;
         self.first_heard.get_or_insert(now);
-        if known { News::Known } else { News::Joined }
+        if known {
+            Reception::Refreshed
+        } else {
+            Reception::Joined
+        }
     }
 
-    fn meet(&mut self, now: Time, address: SocketAddrV4) {
-        let near = self.cell.whole;
-        if address != self.own {
+    fn discover(&mut self, now: Time, address: SocketAddrV4) {
+        let in_cell = self.cell.covers_fleet;
+        if address != self.own_address {
             self.others.entry(address).or_insert_with(|| Member {
-                met: now,
-                near,
+                discovered: now,
+                in_cell,
                 ..Member::default()
             });
         }
@@ -226,16 +230,16 @@
 
     /// Forgets nodes that were silent for long, and addresses that never
     /// answered.
-    pub fn forget(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         let forget_after = self.options.forget_after;
         self.others.retain(|_, member| {
-            let last = member.heard.unwrap_or(member.met);
+            let last = member.last_heard.unwrap_or(member.discovered);
             now.since(last) <= forget_after
         });
     }
 
     /// Forgets what everybody said, as after a pause of this process.
-    pub fn forget_statuses(&mut self) {
+    pub fn clear_loads(&mut self) {
         for member in self.others.values_mut() {
             member.status.loads.clear();
             member.status.waiting.clear();
@@ -244,67 +248,70 @@
 
     /// Silence after which what a node said no longer counts: longer beyond
     /// the cell, where nodes are heard less often.
-    fn silent_after(&self, near: bool) -> Span {
-        match near {
+    fn silent_after(&self, in_cell: bool) -> Span {
+        match in_cell {
             true => self.options.silent_after,
             false => self
                 .options
                 .silent_after
-                .max(Span(self.beyond_every(false).0 * 3)),
+                .max(Span(self.remote_interval(false).0 * 3)),
         }
     }
 
-    fn is_fresh(&self, now: Time, member: &Member) -> bool {
-        let silent_after = self.silent_after(member.near);
+    fn is_live(&self, now: Time, member: &Member) -> bool {
+        let silent_after = self.silent_after(member.in_cell);
         member
-            .heard
-            .is_some_and(|heard| now.since(heard) <= silent_after)
+            .last_heard
+            .is_some_and(|last_heard| now.since(last_heard) <= silent_after)
     }
 
     /// The nodes heard lately, with what they said.
-    pub fn fresh(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
+    pub fn live(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
         self.others
             .iter()
-            .filter(move |(_, member)| self.is_fresh(now, member))
+            .filter(move |(_, member)| self.is_live(now, member))
     }
 
     /// How much of the fleet this node can speak for. A node that was cut off
     /// and returns counts as silent for a while: until all have heard each
     /// other again, each of them would take itself for most of the fleet.
     pub fn reach(&self, now: Time) -> Reach {
-        let counted = self.others.values().filter(|member| member.heard.is_some());
+        let counted = self
+            .others
+            .values()
+            .filter(|member| member.last_heard.is_some());
         let (mut nodes, mut silent) = (1, 0);
         for member in counted {
-            let fresh = self.is_fresh(now, member);
-            if !fresh && member.status.leaving {
+            let live = self.is_live(now, member);
+            if !live && member.status.leaving {
                 continue;
             }
             let returns = member
-                .returned
+                .last_returned
                 .is_some_and(|at| now.since(at) < self.options.silent_after);
             nodes += 1;
-            silent += usize::from(!fresh || returns);
+            silent += usize::from(!live || returns);
         }
         Reach {
             nodes,
             silent,
             alone: self.first_heard.is_none(),
-            one_cell: nodes <= self.options.one_cell,
+            one_cell: nodes <= self.options.single_cell_max,
         }
     }
 
     /// The newest configuration that a node says it has; none where none was heard.
-    pub fn newest_configuration_opt(&self, now: Time) -> Option<u64> {
+    pub fn newest_configuration_version_opt(&self, now: Time) -> Option<u64> {
         let said = self
-            .fresh(now)
+            .live(now)
             .map(|(_, member)| member.status.configuration);
         said.max()
     }
 
     /// The versions of the configuration that the nodes heard lately say they have, the
     /// newest first.
-    pub fn configurations(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
-        let said = self.fresh(now);
+    pub fn configuration_versions(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
+        let said = self.live(now);
         let mut said: Vec<_> = said
             .map(|(address, member)| (*address, member.status.configuration))
             .collect();
@@ -313,13 +320,13 @@
     }
 
     /// True while no other node is known that could be asked.
-    pub fn has_nobody_to_ask(&self) -> bool {
+    pub fn has_no_peers(&self) -> bool {
         self.seeds.is_empty() && self.others.is_empty()
     }
 
     /// Notes that a node is sent findings; false where it was sent them so lately with
     /// the same known on both sides.
-    pub fn note_told(
+    pub fn record_findings_sent(
         &mut self,
         now: Time,
         address: SocketAddrV4,
@@ -330,23 +337,25 @@
             return false;
         };
         let lately = |(at, before): (Time, (u32, u32))| before == known && now.since(at) < every;
-        if member.told.is_some_and(lately) {
+        if member.findings_sent.is_some_and(lately) {
             return false;
         }
-        member.told = Some((now, known));
+        member.findings_sent = Some((now, known));
         true
     }
 
     /// True for a node of this one's cell.
-    pub fn is_near(&self, address: SocketAddrV4) -> bool {
-        self.others.get(&address).is_some_and(|member| member.near)
+    pub fn is_in_cell(&self, address: SocketAddrV4) -> bool {
+        self.others
+            .get(&address)
+            .is_some_and(|member| member.in_cell)
     }
 
     /// The life of another node, where it was heard lately.
     pub fn incarnation_opt(&self, now: Time, address: SocketAddrV4) -> Option<u64> {
         let member = self.others.get(&address);
-        let fresh = member.filter(|member| self.is_fresh(now, member));
-        fresh.map(|member| member.status.incarnation)
+        let live = member.filter(|member| self.is_live(now, member));
+        live.map(|member| member.status.incarnation)
     }
 
     /// Requests that wait for a service at another node, as it last said.
--- a/crates/dispatch/src/member/owner.rs
+++ b/crates/dispatch/src/member/owner.rs
@@ -12,21 +12,21 @@
 use crate::protocol::Protocol;
 
 /// How long a node that did not answer is passed over.
-const PASSED_OVER_FOR: Span = Span::from_millis(1_000);
+const UNANSWERED_BACKOFF: Span = Span::from_millis(1_000);
 
 /// Nodes in order of ownership of which one is asked; were all tried in turn, a
 /// node that is cut off would hold each request up many times.
-const TRIED: usize = 2;
+const MAX_OWNERS_TRIED: usize = 2;
 
 /// Who owns something, as far as this node can tell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Owner {
     /// This node.
-    Own,
+    Local,
     /// Another node.
-    Other(SocketAddrV4),
+    Remote(SocketAddrV4),
     /// The nodes that should do not answer.
-    Unheard,
+    Unreachable,
 }
 
 /// Among which nodes an owner is looked for.
@@ -37,46 +37,46 @@
     /// The nodes of this node's cell.
     Cell,
     /// All nodes of builds that keep the rate limits which endpoints name.
-    Keepers,
+    RateLimitCapable,
 }
 
 impl Members {
     /// The owner of what has a key, among the nodes that were heard lately.
     pub fn owner(&self, now: Time, scope: Scope, key: u64) -> Owner {
         let mut owners = Vec::new();
-        for (address, member) in self.fresh(now) {
-            if may_own(member) && is_in(scope, member) {
-                owners.push((score(key, address), *address, member.unanswered));
+        for (address, member) in self.live(now) {
+            if is_eligible(member) && is_in(scope, member) {
+                owners.push((score(key, address), *address, member.last_unanswered));
             }
         }
         // The others look for another owner as soon as they hear that this node stops.
-        let hands_over = scope == Scope::Keepers && self.leaving;
+        let hands_over = scope == Scope::RateLimitCapable && self.leaving;
         if !hands_over || owners.is_empty() {
-            owners.push((score(key, &self.own), self.own, None));
+            owners.push((score(key, &self.own_address), self.own_address, None));
         }
-        let tried = TRIED.min(owners.len());
+        let tried = MAX_OWNERS_TRIED.min(owners.len());
         if owners.len() > tried {
             owners.select_nth_unstable_by(tried, |one, other| other.cmp(one));
             owners.truncate(tried);
         }
         owners.sort_unstable_by(|one, other| other.cmp(one));
-        let owner = owners.iter().find(|(_, _, at)| !is_passed_over(now, *at));
+        let owner = owners.iter().find(|(_, _, at)| !is_backing_off(now, *at));
         match owner {
-            None => Owner::Unheard,
-            Some((_, address, _)) if *address == self.own => Owner::Own,
-            Some((_, address, _)) => Owner::Other(*address),
+            None => Owner::Unreachable,
+            Some((_, address, _)) if *address == self.own_address => Owner::Local,
+            Some((_, address, _)) => Owner::Remote(*address),
         }
     }
 
     /// The nodes of the other cells that own what has a key there, in an order
     /// that differs with `turn`.
-    pub fn other_owners(&self, now: Time, key: u64, turn: u64) -> Vec<SocketAddrV4> {
+    pub fn owners_in_other_cells(&self, now: Time, key: u64, turn: u64) -> Vec<SocketAddrV4> {
         let owner_in = |cell: &Vec<SocketAddrV4>| {
             let heard = cell.iter().filter(|address| {
                 let member = self.others.get(address);
-                let fresh = member.filter(|member| self.is_fresh(now, member));
-                fresh.is_some_and(|member| {
-                    may_own(member) && !is_passed_over(now, member.unanswered)
+                let live = member.filter(|member| self.is_live(now, member));
+                live.is_some_and(|member| {
+                    is_eligible(member) && !is_backing_off(now, member.last_unanswered)
                 })
             });
             heard.copied().max_by_key(|address| score(key, address))
@@ -88,35 +88,35 @@
 
     /// True where no node that was heard lately goes before this one as the
     /// owner of what has a key.
-    pub fn is_first_owner(&self, now: Time, key: u64) -> bool {
-        let own = score(key, &self.own);
-        let mut others = self.fresh(now).filter(|(_, member)| may_own(member));
+    pub fn is_preferred_owner(&self, now: Time, key: u64) -> bool {
+        let own = score(key, &self.own_address);
+        let mut others = self.live(now).filter(|(_, member)| is_eligible(member));
         others.all(|(address, _)| score(key, address) <= own)
     }
 
     /// True for a node whose build keeps the rate limits that endpoints name.
-    pub fn keeps_rate_limits(&self, address: SocketAddrV4) -> bool {
+    pub fn supports_rate_limits(&self, address: SocketAddrV4) -> bool {
         let protocol = self.protocol_opt(address);
-        protocol.is_some_and(Protocol::keeps_rate_limits)
+        protocol.is_some_and(Protocol::supports_rate_limits)
     }
 
     /// True for a node whose build knows what else endpoints say of themselves.
-    pub fn knows_notices(&self, address: SocketAddrV4) -> bool {
+    pub fn supports_notices(&self, address: SocketAddrV4) -> bool {
         self.protocol_opt(address)
-            .is_some_and(Protocol::knows_notices)
+            .is_some_and(Protocol::supports_notices)
     }
 
     /// What a node speaks that was heard.
     fn protocol_opt(&self, address: SocketAddrV4) -> Option<Protocol> {
         let member = self.others.get(&address);
-        let heard = member.filter(|member| member.heard.is_some());
+        let heard = member.filter(|member| member.last_heard.is_some());
         heard.map(|member| member.status.protocol)
     }
 
     /// Notes that a node did not answer though it was asked.
-    pub fn note_unanswered(&mut self, now: Time, address: SocketAddrV4) {
+    pub fn record_unanswered(&mut self, now: Time, address: SocketAddrV4) {
         if let Some(member) = self.others.get_mut(&address) {
-            member.unanswered = Some(now);
+            member.last_unanswered = Some(now);
         }
     }
 }
@@ -124,17 +124,17 @@
 fn is_in(scope: Scope, member: &Member) -> bool {
     match scope {
         Scope::Fleet => true,
-        Scope::Cell => member.near,
-        Scope::Keepers => member.status.protocol.keeps_rate_limits(),
+        Scope::Cell => member.in_cell,
+        Scope::RateLimitCapable => member.status.protocol.supports_rate_limits(),
     }
 }
 
-fn may_own(member: &Member) -> bool {
+fn is_eligible(member: &Member) -> bool {
     !member.status.leaving
 }
 
-fn is_passed_over(now: Time, unanswered: Option<Time>) -> bool {
-    unanswered.is_some_and(|at| now.since(at) < PASSED_OVER_FOR)
+fn is_backing_off(now: Time, last_unanswered: Option<Time>) -> bool {
+    last_unanswered.is_some_and(|at| now.since(at) < UNANSWERED_BACKOFF)
 }
 
 /// A node's place among the owners of what has a key; the highest is first.
--- a/crates/dispatch/src/member/start.rs
+++ b/crates/dispatch/src/member/startup.rs
@@ -10,58 +10,58 @@
 use woadstage_types::unit::Time;
 
 use super::Members;
-use super::Reading;
+use super::Role;
 use super::cell;
 
 /// How long a node that has heard another listens before it reads itself: a few times the
 /// way there and back, in which the nodes that it met tell of others.
-const LISTEN_FOR: Span = Span::from_millis(80);
+const DISCOVERY_PERIOD: Span = Span::from_millis(80);
 
 /// How long after it has heard another a node waits in all before it reads itself, whoever
 /// else may: two reads of 1.1 MB over 20 Mbit/s and some transfers. Counted from then, since
 /// nodes that were cut off as they started return together.
-const WAIT_MOST: Span = Span::from_millis(1_500);
+const MAX_LIST_WAIT: Span = Span::from_millis(1_500);
 
 impl Members {
     /// Who reads the platform, as a node sees it that has no list yet since it started and
     /// can have met others at a time.
-    pub fn first_reading(&self, now: Time, met_at: Time) -> Reading {
-        if self.has_nobody_to_ask() {
-            return Reading::Alone;
+    pub fn startup_role(&self, now: Time, discovery_ends_at: Time) -> Role {
+        if self.has_no_peers() {
+            return Role::Standalone;
         }
         let Some(first_heard) = self.first_heard else {
-            return match now < met_at {
-                true => Reading::Resting,
-                false => Reading::Alone,
+            return match now < discovery_ends_at {
+                true => Role::Follower,
+                false => Role::Standalone,
             };
         };
         let heard_for = now.since(first_heard);
-        if heard_for >= WAIT_MOST {
-            return Reading::Alone;
+        if heard_for >= MAX_LIST_WAIT {
+            return Role::Standalone;
         }
-        if heard_for < LISTEN_FOR || self.has_list_to_give(now) {
-            return Reading::Resting;
+        if heard_for < DISCOVERY_PERIOD || self.has_peer_with_list(now) {
+            return Role::Follower;
         }
-        let own = cell::score(&self.own);
-        let before = self.fresh(now).filter(|(address, member)| {
+        let own = cell::score(&self.own_address);
+        let before = self.live(now).filter(|(address, member)| {
             let status = &member.status;
             status.data_centre == self.data_centre
-                && status.protocol.knows_eras()
+                && status.protocol.supports_eras()
                 && !status.leaving
-                && !status.cut_off
+                && !status.platform_unreachable
                 && cell::score(address) < own
         });
-        match before.count() < self.options.readers {
-            true => Reading::ForOthers,
-            false => Reading::Resting,
+        match before.count() < self.options.platform_readers {
+            true => Role::Reader,
+            false => Role::Follower,
         }
     }
 
     /// True where a node is heard that has a list of endpoints.
-    fn has_list_to_give(&self, now: Time) -> bool {
-        let mut heard = self.fresh(now);
+    fn has_peer_with_list(&self, now: Time) -> bool {
+        let mut heard = self.live(now);
         heard.any(|(_, member)| {
-            member.status.protocol.knows_eras() && member.status.endpoints.revision > 0
+            member.status.protocol.supports_eras() && member.status.endpoints.revision > 0
         })
     }
 }
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -10,7 +10,7 @@
 use crate::lease;
 use crate::notice;
 use crate::parts::Digest;
-use crate::parts::Head;
+use crate::parts::Manifest;
 use crate::parts::Part;
 use crate::protocol::Protocol;
 use crate::quarantine::Finding;
@@ -27,14 +27,14 @@
     /// Requests in progress there.
     pub running: u16,
     /// Prompt tokens sent there of which no event was seen yet.
-    pub pending: u32,
+    pub pending_tokens: u32,
     /// Why the node sends nothing there, if it does not.
-    pub trouble: Option<Trouble>,
+    pub unavailability: Option<Unavailability>,
 }
 
 /// Why a node sends nothing to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Trouble {
+pub enum Unavailability {
     /// Calls broke.
     Failing,
     /// It cannot be connected to.
@@ -80,7 +80,7 @@
     /// True while the node is stopping.
     pub leaving: bool,
     /// True where it cannot read the platform though it tries.
-    pub cut_off: bool,
+    pub platform_unreachable: bool,
     /// What it runs; endpoints left out run nothing.
     pub loads: Vec<Load>,
     /// What waits; services left out have nothing waiting.
@@ -90,7 +90,7 @@
     /// Some of the nodes that it has heard lately.
     pub members: Vec<SocketAddrV4>,
     /// Names all that it knows of requests that endpoints ended under; 0 for nothing.
-    pub quarantine: u32,
+    pub quarantine_digest: u32,
     /// What it came to know of them lately.
     pub findings: Vec<Finding>,
     /// What the node speaks.
@@ -192,23 +192,23 @@
 
 /// The newest documents of the platform that a node has, by version; 0 for none.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct Versions {
     /// The version of the configuration.
     pub configuration: u64,
     /// The list of endpoints.
     pub endpoints: Edition,
 }
 
-impl Known {
+impl Versions {
     /// The same with the other document as new as can be, so that nothing of it is
     /// asked for.
-    pub fn only(self, document: Document) -> Known {
+    pub fn only(self, document: Document) -> Versions {
         match document {
-            Document::Configuration => Known {
-                endpoints: Edition::LAST,
+            Document::Configuration => Versions {
+                endpoints: Edition::MAX,
                 ..self
             },
-            Document::Endpoints => Known {
+            Document::Endpoints => Versions {
                 configuration: u64::MAX,
                 ..self
             },
@@ -221,7 +221,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pull {
     /// The documents of the node that asks.
-    pub known: Known,
+    pub known: Versions,
     /// Parts of configurations that it has, in force or received.
     pub held: Vec<Digest>,
     /// Sections of its list of endpoints.
@@ -257,7 +257,7 @@
     /// it is newer.
     pub endpoints: Option<Difference>,
     /// The configuration without its parts, where it is newer.
-    pub head: Option<Head>,
+    pub manifest: Option<Manifest>,
     /// The parts of it that the other does not have.
     pub parts: Vec<Part>,
 }
@@ -270,7 +270,7 @@
     /// What is new of a list of endpoints.
     Endpoints(Difference),
     /// A configuration without its parts.
-    Head(Head),
+    Manifest(Manifest),
     /// A part of it.
     Part(Part),
 }
@@ -279,8 +279,8 @@
     /// The frames in which it goes on the wire.
     pub fn into_frames(self) -> impl Iterator<Item = Frame> {
         let endpoints = self.endpoints.into_iter().map(Frame::Endpoints);
-        let head = self.head.into_iter().map(Frame::Head);
+        let manifest = self.manifest.into_iter().map(Frame::Manifest);
         let parts = self.parts.into_iter().map(Frame::Part);
-        endpoints.chain(head).chain(parts)
+        endpoints.chain(manifest).chain(parts)
     }
 }
--- a/crates/dispatch/src/parts.rs
+++ b/crates/dispatch/src/parts.rs
@@ -22,7 +22,7 @@
 pub const COUNT: usize = 256;
 
 /// Received parts that are kept: of the newest version and of one before it.
-const KEPT_MOST: usize = 2 * COUNT;
+const MAX_RECEIVED: usize = 2 * COUNT;
 
 /// The name of a part: the hash of its content, the same on every node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -48,19 +48,19 @@
 impl Part {
     /// Its name.
     pub fn to_digest(&self) -> Digest {
-        digest(&self.routes, &self.services, &self.customers)
+        hash_entries(&self.routes, &self.services, &self.customers)
     }
 }
 
 /// All that a configuration holds beside its parts, and what its parts are.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct Manifest {
     /// The version.
     pub version: u64,
     /// Bounds on what a caller may send.
     pub limits: Limits,
     /// True where requests need a customer's key.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// The names of all parts, in order.
     pub parts: Vec<Digest>,
     /// What is bound to regions. Not part of the first layout of messages:
@@ -69,7 +69,7 @@
     pub restrictions: Restrictions,
 }
 
-impl Head {
+impl Manifest {
     /// Names the whole configuration by its content. Nodes that hold the same version
     /// with other contents differ in it.
     pub fn to_digest(&self) -> Digest {
@@ -81,13 +81,13 @@
 /// Which entries of a configuration belong to which part.
 #[derive(Debug)]
 pub struct Index {
-    members: Vec<Members>,
+    positions: Vec<Positions>,
     digests: Vec<Digest>,
 }
 
 /// Positions of the entries of one part.
 #[derive(Debug, Default)]
-struct Members {
+struct Positions {
     routes: Vec<usize>,
     services: Vec<usize>,
     customers: Vec<usize>,
@@ -96,25 +96,25 @@
 impl Index {
     /// Reads the whole configuration once.
     pub fn new(configuration: &Configuration) -> Index {
-        let mut members: Vec<Members> = Vec::new();
-        members.resize_with(COUNT, Members::default);
+        let mut positions: Vec<Positions> = Vec::new();
+        positions.resize_with(COUNT, Positions::default);
         for (at, route) in configuration.routes.iter().enumerate() {
             let host = hash::of(route.host.as_bytes());
             let key = hash::chain(host, route.prefix.as_bytes());
-            members[place(key)].routes.push(at);
+            positions[part_index(key)].routes.push(at);
         }
         for (at, service) in configuration.services.iter().enumerate() {
             let key = hash::of(service.name.as_str().as_bytes());
-            members[place(key)].services.push(at);
+            positions[part_index(key)].services.push(at);
         }
         for (at, customer) in configuration.customers.iter().flatten().enumerate() {
             let key = hash::of(customer.name.as_str().as_bytes());
-            members[place(key)].customers.push(at);
+            positions[part_index(key)].customers.push(at);
         }
-        let digests = members.iter().map(|one| one.to_digest(configuration));
+        let digests = positions.iter().map(|one| one.to_digest(configuration));
         Index {
             digests: digests.collect(),
-            members,
+            positions,
         }
     }
 
@@ -124,34 +124,39 @@
     }
 
     /// What a node needs before the parts.
-    pub fn to_head(&self, configuration: &Configuration) -> Head {
-        Head {
+    pub fn to_manifest(&self, configuration: &Configuration) -> Manifest {
+        Manifest {
             version: configuration.version,
             limits: configuration.limits.clone(),
-            keyed: configuration.customers.is_some(),
+            requires_key: configuration.customers.is_some(),
             parts: self.digests.clone(),
             restrictions: Restrictions::of(configuration),
         }
     }
 
     /// Copies the parts that are not among `held`, but for empty ones.
-    pub fn to_missing(&self, configuration: &Configuration, held: &HashSet<Digest>) -> Vec<Part> {
+    pub fn to_missing_parts(
+        &self,
+        configuration: &Configuration,
+        held: &HashSet<Digest>,
+    ) -> Vec<Part> {
         let empty = Part::default().to_digest();
-        let named = self.members.iter().zip(&self.digests);
-        let missing = named.filter(|(_, digest)| **digest != empty && !held.contains(digest));
+        let named = self.positions.iter().zip(&self.digests);
+        let missing = named
+            .filter(|(_, hash_entries)| **hash_entries != empty && !held.contains(hash_entries));
         missing
-            .map(|(members, _)| members.to_part(configuration))
+            .map(|(positions, _)| positions.to_part(configuration))
             .collect()
     }
 }
 
-impl Members {
+impl Positions {
     fn to_digest(&self, configuration: &Configuration) -> Digest {
         let customers = configuration.customers.as_deref().unwrap_or_default();
         let routes = self.routes.iter().map(|at| &configuration.routes[*at]);
         let services = self.services.iter().map(|at| &configuration.services[*at]);
         let customers = self.customers.iter().map(|at| &customers[*at]);
-        digest(
+        hash_entries(
             &routes.collect::<Vec<_>>(),
             &services.collect::<Vec<_>>(),
             &customers.collect::<Vec<_>>(),
@@ -187,7 +192,7 @@
     /// versions that never came into force, and what is still wanted is asked for
     /// again.
     pub fn add(&mut self, part: Part) {
-        if self.parts.len() >= KEPT_MOST {
+        if self.parts.len() >= MAX_RECEIVED {
             self.parts.clear();
         }
         self.parts.insert(part.to_digest(), part);
@@ -207,7 +212,7 @@
     /// in force; nothing where a part is missing.
     pub fn try_assemble(
         &self,
-        head: &Head,
+        head: &Manifest,
         base: Option<(&Configuration, &Index)>,
     ) -> Option<Configuration> {
         let empty = Part::default().to_digest();
@@ -216,13 +221,17 @@
             .flat_map(|(_, index)| index.digests.iter().copied().zip(0..))
             .collect();
         let mut whole = Part::default();
-        for digest in head.parts.iter().filter(|digest| **digest != empty) {
-            let part = match self.parts.get(digest) {
+        for hash_entries in head
+            .parts
+            .iter()
+            .filter(|hash_entries| **hash_entries != empty)
+        {
+            let part = match self.parts.get(hash_entries) {
                 Some(part) => part.clone(),
                 None => {
-                    let at = in_force.get(digest)?;
+                    let at = in_force.get(hash_entries)?;
                     let (configuration, index) = base?;
-                    index.members[*at].to_part(configuration)
+                    index.positions[*at].to_part(configuration)
                 }
             };
             whole.routes.extend(part.routes);
@@ -234,7 +243,7 @@
             routes: whole.routes,
             services: whole.services,
             limits: head.limits.clone(),
-            customers: head.keyed.then_some(whole.customers),
+            customers: head.requires_key.then_some(whole.customers),
         };
         head.restrictions.apply(&mut configuration);
         Some(configuration)
@@ -242,13 +251,13 @@
 }
 
 /// The part to which an entry belongs, by the hash of its key.
-fn place(key: u64) -> usize {
+fn part_index(key: u64) -> usize {
     (key % COUNT as u64) as usize
 }
 
 /// Hashes entries as they go on the wire. Writing to memory does not fail for
 /// these types; were it to, the part would have the digest 0, which no other has.
-fn digest<R: Serialize, S: Serialize, C: Serialize>(
+fn hash_entries<R: Serialize, S: Serialize, C: Serialize>(
     routes: &[R],
     services: &[S],
     customers: &[C],
--- a/crates/dispatch/src/protocol.rs
+++ b/crates/dispatch/src/protocol.rs
@@ -31,7 +31,7 @@
     pub const NOTICES: Protocol = Protocol(11);
 
     /// What this build speaks.
-    pub const OWN: Protocol = Protocol::NOTICES;
+    pub const CURRENT: Protocol = Protocol::NOTICES;
 
     /// For messages that do not say which.
     pub(crate) fn first() -> Protocol {
@@ -39,24 +39,24 @@
     }
 
     /// True where a node knows eras and regions.
-    pub fn knows_eras(self) -> bool {
+    pub fn supports_eras(self) -> bool {
         self >= Protocol::ERAS
     }
 
     /// True where a node keeps endpoints' rate limits.
-    pub fn keeps_rate_limits(self) -> bool {
+    pub fn supports_rate_limits(self) -> bool {
         self >= Protocol::RATE_LIMITS
     }
 
     /// True where a node knows what else endpoints say of themselves.
-    pub fn knows_notices(self) -> bool {
+    pub fn supports_notices(self) -> bool {
         self >= Protocol::NOTICES
     }
 }
 
 impl Default for Protocol {
     fn default() -> Protocol {
-        Protocol::OWN
+        Protocol::CURRENT
     }
 }
 
--- a/crates/dispatch/src/restore.rs
+++ b/crates/dispatch/src/restore.rs
@@ -20,15 +20,15 @@
 
 /// How long what was known goes before an older copy. An entry whose endpoint has ended
 /// goes after three heartbeats of silence, which are 9 s at most on the users' sheets.
-const WRITTEN_AGAIN_WITHIN: Span = Span::from_secs(10);
+const OVERRIDE_PERIOD: Span = Span::from_secs(10);
 
 /// How long the end of an endpoint is remembered: three times as long as the platform
 /// keeps its history, which is 20 s on all of the users' sheets.
-const REMEMBERED_FOR: Span = Span::from_secs(60);
+const DEPARTURE_RETENTION: Span = Span::from_secs(60);
 
 /// What a list said of one start of an endpoint that takes no more work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
+enum Departure {
     /// It was leaving.
     Leaving,
     /// It was not there any more.
@@ -37,29 +37,29 @@
 
 /// What lists of one era, and of those before, said.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct Corrections {
     /// Endpoints that end in the era in force, with when that was noted.
-    ends: HashMap<Life, (End, Time)>,
+    departures: HashMap<Life, (Departure, Time)>,
     /// What goes before the lists of the era in force.
-    kept: Option<Kept>,
+    overrides: Option<Overrides>,
 }
 
 /// What goes before the lists of an era.
 #[derive(Debug)]
-struct Kept {
+struct Overrides {
     until: Time,
-    ends: HashMap<Life, (End, Time)>,
+    departures: HashMap<Life, (Departure, Time)>,
     /// The latest start of each endpoint.
     born: HashMap<id::Endpoint, u64>,
     /// Data centres that were evacuated.
     evacuated: Vec<id::DataCentre>,
 }
 
-impl Memory {
+impl Corrections {
     /// Notes what a list changes that comes into force after another of its era.
-    pub fn note(&mut self, now: Time, before: &List, after: &List) {
-        self.ends
-            .retain(|_, (_, at)| now.since(*at) < REMEMBERED_FOR);
+    pub fn record_list(&mut self, now: Time, before: &List, after: &List) {
+        self.departures
+            .retain(|_, (_, at)| now.since(*at) < DEPARTURE_RETENTION);
         let listed: HashMap<Life, bool> = after
             .endpoints
             .iter()
@@ -67,8 +67,10 @@
             .collect();
         for (life, leaving) in &listed {
             match leaving {
-                true => self.ends.insert(life.clone(), (End::Leaving, now)),
-                false => self.ends.remove(life),
+                true => self
+                    .departures
+                    .insert(life.clone(), (Departure::Leaving, now)),
+                false => self.departures.remove(life),
             };
         }
         if !after.settled {
@@ -76,28 +78,32 @@
         }
         for life in before.endpoints.iter().map(Endpoint::to_life) {
             if !listed.contains_key(&life) {
-                self.ends.insert(life, (End::Gone, now));
+                self.departures.insert(life, (Departure::Gone, now));
             }
         }
     }
 
     /// Notes that a new era begins, after a list of the era before.
     pub fn begin_era(&mut self, now: Time, before: &List) {
-        let mut ends = std::mem::take(&mut self.ends);
+        let mut departures = std::mem::take(&mut self.departures);
         let mut evacuated = before.evacuated.clone();
-        if let Some(kept) = self.kept.take().filter(|kept| now < kept.until) {
-            for (life, end) in kept.ends {
-                ends.entry(life).or_insert(end);
+        if let Some(overrides) = self
+            .overrides
+            .take()
+            .filter(|overrides| now < overrides.until)
+        {
+            for (life, end) in overrides.departures {
+                departures.entry(life).or_insert(end);
             }
-            evacuated.extend(kept.evacuated);
+            evacuated.extend(overrides.evacuated);
         }
         evacuated.sort();
         evacuated.dedup();
         let born = before.endpoints.iter();
         let born = born.map(|endpoint| (endpoint.name.clone(), endpoint.born));
-        self.kept = Some(Kept {
-            until: now + WRITTEN_AGAIN_WITHIN,
-            ends,
+        self.overrides = Some(Overrides {
+            until: now + OVERRIDE_PERIOD,
+            departures,
             born: born.collect(),
             evacuated,
         });
@@ -106,13 +112,19 @@
     /// A list of the era in force as it is to be taken; none where it says nothing that
     /// was known otherwise.
     pub fn correct(&self, now: Time, list: &List) -> Option<List> {
-        let kept = self.kept.as_ref().filter(|kept| now < kept.until)?;
-        let endpoints = list.endpoints.iter().filter_map(|one| kept.correct(one));
+        let overrides = self
+            .overrides
+            .as_ref()
+            .filter(|overrides| now < overrides.until)?;
+        let endpoints = list
+            .endpoints
+            .iter()
+            .filter_map(|one| overrides.correct(one));
         let mut corrected = List {
             endpoints: endpoints.collect(),
             ..list.clone()
         };
-        let missing = kept.evacuated.iter();
+        let missing = overrides.evacuated.iter();
         let missing = missing.filter(|one| !list.evacuated.contains(one));
         corrected.evacuated.extend(missing.cloned());
         (corrected != *list).then_some(corrected)
@@ -121,15 +133,18 @@
     /// Forgets what is kept once its time is over; true where it did. Lists count as they
     /// are from then on.
     pub fn expire(&mut self, now: Time) -> bool {
-        let over = self.kept.as_ref().is_some_and(|kept| now >= kept.until);
+        let over = self
+            .overrides
+            .as_ref()
+            .is_some_and(|overrides| now >= overrides.until);
         if over {
-            self.kept = None;
+            self.overrides = None;
         }
         over
     }
 }
 
-impl Kept {
+impl Overrides {
     /// An endpoint of an older copy, as it is known; none where it has ended or started
     /// again since.
     fn correct(&self, listed: &Endpoint) -> Option<Endpoint> {
@@ -137,9 +152,9 @@
         if listed.born < born {
             return None;
         }
-        match self.ends.get(&listed.to_life()) {
-            Some((End::Gone, _)) => None,
-            Some((End::Leaving, _)) => Some(Endpoint {
+        match self.departures.get(&listed.to_life()) {
+            Some((Departure::Gone, _)) => None,
+            Some((Departure::Leaving, _)) => Some(Endpoint {
                 leaving: true,
                 ..listed.clone()
             }),
--- a/crates/dispatch/src/section.rs
+++ b/crates/dispatch/src/section.rs
@@ -60,8 +60,8 @@
     pub fn new(list: &List) -> Index {
         let mut digests = vec![Digest::default(); COUNT];
         for endpoint in &list.endpoints {
-            let digest = &mut digests[usize::from(place(endpoint))];
-            digest.0 = digest.0.wrapping_add(hash_of(endpoint));
+            let digest = &mut digests[usize::from(section_number(endpoint))];
+            digest.0 = digest.0.wrapping_add(hash_endpoint(endpoint));
         }
         Index { digests }
     }
@@ -84,7 +84,7 @@
             })
             .collect();
         for endpoint in &list.endpoints {
-            let number = place(endpoint);
+            let number = section_number(endpoint);
             if let Ok(at) = sections.binary_search_by_key(&number, |section| section.number) {
                 sections[at].endpoints.push(endpoint.clone());
             }
@@ -102,7 +102,7 @@
     pub fn into_list(self, base: &List) -> List {
         let given: HashSet<u8> = self.sections.iter().map(|section| section.number).collect();
         let kept = base.endpoints.iter();
-        let kept = kept.filter(|endpoint| !given.contains(&place(endpoint)));
+        let kept = kept.filter(|endpoint| !given.contains(&section_number(endpoint)));
         let kept = kept.cloned();
         let given = self.sections.into_iter();
         let given = given.flat_map(|section| section.endpoints);
@@ -117,7 +117,7 @@
 }
 
 /// The section to which an endpoint belongs.
-fn place(endpoint: &Endpoint) -> u8 {
+fn section_number(endpoint: &Endpoint) -> u8 {
     let name = endpoint.name.as_str();
     (hash::of(name.as_bytes()) % COUNT as u64) as u8
 }
@@ -125,7 +125,7 @@
 /// Hashes an entry as it goes on the wire. Writing to memory does not fail for
 /// this type; were it to, the entry would count as one that says nothing else
 /// than its name.
-fn hash_of(endpoint: &Endpoint) -> u64 {
+fn hash_endpoint(endpoint: &Endpoint) -> u64 {
     let written = postcard::to_extend(endpoint, Vec::new());
     let bytes = written.unwrap_or_else(|_| endpoint.name.as_str().into());
     hash::of(&bytes)
--- a/crates/dispatch/src/table.rs
+++ b/crates/dispatch/src/table.rs
@@ -80,7 +80,7 @@
 
     /// Names the whole configuration by its content.
     pub fn to_digest(&self) -> parts::Digest {
-        self.parts().to_head(&self.configuration).to_digest()
+        self.parts().to_manifest(&self.configuration).to_digest()
     }
 
     /// The route with the longest prefix that begins the path.
--- a/crates/dispatch/src/wire.rs
+++ b/crates/dispatch/src/wire.rs
@@ -21,16 +21,16 @@
 /// fields may only be added at its end, each in an addition of its own that may be
 /// missing.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Addition {
+struct Extension {
     /// What the node speaks that wrote it.
     protocol: Protocol,
     /// The era of the list of endpoints that the message speaks of.
     era: Era,
 }
 
-impl Addition {
+impl Extension {
     /// Of a message that has none.
-    const NONE: Addition = Addition {
+    const NONE: Extension = Extension {
         protocol: Protocol::FIRST,
         era: Era(0),
     };
@@ -47,11 +47,11 @@
         Message::Lease(request) => return postcard::to_extend(&request.avoided, bytes),
         _ => return Ok(bytes),
     };
-    let addition = Addition {
+    let extension = Extension {
         protocol: status.protocol,
         era: status.endpoints.era,
     };
-    let bytes = postcard::to_extend(&addition, bytes)?;
+    let bytes = postcard::to_extend(&extension, bytes)?;
     let bytes = postcard::to_extend(&status.rate_limits, bytes)?;
     postcard::to_extend(&status.notices, bytes)
 }
@@ -66,9 +66,9 @@
     match &mut message {
         Message::Lease(request) => request.avoided = take_list(rest).ok()?.0,
         Message::Status(status) => {
-            let (addition, rest) = take_addition(rest).ok()?;
-            status.protocol = addition.protocol;
-            status.endpoints.era = addition.era;
+            let (extension, rest) = take_extension(rest).ok()?;
+            status.protocol = extension.protocol;
+            status.endpoints.era = extension.era;
             let (rate_limits, rest) = take_list(rest).ok()?;
             status.rate_limits = rate_limits;
             status.notices = take_list(rest).ok()?.0;
@@ -83,11 +83,11 @@
 /// # Errors
 /// Only where the codec fails.
 pub fn pull_to_bytes(pull: &Pull) -> postcard::Result<Vec<u8>> {
-    let addition = Addition {
+    let extension = Extension {
         protocol: pull.protocol,
         era: pull.known.endpoints.era,
     };
-    postcard::to_extend(&addition, postcard::to_extend(pull, Vec::new())?)
+    postcard::to_extend(&extension, postcard::to_extend(pull, Vec::new())?)
 }
 
 /// Reads a question for documents.
@@ -96,9 +96,9 @@
 /// Where the bytes are none.
 pub fn pull_from_bytes(bytes: &[u8]) -> postcard::Result<Pull> {
     let (mut pull, rest): (Pull, _) = postcard::take_from_bytes(bytes)?;
-    let (addition, _) = take_addition(rest)?;
-    pull.protocol = addition.protocol;
-    pull.known.endpoints.era = addition.era;
+    let (extension, _) = take_extension(rest)?;
+    pull.protocol = extension.protocol;
+    pull.known.endpoints.era = extension.era;
     Ok(pull)
 }
 
@@ -110,13 +110,13 @@
     let bytes = postcard::to_extend(frame, Vec::new())?;
     match frame {
         Frame::Endpoints(difference) => {
-            let addition = Addition {
-                protocol: Protocol::OWN,
+            let extension = Extension {
+                protocol: Protocol::CURRENT,
                 era: difference.era,
             };
-            postcard::to_extend(&addition, bytes)
+            postcard::to_extend(&extension, bytes)
         }
-        Frame::Head(head) => postcard::to_extend(&head.restrictions, bytes),
+        Frame::Manifest(manifest) => postcard::to_extend(&manifest.restrictions, bytes),
         Frame::Busy | Frame::Part(_) => Ok(bytes),
     }
 }
@@ -128,17 +128,19 @@
 pub fn frame_from_bytes(bytes: &[u8]) -> postcard::Result<Frame> {
     let (mut frame, rest) = postcard::take_from_bytes(bytes)?;
     match &mut frame {
-        Frame::Endpoints(difference) => difference.era = take_addition(rest)?.0.era,
-        Frame::Head(head) if !rest.is_empty() => head.restrictions = postcard::from_bytes(rest)?,
-        Frame::Head(_) | Frame::Busy | Frame::Part(_) => {}
+        Frame::Endpoints(difference) => difference.era = take_extension(rest)?.0.era,
+        Frame::Manifest(manifest) if !rest.is_empty() => {
+            manifest.restrictions = postcard::from_bytes(rest)?
+        }
+        Frame::Manifest(_) | Frame::Busy | Frame::Part(_) => {}
     }
     Ok(frame)
 }
 
 /// Reads the addition behind a message, and gives what stands behind it.
-fn take_addition(rest: &[u8]) -> postcard::Result<(Addition, &[u8])> {
+fn take_extension(rest: &[u8]) -> postcard::Result<(Extension, &[u8])> {
     match rest {
-        [] => Ok((Addition::NONE, rest)),
+        [] => Ok((Extension::NONE, rest)),
         rest => postcard::take_from_bytes(rest),
     }
 }
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -8,7 +8,7 @@
 
 use crate::cold;
 use crate::endpoint::Endpoint;
-use crate::message::Trouble;
+use crate::message::Unavailability;
 use crate::rate_limit;
 use crate::rest;
 
@@ -334,17 +334,17 @@
     }
 
     /// What this node tells the others of it, if anything is wrong.
-    pub fn trouble(&self, now: Time, options: &Options) -> Option<Trouble> {
+    pub fn trouble(&self, now: Time, options: &Options) -> Option<Unavailability> {
         if self
             .gone_at
             .is_some_and(|at| now.since(at) < options.gone_told_for)
         {
-            return Some(Trouble::Gone);
+            return Some(Unavailability::Gone);
         }
         let resting = self.failures > 0 && now < self.rests_until;
         let trouble = match self.unreachable {
-            true => Trouble::Unreachable,
-            false => Trouble::Failing,
+            true => Unavailability::Unreachable,
+            false => Unavailability::Failing,
         };
         resting.then_some(trouble)
     }
--- a/crates/dispatch/tests/dispatch/fleet/world/lists.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/lists.rs
@@ -5,7 +5,7 @@
 
 use woadstage_dispatch::edition::Era;
 use woadstage_dispatch::endpoint::List;
-use woadstage_dispatch::member::Reading;
+use woadstage_dispatch::member::Role;
 use woadstage_dispatch::protocol::Protocol;
 
 use super::Event;
@@ -75,7 +75,7 @@
         if dispatcher.edition().revision > 0 || links.busy.contains(&node) {
             return;
         }
-        if dispatcher.reading(now) != Reading::Resting {
+        if dispatcher.reading(now) != Role::Follower {
             links.busy.insert(node);
             let read = links.read(now);
             self.plan(read, Event::Read(node));
--- a/crates/dispatch/tests/dispatch/members.rs
+++ b/crates/dispatch/tests/dispatch/members.rs
@@ -5,12 +5,12 @@
 use rstest::rstest;
 use woadstage_dispatch::edition::Edition;
 use woadstage_dispatch::member::Members;
-use woadstage_dispatch::member::News;
-use woadstage_dispatch::member::Occasion;
 use woadstage_dispatch::member::Options;
-use woadstage_dispatch::member::Reading;
-use woadstage_dispatch::message::Known;
+use woadstage_dispatch::member::Reception;
+use woadstage_dispatch::member::Role;
+use woadstage_dispatch::member::Trigger;
 use woadstage_dispatch::message::Status;
+use woadstage_dispatch::message::Versions;
 use woadstage_types::unit::Span;
 
 use crate::support::at;
@@ -19,13 +19,13 @@
 /// The number of the data centre that all are in.
 const CENTRE: u32 = 1;
 
-const CALM: Occasion = Occasion {
+const CALM: Trigger = Trigger {
     urgent: false,
-    pressed: false,
-    news: false,
+    usage_high: false,
+    new_documents: false,
 };
 
-const URGENT: Occasion = Occasion {
+const URGENT: Trigger = Trigger {
     urgent: true,
     ..CALM
 };
@@ -48,12 +48,12 @@
 #[test]
 fn nodes_meet_through_a_seed_that_knows_another() {
     let mut members = members(1, &[1, 2, 9]);
-    assert_eq!(members.due(at(1), CALM), [node(2), node(9)]);
+    assert_eq!(members.take_due(at(1), CALM), [node(2), node(9)]);
     assert_eq!(
-        members.hear(at(10), node(2), status(2, 1, &[1, 3])),
-        News::Joined
+        members.record_status(at(10), node(2), status(2, 1, &[1, 3])),
+        Reception::Joined
     );
-    assert!(members.due(at(11), CALM).contains(&node(3)));
+    assert!(members.take_due(at(11), CALM).contains(&node(3)));
     // An address that never answers counts for nothing.
     assert_eq!(members.reach(at(12)).nodes, 2);
     assert!(!members.reach(at(12)).alone);
@@ -70,38 +70,47 @@
 fn a_word_that_was_overtaken_or_came_twice_is_old() {
     let mut members = members(1, &[]);
     assert_eq!(
-        members.hear(at(0), node(2), status(5, 2, &[])),
-        News::Joined
+        members.record_status(at(0), node(2), status(5, 2, &[])),
+        Reception::Joined
+    );
+    assert_eq!(
+        members.record_status(at(1), node(2), status(5, 1, &[])),
+        Reception::Stale
+    );
+    assert_eq!(
+        members.record_status(at(1), node(2), status(5, 2, &[])),
+        Reception::Stale
+    );
+    assert_eq!(
+        members.record_status(at(2), node(2), status(5, 3, &[])),
+        Reception::Refreshed
     );
-    assert_eq!(members.hear(at(1), node(2), status(5, 1, &[])), News::Old);
-    assert_eq!(members.hear(at(1), node(2), status(5, 2, &[])), News::Old);
-    assert_eq!(members.hear(at(2), node(2), status(5, 3, &[])), News::Known);
     // Another life counts anew.
     assert_eq!(
-        members.hear(at(3), node(2), status(6, 1, &[])),
-        News::Joined
+        members.record_status(at(3), node(2), status(6, 1, &[])),
+        Reception::Joined
     );
 }
 
 #[test]
 fn a_silent_node_counts_until_it_is_forgotten() {
     let mut members = members(1, &[]);
-    members.hear(at(0), node(2), status(2, 1, &[]));
+    members.record_status(at(0), node(2), status(2, 1, &[]));
     assert_eq!(members.reach(at(1_000)).silent, 0);
     let later = members.reach(at(3_000));
     assert_eq!((later.nodes, later.silent), (2, 1));
-    assert_eq!(members.fresh(at(3_000)).count(), 0);
-    members.forget(at(60_000));
+    assert_eq!(members.live(at(3_000)).count(), 0);
+    members.remove_expired(at(60_000));
     assert_eq!(members.reach(at(60_000)).nodes, 1);
 }
 
 #[test]
 fn a_silent_node_is_asked_for_a_sign_of_life() {
     let mut members = members(1, &[]);
-    members.hear(at(0), node(2), status(2, 1, &[]));
-    members.due(at(2_000), CALM);
-    assert_eq!(members.due(at(2_100), CALM), []);
-    assert_eq!(members.due(at(2_500), CALM), [node(2)]);
+    members.record_status(at(0), node(2), status(2, 1, &[]));
+    members.take_due(at(2_000), CALM);
+    assert_eq!(members.take_due(at(2_100), CALM), []);
+    assert_eq!(members.take_due(at(2_500), CALM), [node(2)]);
 }
 
 #[test]
@@ -111,7 +120,7 @@
         leaving: true,
         ..status(2, 1, &[])
     };
-    members.hear(at(0), node(2), leaving);
+    members.record_status(at(0), node(2), leaving);
     assert_eq!(members.reach(at(100)).nodes, 2);
     assert_eq!(members.reach(at(3_000)).nodes, 1);
 }
@@ -120,18 +129,18 @@
 fn fleet(own: u8, nodes: u8) -> Members {
     let mut members = members(own, &[]);
     for other in (1..=nodes).filter(|other| *other != own) {
-        members.hear(at(0), node(other), status(u64::from(other), 1, &[]));
+        members.record_status(at(0), node(other), status(u64::from(other), 1, &[]));
     }
-    members.arrange(at(1));
+    members.assign_cells(at(1));
     members
 }
 
 #[test]
 fn a_small_fleet_is_one_cell_and_each_reads_for_itself() {
     let members = fleet(1, 16);
-    assert!(members.cell().whole);
-    assert_eq!(members.near(at(1)).count(), 15);
-    assert_eq!(members.reading(at(1)), Reading::Alone);
+    assert!(members.cell().covers_fleet);
+    assert_eq!(members.cell_members(at(1)).count(), 15);
+    assert_eq!(members.role(at(1)), Role::Standalone);
 }
 
 #[test]
@@ -139,16 +148,19 @@
     let views: Vec<Members> = (1..=40).map(|own| fleet(own, 40)).collect();
     for (own, view) in (1u8..).zip(&views) {
         let cell = view.cell();
-        assert_eq!((cell.whole, cell.count), (false, 2));
+        assert_eq!((cell.covers_fleet, cell.count), (false, 2));
         let near: Vec<u8> = view
-            .near(at(1))
+            .cell_members(at(1))
             .map(|(address, _)| address.ip().octets()[3])
             .collect();
         assert_eq!(near.len(), 19);
         for other in near {
             let seen = &views[usize::from(other) - 1];
             assert_eq!(seen.cell(), cell);
-            assert!(seen.near(at(1)).any(|(address, _)| *address == node(own)));
+            assert!(
+                seen.cell_members(at(1))
+                    .any(|(address, _)| *address == node(own))
+            );
         }
     }
 }
@@ -156,7 +168,7 @@
 /// A status of the node with a number that cannot read the platform.
 fn cut_off(number: u8) -> Status {
     Status {
-        cut_off: true,
+        platform_unreachable: true,
         ..status(u64::from(number), 2, &[])
     }
 }
@@ -168,9 +180,9 @@
     for own in 1..=nodes {
         let mut view = fleet(own, nodes);
         for other in cut_off_nodes.iter().filter(|other| **other != own) {
-            view.hear(at(2), node(*other), cut_off(*other));
+            view.record_status(at(2), node(*other), cut_off(*other));
         }
-        if view.reading(at(3)) == Reading::ForOthers {
+        if view.role(at(3)) == Role::Reader {
             readers.push(own);
         }
     }
@@ -216,20 +228,23 @@
     // Beyond the cell it takes as long as three of the statuses that come there.
     let later = at(1) + Span::from_millis(7_000);
     for other in (1..=40).filter(|other| !first.contains(other) && *other != next) {
-        members.hear(later, node(other), status(u64::from(other), 2, &[]));
+        members.record_status(later, node(other), status(u64::from(other), 2, &[]));
     }
-    assert_eq!(members.reading(later), Reading::ForOthers);
+    assert_eq!(members.role(later), Role::Reader);
 }
 
 #[test]
 fn new_documents_are_told_to_some_beyond_the_cell_at_once() {
     let mut members = fleet(1, 200);
-    members.due(at(1), CALM);
-    let quiet = members.due(at(2), CALM).len();
-    let news = Occasion { news: true, ..CALM };
-    let told = members.due(at(3), news);
+    members.take_due(at(1), CALM);
+    let quiet = members.take_due(at(2), CALM).len();
+    let news = Trigger {
+        new_documents: true,
+        ..CALM
+    };
+    let told = members.take_due(at(3), news);
     assert_eq!(told.len(), quiet + Options::default().fan_out);
-    let others = members.due(at(4), news);
+    let others = members.take_due(at(4), news);
     assert!(others.iter().all(|one| !told.contains(one)));
 }
 
@@ -239,7 +254,7 @@
 fn spread_of_news(nodes: u8, taking: u64) -> u64 {
     let mut views: Vec<Members> = (1..=nodes).map(|own| fleet(own, nodes)).collect();
     for view in &mut views {
-        view.due(at(1), CALM);
+        view.take_due(at(1), CALM);
     }
     let mut has_at: Vec<Option<u64>> = vec![None; usize::from(nodes)];
     has_at[0] = Some(2);
@@ -249,12 +264,12 @@
             let Some(since) = has_at[one].filter(|since| *since <= now) else {
                 continue;
             };
-            let occasion = Occasion {
+            let trigger = Trigger {
                 urgent: true,
-                pressed: false,
-                news: now < since + 20,
+                usage_high: false,
+                new_documents: now < since + 20,
             };
-            for told in views[one].due(at(now), occasion) {
+            for told in views[one].take_due(at(now), trigger) {
                 let told = usize::from(told.ip().octets()[3]) - 1;
                 has_at[told].get_or_insert(now + taking);
             }
@@ -278,7 +293,7 @@
         let mut members = fleet(1, nodes);
         let sent: usize = (0..2_000)
             .step_by(20)
-            .map(|millis| members.due(at(1 + millis), URGENT).len())
+            .map(|millis| members.take_due(at(1 + millis), URGENT).len())
             .sum();
         // Two seconds: 200 a second within the cell, 60 beyond, all others once.
         assert!(
@@ -296,8 +311,8 @@
     }
 }
 
-fn known(configuration: u64, endpoints: u64) -> Known {
-    Known {
+fn known(configuration: u64, endpoints: u64) -> Versions {
+    Versions {
         configuration,
         endpoints: edition(endpoints),
     }
@@ -311,14 +326,17 @@
         endpoints: edition(endpoints),
         ..status(1, 1, &[])
     };
-    members.hear(at(0), node(2), said(5, 10));
-    members.hear(at(0), node(3), said(6, 10));
-    assert_eq!(members.ahead_opt(at(1), known(5, 10), 0), Some(node(3)));
-    assert_eq!(members.ahead_opt(at(1), known(6, 10), 0), None);
-    assert!(members.ahead_opt(at(1), known(6, 9), 0).is_some());
+    members.record_status(at(0), node(2), said(5, 10));
+    members.record_status(at(0), node(3), said(6, 10));
+    assert_eq!(
+        members.newer_peer_opt(at(1), known(5, 10), 0),
+        Some(node(3))
+    );
+    assert_eq!(members.newer_peer_opt(at(1), known(6, 10), 0), None);
+    assert!(members.newer_peer_opt(at(1), known(6, 9), 0).is_some());
     // A node that is silent cannot be asked.
     let later = at(1) + Span::from_secs(5);
-    assert_eq!(members.ahead_opt(later, known(1, 1), 0), None);
+    assert_eq!(members.newer_peer_opt(later, known(1, 1), 0), None);
 }
 
 /// Nodes that are ahead of `own` by as many revisions as their number.
@@ -329,7 +347,7 @@
             endpoints: edition(100 + u64::from(other)),
             ..status(u64::from(other), 1, &[])
         };
-        members.hear(at(0), node(other), said);
+        members.record_status(at(0), node(other), said);
     }
     members
 }
@@ -337,7 +355,7 @@
 #[test]
 fn nodes_that_are_behind_do_not_all_ask_the_same_one() {
     let asked: HashSet<_> = (100..160)
-        .filter_map(|own| behind_twenty(own).ahead_opt(at(1), known(0, 50), 0))
+        .filter_map(|own| behind_twenty(own).newer_peer_opt(at(1), known(0, 50), 0))
         .collect();
     assert!(asked.len() >= 4, "{asked:?}");
     // But those that are furthest ahead.
@@ -348,7 +366,7 @@
 fn another_is_asked_where_one_did_not_answer() {
     let members = behind_twenty(1);
     let asked: HashSet<_> = (0..6)
-        .filter_map(|attempt| members.ahead_opt(at(1), known(0, 50), attempt))
+        .filter_map(|attempt| members.newer_peer_opt(at(1), known(0, 50), attempt))
         .collect();
     assert!(asked.len() >= 3, "{asked:?}");
 }
@@ -356,17 +374,17 @@
 /// What a node that starts does about the platform, `heard` so many milliseconds after its
 /// start another which has a list or none, `after` so many.
 #[rstest]
-#[case::nobody_yet(None, 200, Reading::Resting)]
-#[case::nobody_in_time(None, 400, Reading::Alone)]
-#[case::it_listens(Some((50, 0)), 100, Reading::Resting)]
-#[case::it_is_among_the_first(Some((50, 0)), 200, Reading::ForOthers)]
-#[case::another_has_a_list(Some((50, 7)), 200, Reading::Resting)]
-#[case::it_does_not_come(Some((50, 7)), 1_600, Reading::Alone)]
-#[case::it_was_cut_off_at_first(Some((2_000, 7)), 2_500, Reading::Resting)]
+#[case::nobody_yet(None, 200, Role::Follower)]
+#[case::nobody_in_time(None, 400, Role::Standalone)]
+#[case::it_listens(Some((50, 0)), 100, Role::Follower)]
+#[case::it_is_among_the_first(Some((50, 0)), 200, Role::Reader)]
+#[case::another_has_a_list(Some((50, 7)), 200, Role::Follower)]
+#[case::it_does_not_come(Some((50, 7)), 1_600, Role::Standalone)]
+#[case::it_was_cut_off_at_first(Some((2_000, 7)), 2_500, Role::Follower)]
 fn who_reads_as_nodes_start(
     #[case] heard: Option<(u64, u64)>,
     #[case] after: u64,
-    #[case] expected: Reading,
+    #[case] expected: Role,
 ) {
     let mut members = members(1, &[2]);
     let met_at = at(300);
@@ -375,7 +393,7 @@
             endpoints: edition(revision),
             ..status(2, 1, &[])
         };
-        members.hear(at(millis), node(2), said);
+        members.record_status(at(millis), node(2), said);
     }
     // It goes on being heard.
     if let Some((_, revision)) = heard {
@@ -383,7 +401,7 @@
             endpoints: edition(revision),
             ..status(2, 2, &[])
         };
-        members.hear(at(after), node(2), said);
+        members.record_status(at(after), node(2), said);
     }
-    assert_eq!(members.first_reading(at(after), met_at), expected);
+    assert_eq!(members.startup_role(at(after), met_at), expected);
 }
--- a/crates/dispatch/tests/dispatch/order.rs
+++ b/crates/dispatch/tests/dispatch/order.rs
@@ -106,8 +106,8 @@
     let load = Load {
         endpoint: crate::support::endpoint("e", MODEL, 1).to_number(),
         running: 2,
-        pending: 0,
-        trouble: None,
+        pending_tokens: 0,
+        unavailability: None,
     };
     let status = Status {
         incarnation: 2,
--- a/crates/dispatch/tests/dispatch/outcomes.rs
+++ b/crates/dispatch/tests/dispatch/outcomes.rs
@@ -10,7 +10,7 @@
 use woadstage_dispatch::job::Job;
 use woadstage_dispatch::message::Load;
 use woadstage_dispatch::message::Status;
-use woadstage_dispatch::message::Trouble;
+use woadstage_dispatch::message::Unavailability;
 use woadstage_types::unit::Span;
 
 use crate::support::MODEL;
@@ -213,12 +213,12 @@
 }
 
 /// What a node says that finds some endpoints in trouble.
-fn finds(number: u8, trouble: Trouble, names: &[&str]) -> (std::net::SocketAddrV4, Status) {
+fn finds(number: u8, trouble: Unavailability, names: &[&str]) -> (std::net::SocketAddrV4, Status) {
     let loads = names.iter().map(|name| Load {
         endpoint: number_of(name),
         running: 0,
-        pending: 0,
-        trouble: Some(trouble),
+        pending_tokens: 0,
+        unavailability: Some(trouble),
     });
     let status = Status {
         incarnation: u64::from(number),
@@ -241,14 +241,14 @@
 }
 
 #[rstest]
-#[case::one_found_it_gone(vec![finds(2, Trouble::Gone, &["e"])], false)]
-#[case::two_cannot_connect(vec![finds(2, Trouble::Unreachable, &["e"]), finds(3, Trouble::Unreachable, &["e"])], false)]
-#[case::one_cannot_connect(vec![finds(2, Trouble::Unreachable, &["e"])], true)]
-#[case::calls_of_two_broke(vec![finds(2, Trouble::Failing, &["e"]), finds(3, Trouble::Failing, &["e"])], true)]
+#[case::one_found_it_gone(vec![finds(2, Unavailability::Gone, &["e"])], false)]
+#[case::two_cannot_connect(vec![finds(2, Unavailability::Unreachable, &["e"]), finds(3, Unavailability::Unreachable, &["e"])], false)]
+#[case::one_cannot_connect(vec![finds(2, Unavailability::Unreachable, &["e"])], true)]
+#[case::calls_of_two_broke(vec![finds(2, Unavailability::Failing, &["e"]), finds(3, Unavailability::Failing, &["e"])], true)]
 #[case::two_that_seem_cut_off(
     vec![
-        finds(2, Trouble::Unreachable, &["e", "f", "g", "h"]),
-        finds(3, Trouble::Unreachable, &["e", "f", "g", "h"]),
+        finds(2, Unavailability::Unreachable, &["e", "f", "g", "h"]),
+        finds(3, Unavailability::Unreachable, &["e", "f", "g", "h"]),
     ],
     true
 )]
@@ -265,7 +265,7 @@
     let id = dispatcher.enter(at(0), once(1));
     dispatcher.end(at(10), id, End::Whole);
     for number in [2, 3] {
-        let (from, status) = finds(number, Trouble::Unreachable, &["e"]);
+        let (from, status) = finds(number, Unavailability::Unreachable, &["e"]);
         dispatcher.hear(at(20), from, status);
     }
     dispatcher.tick(at(21));
--- a/crates/dispatch/tests/dispatch/parts.rs
+++ b/crates/dispatch/tests/dispatch/parts.rs
@@ -142,7 +142,7 @@
     let (one, other) = (node(1, long(8, 1)), node(2, long(8, 1)));
     let mut behind = Dispatcher::new(options(3));
     let snapshot = one.snapshot(&ask(&one, &mut behind));
-    let (parts, head) = (snapshot.parts, snapshot.head.expect("a head"));
+    let (parts, head) = (snapshot.parts, snapshot.manifest.expect("a head"));
     let (arrived, lost) = parts.split_at(parts.len() * 3 / 4);
     for part in arrived {
         behind.keep_part(part.clone());
--- a/crates/dispatch/tests/dispatch/publish.rs
+++ b/crates/dispatch/tests/dispatch/publish.rs
@@ -9,8 +9,8 @@
 use woadstage_dispatch::endpoint::List;
 use woadstage_dispatch::job::End;
 use woadstage_dispatch::job::Job;
-use woadstage_dispatch::message::Known;
 use woadstage_dispatch::message::Pull;
+use woadstage_dispatch::message::Versions;
 use woadstage_types::id;
 
 use crate::support::MODEL;
@@ -64,7 +64,7 @@
     assert_eq!(own.configuration_version(), 8);
     assert_eq!(own.edition().revision, 10);
     // Nor does a head count that came late.
-    let late = older.snapshot(&Pull::default()).head.expect("a head");
+    let late = older.snapshot(&Pull::default()).manifest.expect("a head");
     assert!(!own.take_head(at(1), &late));
 }
 
@@ -80,7 +80,7 @@
             ..Edition::default()
         };
         let snapshot = dispatcher.snapshot(&Pull {
-            known: Known {
+            known: Versions {
                 configuration,
                 endpoints,
             },
@@ -88,7 +88,7 @@
             ..Pull::default()
         });
         (
-            snapshot.head.is_some() && !snapshot.parts.is_empty(),
+            snapshot.manifest.is_some() && !snapshot.parts.is_empty(),
             snapshot.endpoints.is_some(),
         )
     };
--- a/crates/dispatch/tests/dispatch/restore.rs
+++ b/crates/dispatch/tests/dispatch/restore.rs
@@ -220,7 +220,7 @@
 /// Builds that do not know of eras cannot say whether their list is from before.
 #[rstest]
 #[case::they_say_nothing_of_eras(Protocol::FIRST, Era(0), 1, false)]
-#[case::they_are_ahead(Protocol::OWN, Era(1), 1, true)]
+#[case::they_are_ahead(Protocol::CURRENT, Era(1), 1, true)]
 #[case::this_node_has_no_list(Protocol::FIRST, Era(0), 0, true)]
 fn lists_of_others(
     #[case] protocol: Protocol,
--- a/crates/dispatch/tests/dispatch/share.rs
+++ b/crates/dispatch/tests/dispatch/share.rs
@@ -32,10 +32,13 @@
     dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     let status = dispatcher.status(at(1));
     assert_eq!(status.loads.len(), 1);
-    assert_eq!((status.loads[0].running, status.loads[0].pending), (1, 700));
+    assert_eq!(
+        (status.loads[0].running, status.loads[0].pending_tokens),
+        (1, 700)
+    );
     assert_eq!((status.waiting.len(), status.waiting[0].count), (1, 1));
     dispatcher.progress(at(50), running, 1);
-    assert_eq!(dispatcher.status(at(51)).loads[0].pending, 0);
+    assert_eq!(dispatcher.status(at(51)).loads[0].pending_tokens, 0);
     dispatcher.end(at(100), running, End::Whole);
     assert_eq!(dispatcher.status(at(101)).waiting, []);
 }
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -90,7 +90,7 @@
             Frame::Endpoints(difference) => {
                 to.set_endpoints(at(1), Arc::new(difference.into_list(&base)));
             }
-            Frame::Head(newer) => head = Some(newer),
+            Frame::Manifest(newer) => head = Some(newer),
             Frame::Part(part) => to.keep_part(part),
         }
     }
--- a/crates/dispatch/tests/dispatch/wire/mod.rs
+++ b/crates/dispatch/tests/dispatch/wire/mod.rs
@@ -90,7 +90,7 @@
 
 /// What builds of the protocol with eras read behind a status.
 #[derive(Debug, PartialEq, Deserialize)]
-struct EraAddition {
+struct EraExtension {
     protocol: u8,
     era: u64,
 }
@@ -110,10 +110,10 @@
             assert!(rest.is_empty(), "{name}");
             continue;
         };
-        let addition: EraAddition = postcard::from_bytes(rest).expect("an addition");
+        let extension: EraExtension = postcard::from_bytes(rest).expect("an addition");
         assert_eq!(
-            addition,
-            EraAddition {
+            extension,
+            EraExtension {
                 protocol: 11,
                 era: 3
             }
@@ -206,7 +206,7 @@
     for (name, mut frame) in samples::frames() {
         match &mut frame {
             Frame::Endpoints(difference) => difference.era = Era::default(),
-            Frame::Head(head) => head.restrictions = Restrictions::default(),
+            Frame::Manifest(head) => head.restrictions = Restrictions::default(),
             Frame::Busy | Frame::Part(_) => {}
         }
         match (wire::frame_from_bytes(&kept[name]), frame) {
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -28,7 +28,6 @@
 use woadstage_dispatch::lease::Event;
 use woadstage_dispatch::lease::Seen;
 use woadstage_dispatch::message::Frame;
-use woadstage_dispatch::message::Known;
 use woadstage_dispatch::message::Load;
 use woadstage_dispatch::message::Message;
 use woadstage_dispatch::message::Pull;
@@ -36,9 +35,10 @@
 use woadstage_dispatch::message::Reserve;
 use woadstage_dispatch::message::Reserved;
 use woadstage_dispatch::message::Status;
-use woadstage_dispatch::message::Trouble;
+use woadstage_dispatch::message::Unavailability;
 use woadstage_dispatch::message::Usage;
 use woadstage_dispatch::message::Verdict;
+use woadstage_dispatch::message::Versions;
 use woadstage_dispatch::message::Waiting;
 use woadstage_dispatch::notice;
 use woadstage_dispatch::notice::Fact;
@@ -79,11 +79,11 @@
 }
 
 fn status() -> Status {
-    let load = |endpoint, trouble| Load {
+    let load = |endpoint, unavailability| Load {
         endpoint,
         running: 5,
-        pending: 2_890,
-        trouble,
+        pending_tokens: 2_890,
+        unavailability,
     };
     Status {
         incarnation: 42,
@@ -92,12 +92,12 @@
         endpoints: edition(),
         data_centre: 0xabcd,
         leaving: true,
-        cut_off: true,
+        platform_unreachable: true,
         loads: vec![
             load(1, None),
-            load(2, Some(Trouble::Failing)),
-            load(3, Some(Trouble::Unreachable)),
-            load(4, Some(Trouble::Gone)),
+            load(2, Some(Unavailability::Failing)),
+            load(3, Some(Unavailability::Unreachable)),
+            load(4, Some(Unavailability::Gone)),
         ],
         waiting: vec![Waiting {
             service: 8,
@@ -109,9 +109,9 @@
             units: 1 << 33,
         }],
         members: vec![address(1), address(2)],
-        quarantine: 0x1234,
+        quarantine_digest: 0x1234,
         findings: vec![finding()],
-        protocol: Protocol::OWN,
+        protocol: Protocol::CURRENT,
         rate_limits: vec![told(5, Some("2.75")), told(6, None)],
         notices: vec![
             notice(7, Fact::Leaving),
@@ -341,7 +341,7 @@
 /// Every question for documents.
 pub fn pulls() -> Vec<(&'static str, Pull)> {
     let held = vec![parts::Part::default().to_digest()];
-    let known = Known {
+    let known = Versions {
         configuration: 12,
         endpoints: edition(),
     };
@@ -349,7 +349,7 @@
         known,
         held,
         sections: section::Index::new(&list()),
-        protocol: Protocol::OWN,
+        protocol: Protocol::CURRENT,
     };
     vec![("pull", pull)]
 }
@@ -364,9 +364,12 @@
     let mut frames = vec![
         ("frame-busy", Frame::Busy),
         ("frame-endpoints", Frame::Endpoints(difference)),
-        ("frame-head", Frame::Head(index.to_head(&configuration))),
+        (
+            "frame-head",
+            Frame::Manifest(index.to_manifest(&configuration)),
+        ),
     ];
-    let missing = index.to_missing(&configuration, &Default::default());
+    let missing = index.to_missing_parts(&configuration, &Default::default());
     let names = ["frame-part-1", "frame-part-2", "frame-part-3"];
     let parts = names.into_iter().zip(missing);
     frames.extend(parts.map(|(name, part)| (name, Frame::Part(part))));
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use woadstage_dispatch::member::Reading;
+use woadstage_dispatch::member::Role;
 use woadstage_dispatch::message::Document;
 use woadstage_types::hash;
 use woadstage_types::unit::Time;
@@ -68,7 +68,7 @@
 fn is_left_to_platform(shell: &Shell, behind_since: Time) -> bool {
     let reading = shell.query(|dispatcher, now| dispatcher.reading(now));
     let behind = to_duration(shell.now().since(behind_since));
-    reading != Reading::Resting && behind < PLATFORM_FIRST
+    reading != Role::Follower && behind < PLATFORM_FIRST
 }
 
 /// A pause that differs between nodes and between attempts.
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 use tokio::net::UdpSocket;
-use woadstage_dispatch::member::News;
+use woadstage_dispatch::member::Reception;
 use woadstage_dispatch::message::Message;
 use woadstage_dispatch::message::Reserve;
 use woadstage_dispatch::message::Reserved;
@@ -120,7 +120,7 @@
 
 fn hear(shell: &Shell, from: SocketAddrV4, status: Status) {
     let news = shell.command(|dispatcher, now| dispatcher.hear(now, from, status));
-    if news == News::Joined {
+    if news == Reception::Joined {
         shell.metrics.change("node-heard");
         shell.log(&Event::Dependency {
             name: "node",
--- a/crates/gateway/src/peers/traffic.rs
+++ b/crates/gateway/src/peers/traffic.rs
@@ -65,7 +65,7 @@
     pub fn of_frame(frame: &Frame) -> Kind {
         match frame {
             Frame::Endpoints(_) => Kind::Endpoints,
-            Frame::Busy | Frame::Head(_) | Frame::Part(_) => Kind::Configuration,
+            Frame::Busy | Frame::Manifest(_) | Frame::Part(_) => Kind::Configuration,
         }
     }
 }
--- a/crates/gateway/src/peers/transfer/give.rs
+++ b/crates/gateway/src/peers/transfer/give.rs
@@ -63,7 +63,7 @@
     let wanted = shell.query(|dispatcher, _| dispatcher.snapshot(&pull));
     let mut bytes = Vec::new();
     frame::begin(&mut bytes);
-    let mut busy = wanted.head.is_some();
+    let mut busy = wanted.manifest.is_some();
     if let Some(endpoints) = wanted.endpoints {
         let endpoints = wire::frame_to_bytes(&Frame::Endpoints(endpoints))?;
         match endpoints.len() <= GIVEN_WHILE_BUSY {
--- a/crates/gateway/src/peers/transfer/take.rs
+++ b/crates/gateway/src/peers/transfer/take.rs
@@ -72,7 +72,7 @@
                 let list = difference.into_list(&question.endpoints);
                 publish::set_endpoints(shell, &name, Arc::new(list));
             }
-            Frame::Head(newer) => head = Some(newer),
+            Frame::Manifest(newer) => head = Some(newer),
             Frame::Part(part) => shell.command(|dispatcher, _| dispatcher.keep_part(part)),
         }
     }
--- a/crates/gateway/src/publish.rs
+++ b/crates/gateway/src/publish.rs
@@ -5,7 +5,7 @@
 
 use woadstage_dispatch::configuration::Configuration;
 use woadstage_dispatch::endpoint::List;
-use woadstage_dispatch::parts::Head;
+use woadstage_dispatch::parts::Manifest;
 use woadstage_types::unit::Span;
 
 use crate::clock::to_span;
@@ -31,7 +31,7 @@
 
 /// Takes a configuration of which another node gave the parts that were
 /// missing, where it is newer and all of it is there.
-pub fn take_head(shell: &Shell, from: SocketAddrV4, head: &Head) {
+pub fn take_head(shell: &Shell, from: SocketAddrV4, head: &Manifest) {
     let before = shell.query(|dispatcher, _| dispatcher.configuration_version());
     if shell.command(|dispatcher, now| dispatcher.take_head(now, head)) {
         note_configuration(shell, Origin::Node(from), before);
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -15,7 +15,7 @@
 use woadstage_config::fault::Faults;
 use woadstage_dispatch::dispatcher;
 use woadstage_dispatch::dispatcher::Dispatcher;
-use woadstage_dispatch::member::Reading;
+use woadstage_dispatch::member::Role;
 use woadstage_dispatch::message::Document;
 use woadstage_dispatch::region;
 use woadstage_types::unit::Time;
@@ -199,7 +199,7 @@
 }
 
 /// Everything that time alone brings about.
-async fn tick(shell: Rc<Shell>, socket: Rc<UdpSocket>, reading: watch::Sender<Reading>) {
+async fn tick(shell: Rc<Shell>, socket: Rc<UdpSocket>, reading: watch::Sender<Role>) {
     let mut last = shell.now();
     loop {
         tokio::time::sleep(TICK).await;
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -9,7 +9,7 @@
 use woadstage_dispatch::configuration::Configuration;
 use woadstage_dispatch::edition::Era;
 use woadstage_dispatch::endpoint::List;
-use woadstage_dispatch::member::Reading;
+use woadstage_dispatch::member::Role;
 pub use woadstage_dispatch::message::Document;
 
 /// By which call an adapter came to a document.
@@ -87,7 +87,7 @@
     /// Where it sends its updates.
     pub updates: Sender,
     /// Whether it is to read now; others may read for this node.
-    pub reading: watch::Receiver<Reading>,
+    pub reading: watch::Receiver<Role>,
 }
 
 /// The node's end of a [`Feed`].
@@ -95,13 +95,13 @@
     /// Where updates come from.
     pub updates: mpsc::UnboundedReceiver<Update>,
     /// Tells the adapter whether to read.
-    pub reading: watch::Sender<Reading>,
+    pub reading: watch::Sender<Role>,
 }
 
 /// A pair of both ends.
 pub fn channel() -> (Feed, Source) {
     let (sender, receiver) = mpsc::unbounded_channel();
-    let (tell, told) = watch::channel(Reading::Resting);
+    let (tell, told) = watch::channel(Role::Follower);
     let feed = Feed {
         updates: sender,
         reading: told,
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -24,7 +24,7 @@
 use woadstage_dispatch::message::Reserve;
 use woadstage_dispatch::message::Reserved;
 use woadstage_dispatch::message::Status;
-use woadstage_dispatch::message::Trouble;
+use woadstage_dispatch::message::Unavailability;
 use woadstage_dispatch::message::Usage;
 use woadstage_dispatch::message::Verdict;
 use woadstage_dispatch::wire;
@@ -86,8 +86,8 @@
     let load = Load {
         endpoint: u32::MAX,
         running: 500,
-        pending: 200_000,
-        trouble: Some(Trouble::Failing),
+        pending_tokens: 200_000,
+        unavailability: Some(Unavailability::Failing),
     };
     let usage = Usage {
         customer: u64::MAX,
--- a/crates/gateway/tests/gateway/support/peer.rs
+++ b/crates/gateway/tests/gateway/support/peer.rs
@@ -129,7 +129,7 @@
             .dispatcher
             .borrow()
             .snapshot(&pull.expect("a question"));
-        let long = snapshot.head.is_some();
+        let long = snapshot.manifest.is_some();
         self.configurations
             .set(self.configurations.get() + usize::from(long));
         let mut bytes = Vec::new();
