--- a/crates/dispatch/examples/write-wire.rs
+++ b/crates/dispatch/examples/write-wire.rs
@@ -1,6 +1,6 @@
-//! Writes one of every kind of message as this build puts it on the wire, a line each:
-//! its name and its bytes in hex. Kept in `tests/dispatch/wire/` under the number of the
-//! protocol at each new one, and never written anew for an old one.
+//! Prints one message of every kind as this build encodes it, one per line: its name and its
+//! bytes in hex. For each new protocol version the output is stored in `tests/dispatch/wire/`
+//! under its number; files of older versions are never regenerated.
 
 use woadstage_dispatch::wire;
 
--- a/crates/dispatch/src/edition.rs
+++ b/crates/dispatch/src/edition.rs
@@ -1,4 +1,4 @@
-//! How new a list of endpoints is.
+//! Order of lists of endpoints by recency.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,9 +7,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Counts how often the platform came back with an older copy of what it had
-/// acknowledged. Revisions of one era tell nothing of those of another: they go back
-/// and are given out again. 0 where the platform does not count.
+/// The number of times that the platform was restored from an older copy of the data it had
+/// acknowledged. Revisions of different eras are not comparable, because a restore resets the
+/// revision and then reuses numbers. 0 if the platform does not count restores.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -30,14 +30,14 @@
     }
 }
 
-/// Orders lists: by era, then by revision, and of one revision the settled list is
-/// newer.
+/// The position of a list of endpoints in the order of recency: by era, then by revision; of
+/// one revision the settled list is newer.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Edition {
-    /// The era of the revision. Not part of the first layout of messages:
-    /// [`crate::wire`] adds it behind.
+    /// The era of the revision. It is not part of the base layout of messages: [`crate::wire`]
+    /// appends it.
     #[serde(skip)]
     pub era: Era,
     /// The platform's revision; 0 for no list.
@@ -47,14 +47,14 @@
 }
 
 impl Edition {
-    /// Later than any list.
+    /// An edition that is newer than that of any list.
     pub const MAX: Edition = Edition {
         era: Era(u64::MAX),
         revision: u64::MAX,
         settled: true,
     };
 
-    /// The same without its era, as nodes see it that do not know of eras.
+    /// Returns the same edition without its era, as nodes without support for eras see it.
     pub fn without_era(self) -> Edition {
         Edition {
             era: Era::default(),
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,42 +1,42 @@
-//! Decisions of a node that forwards whole requests unread: which route a
-//! request takes, which endpoint runs it and when, what waits, what is refused
-//! and what may be sent again.
+//! Scheduling decisions of a node that forwards whole requests without parsing them: the route
+//! of a request, the endpoint that runs it and when, what waits, what is rejected and what may
+//! be retried.
 //!
-//! No sockets, no clock, no global randomness: a [`dispatcher::Dispatcher`]
-//! takes the time with each command and gives its decisions back, so that every
-//! failure can be replayed in a test. Every node decides on its own; what the
-//! others run reaches it by their [`message::Status`].
+//! The crate uses no sockets, no clock and no global randomness. A [`dispatcher::Dispatcher`]
+//! takes the time with each command and returns its decisions, so that every failure can be
+//! replayed in a test. Every node decides on its own, and learns the load that other nodes
+//! create from their [`message::Status`].
 //!
 //! * [`configuration`]: routes, services, customers and limits in force.
-//! * [`table`]: the configuration arranged for look-ups.
-//! * [`region`]: in which regions requests may run.
-//! * [`parts`]: a configuration in parts, for passing it on.
-//! * [`duration`]: how long whole answers take.
-//! * [`endpoint`]: what the platform says of endpoints.
-//! * [`edition`]: how new a list of endpoints is.
-//! * [`restore`]: what is kept of lists when the platform comes back with an older copy.
-//! * [`section`]: a list of endpoints in sections, for passing it on.
-//! * [`cold`]: endpoints that bear little, as they have just started.
-//! * [`worker`]: what was learnt of one endpoint.
-//! * [`turnaround`]: how long slots stand idle between two requests.
-//! * [`warm`]: which endpoint has read which prompt.
-//! * [`first_try`]: who has tried before.
-//! * [`job`]: one request, from arrival to its final answer.
-//! * [`lease`]: slots that one node gives another.
-//! * [`leaving`]: endpoints that said in an answer that they leave.
-//! * [`rest`]: endpoints that asked for rest.
-//! * [`length`]: how many events a stream has.
-//! * [`quarantine`]: requests that are not run any more, as endpoints ended under them.
-//! * [`queue`]: what waits for an endpoint.
-//! * [`quota`]: what customers may use, over all nodes.
-//! * [`notice`]: what endpoints say of themselves in answers.
-//! * [`rate_limit`]: how many requests a second endpoints say they take.
-//! * [`budget`]: what may be sent again, over all nodes.
-//! * [`member`]: which other nodes there are.
-//! * [`message`]: what nodes tell each other.
-//! * [`protocol`]: which protocol a build speaks.
-//! * [`wire`]: how messages are written and read.
-//! * [`dispatcher`]: one node's whole state, with its commands and queries.
+//! * [`table`]: indexes of the configuration for look-ups.
+//! * [`region`]: regions in which requests may run.
+//! * [`parts`]: division of a configuration into parts for transfer between nodes.
+//! * [`duration`]: estimates of how long whole answers take.
+//! * [`endpoint`]: endpoints as published by the platform.
+//! * [`edition`]: order of lists of endpoints by recency.
+//! * [`restore`]: corrections after the platform is restored from an older copy.
+//! * [`section`]: division of a list of endpoints into sections for transfer between nodes.
+//! * [`cold`]: rate limits of endpoints that have just started.
+//! * [`worker`]: what was measured of one endpoint.
+//! * [`turnaround`]: the idle time of slots between two requests.
+//! * [`warm`]: which endpoint has which prompt in its cache.
+//! * [`first_try`]: callers that have tried before.
+//! * [`job`]: one request, from its arrival to its final answer.
+//! * [`lease`]: slots that one node grants to another.
+//! * [`leaving`]: endpoints that announced in an answer that they are leaving.
+//! * [`rest`]: endpoints that asked to be sent nothing for a while.
+//! * [`length`]: estimates of the number of events of a stream.
+//! * [`quarantine`]: requests that are not run any more because endpoints ended under them.
+//! * [`queue`]: requests that wait for an endpoint.
+//! * [`quota`]: usage limits of customers across all nodes.
+//! * [`notice`]: notices that endpoints send in answers.
+//! * [`rate_limit`]: the request rates that endpoints announce they accept.
+//! * [`budget`]: the retry budget across all nodes.
+//! * [`member`]: the other nodes of the fleet.
+//! * [`message`]: messages between nodes.
+//! * [`protocol`]: versions of the protocol between nodes.
+//! * [`wire`]: encoding and decoding of messages.
+//! * [`dispatcher`]: the state of one node, with its commands and queries.
 
 pub mod budget;
 pub mod cold;
--- a/crates/dispatch/src/member/catch_up.rs
+++ b/crates/dispatch/src/member/catch_up.rs
@@ -1,4 +1,4 @@
-//! Which node to take newer documents of the platform from.
+//! Selection of the node from which newer documents are fetched.
 
 use std::cmp::Reverse;
 use std::net::SocketAddrV4;
@@ -10,32 +10,33 @@
 use crate::edition::Edition;
 use crate::message::Versions;
 
-/// Nodes furthest ahead among which one is chosen. Were all nodes to ask the
-/// very first of them, a long document would fill that one's link. A node that has no
-/// such document yet asks any that has: were all 585 that start together to ask the
-/// eight furthest ahead, three at once, whole lists would take 4 s (worked out).
+/// The maximum number of most up-to-date nodes among which one is chosen. If every node asked
+/// the single most up-to-date one, a long document would saturate that node's link. A node that
+/// does not have the document at all chooses among all nodes that do: if all of 585 nodes that
+/// start together asked the same eight, each of which serves three at once, whole lists would
+/// take 4 s by calculation.
 const MAX_CANDIDATES: usize = 8;
 
-/// A node that is ahead of this one.
+/// A node that has a newer document than this one.
 struct Candidate {
-    /// The version of its configuration, where that is newer.
+    /// The version of its configuration, if newer.
     configuration: Option<u64>,
-    /// Its list of endpoints, where that is newer.
+    /// The edition of its list of endpoints, if newer.
     endpoints: Option<Edition>,
     in_cell: bool,
-    /// True where it is in this node's data centre.
+    /// Whether it is in this node's data centre.
     same_data_centre: bool,
     address: SocketAddrV4,
 }
 
 impl Members {
-    /// A node that has something newer than `known`, if there is one; another
-    /// for each `attempt`, where there are several. Nodes of the own cell are
-    /// asked first.
+    /// Returns a node that has a document newer than `known`, if there is one. The choice
+    /// varies with `attempt` if there are several, and even attempts prefer the node's own cell
+    /// and data centre.
     ///
-    /// Nodes that know no eras cannot say whether a list is from before the platform
-    /// came back with an older copy, so theirs is newer only than one without an era;
-    /// and a configuration that they give says nothing of regions.
+    /// Nodes that do not support eras cannot tell whether their list predates a restore of the
+    /// platform from an older copy, so their list counts as newer only than one without an era.
+    /// Their configuration is never used, as it lacks the region restrictions.
     pub fn newer_peer_opt(&self, now: Time, known: Versions, attempt: u64) -> Option<SocketAddrV4> {
         let candidates = self.live(now).map(|(address, member)| {
             let status = &member.status;
@@ -54,11 +55,11 @@
         if attempt.is_multiple_of(2) && ahead.iter().any(|one| one.in_cell) {
             ahead.retain(|one| one.in_cell);
         }
-        // What goes within a data centre costs its links nothing.
+        // Traffic within a data centre does not load the links between data centres.
         if attempt.is_multiple_of(2) && ahead.iter().any(|one| one.same_data_centre) {
             ahead.retain(|one| one.same_data_centre);
         }
-        // Among equals each node prefers others, and others at each attempt.
+        // A hash breaks ties differently on each node and at each attempt.
         let seed = hash::chain(attempt, &self.own_address.ip().octets());
         let preference = |one: &Candidate| hash::chain(seed, &one.address.ip().octets());
         ahead.sort_by_key(|one| Reverse((one.configuration, one.endpoints, preference(one))));
@@ -73,7 +74,8 @@
         chosen.map(|one| one.address)
     }
 
-    /// The version of the configuration that another node last said it had.
+    /// Returns the configuration version that another node last reported; 0 for an unknown
+    /// node.
     pub fn configuration(&self, address: SocketAddrV4) -> u64 {
         let member = self.others.get(&address);
         member.map_or(0, |member| member.status.configuration)
--- a/crates/dispatch/src/member/cell.rs
+++ b/crates/dispatch/src/member/cell.rs
@@ -1,4 +1,4 @@
-//! Cells: parts of a large fleet that share their part of the endpoints.
+//! Division of a large fleet into cells, and the role of each node in reading the platform.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,31 +9,31 @@
 use super::Member;
 use super::Members;
 
-/// A part of a fleet that shares its part of the endpoints. Small fleets are
-/// one cell; in larger ones each data centre has several, so that what a node
-/// hears and sends stays the same however large the fleet.
+/// A group of nodes that together use a share of the endpoints. A small fleet is a single cell;
+/// in a larger one each data centre has several, so that the messages that a node sends and
+/// receives do not grow with the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cell {
-    /// True where the whole fleet is this one cell.
+    /// Whether this cell is the whole fleet.
     pub covers_fleet: bool,
-    /// Which cell of the data centre this is.
+    /// The index of this cell in its data centre.
     pub index: usize,
-    /// Cells of the data centre.
+    /// The number of cells in the data centre.
     pub count: usize,
 }
 
-/// Who reads the platform.
+/// The role of a node in reading the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// This node reads for itself, as do all others.
+    /// Reads the platform for itself, as every other node does.
     Standalone,
-    /// This node reads for others.
+    /// Reads the platform on behalf of other nodes.
     Reader,
-    /// Others of its data centre read for this node.
+    /// Leaves reading to other nodes of its data centre.
     Follower,
 }
 
-/// The cell of a fleet that is small.
+/// The cell of a small fleet.
 pub(super) const SINGLE_CELL: Cell = Cell {
     covers_fleet: true,
     index: 0,
@@ -41,9 +41,8 @@
 };
 
 impl Members {
-    /// Arranges the nodes that were heard into cells. Nodes that see different
-    /// fleets for a while arrange them differently, which costs balance and
-    /// nothing else.
+    /// Assigns the live nodes to cells. Nodes that see different sets of live nodes for a while
+    /// assign them differently, which affects only the balance of load.
     pub fn assign_cells(&mut self, now: Time) {
         let live: Vec<(SocketAddrV4, u32)> = self
             .live(now)
@@ -93,12 +92,13 @@
         self.other_cells = others;
     }
 
-    /// Cells of the whole fleet.
+    /// Returns the number of cells in the fleet.
     pub fn cell_count(&self) -> usize {
         self.other_cells.len() + 1
     }
 
-    /// Cells of each data centre other than this node's own, by its number.
+    /// Returns the number of cells per data centre, by the data centre's number, without this
+    /// node's own cell.
     pub fn other_cell_counts(&self) -> BTreeMap<u32, usize> {
         let mut cells = BTreeMap::new();
         for cell in &self.other_cells {
@@ -110,21 +110,21 @@
         cells
     }
 
-    /// The number of another node's data centre, where it was ever heard.
+    /// Returns the number of another node's data centre, if the node was ever heard.
     pub fn data_centre_opt(&self, address: SocketAddrV4) -> Option<u32> {
         let member = self.others.get(&address);
         let heard = member.filter(|member| member.last_heard.is_some());
         heard.map(|member| member.status.data_centre)
     }
 
-    /// The cell of this node.
+    /// Returns the cell of this node.
     pub fn cell(&self) -> Cell {
         self.cell
     }
 
-    /// Who reads the platform, as this node sees it. Only what nodes read that know
-    /// eras serves this one. All others count them in as well, so that wherever builds
-    /// run side by side some more nodes read, and none too few.
+    /// Returns this node's role in reading the platform. Only nodes that support eras count as
+    /// readers, because this node cannot use documents read by older builds. Older builds count
+    /// every node, so a fleet of mixed builds has more readers than needed rather than too few.
     pub fn role(&self, now: Time) -> Role {
         if self.cell.covers_fleet {
             return Role::Standalone;
@@ -146,13 +146,13 @@
         }
     }
 
-    /// The nodes of this cell that were heard lately.
+    /// Returns the live nodes of this node's cell.
     pub fn cell_members(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
         self.live(now).filter(|(_, member)| member.in_cell)
     }
 }
 
-/// The nodes of one data centre in cells of about `most`.
+/// Divides the nodes of one data centre into cells of at most `target_size` nodes each.
 fn partition_nodes(mut nodes: Vec<SocketAddrV4>, target_size: usize) -> Vec<Vec<SocketAddrV4>> {
     nodes.sort_by_key(|address| (score(address), *address));
     let count = nodes.len().div_ceil(target_size).max(1);
@@ -163,7 +163,7 @@
     cells
 }
 
-/// A node's place among others, the same for all who ask.
+/// Returns a hash by which every node orders the nodes in the same way.
 pub(super) fn score(address: &SocketAddrV4) -> u64 {
     hash::of(&address.ip().octets())
 }
--- a/crates/dispatch/src/member/gossip.rs
+++ b/crates/dispatch/src/member/gossip.rs
@@ -1,4 +1,4 @@
-//! To whom a node speaks, how often, and of which others.
+//! Scheduling of statuses: their recipients, their intervals and the members they advertise.
 
 use std::net::SocketAddrV4;
 
@@ -8,23 +8,25 @@
 
 use super::Members;
 
-/// How often seeds are asked for a sign of life before any node was heard: of nodes that
-/// start together the seeds may start a little later.
+/// The interval at which seeds are probed before any node was heard. It is short because, of
+/// nodes that start together, the seeds may start a little later.
 const STARTUP_PROBE_INTERVAL: Span = Span::from_millis(60);
 
-/// What there is to tell others.
+/// What statuses that are due have to convey, which determines how soon they are sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Trigger {
-    /// Something changed that the others of the cell act on.
+    /// Whether something changed that the other nodes of the cell act on.
     pub urgent: bool,
-    /// A customer presses on its quota, so that all should hear soon.
+    /// Whether a customer's usage is high compared with its quota, so that all nodes should
+    /// hear of it soon.
     pub usage_high: bool,
-    /// This node has documents that are new to it.
+    /// Whether this node got new documents.
     pub new_documents: bool,
 }
 
 impl Members {
-    /// Time between two statuses to a node beyond this cell.
+    /// Returns the time between two statuses to one node beyond the cell, which grows with the
+    /// fleet to keep the total rate constant.
     pub(super) fn remote_interval(&self, usage_high: bool) -> Span {
         let per_second = match usage_high {
             true => self.options.high_usage_statuses_per_second,
@@ -34,7 +36,8 @@
         spread.max(self.options.min_status_interval)
     }
 
-    /// Addresses to tell others of.
+    /// Returns the live members to advertise in a status, a window of them that moves with
+    /// `turn` if there are many.
     pub fn advertised_members(&self, now: Time, turn: u64) -> Vec<SocketAddrV4> {
         let mut known: Vec<SocketAddrV4> = self.live(now).map(|(address, _)| *address).collect();
         known.sort();
@@ -47,18 +50,18 @@
         known
     }
 
-    /// True for a node that may know few others: it was not heard yet, or not for long.
+    /// Whether a node may know few other nodes: it was never heard, or not for long.
     pub fn is_newcomer(&self, now: Time, address: SocketAddrV4) -> bool {
         let joined = self.others.get(&address).and_then(|member| member.joined);
         joined.is_none_or(|at| now.since(at) < self.options.newcomer_for)
     }
 
-    /// Of the addresses to tell others of, those that a node is told which knows them.
+    /// Returns the part of the advertised members that an established node is sent.
     pub fn advertised_to_established<'a>(&self, told: &'a [SocketAddrV4]) -> &'a [SocketAddrV4] {
         &told[..told.len().min(self.options.members_to_established)]
     }
 
-    /// The nodes to send a status now.
+    /// Returns the nodes that are due a status now, and records that they are sent one.
     pub fn take_due(&mut self, now: Time, trigger: Trigger) -> Vec<SocketAddrV4> {
         let Trigger {
             urgent,
@@ -97,10 +100,10 @@
         due
     }
 
-    /// Some nodes beyond the cell, others each time, that are to hear of new
-    /// documents at once. Each node that they are new to does the same, so that
-    /// a fleet of any size has heard after a few rounds, however few read the
-    /// platform and whichever cells they are in.
+    /// Selects a few nodes beyond the cell, different ones each time, that are notified of new
+    /// documents at once. Each of them that gets the documents does the same, so that a fleet
+    /// of any size is reached within a few rounds, regardless of how few nodes read the
+    /// platform and of their cells.
     fn fan_out_targets(&mut self, now: Time, due: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
         let beyond = self.live(now).filter(|(_, member)| !member.in_cell);
         let beyond = beyond.map(|(address, _)| *address);
@@ -116,8 +119,8 @@
         chosen
     }
 
-    /// The time between two statuses to one node of this cell: so long that all
-    /// of them together cost the same in a cell of any size.
+    /// Returns the time between two statuses to one node of the cell. Urgent statuses are
+    /// spaced so that their total rate does not depend on the size of the cell.
     pub fn cell_interval(&self, urgent: bool) -> Span {
         if !urgent {
             return self.options.max_status_interval;
--- a/crates/dispatch/src/member/mod.rs
+++ b/crates/dispatch/src/member/mod.rs
@@ -1,11 +1,12 @@
-//! Which other nodes there are, from a few stale addresses and from what other
-//! nodes say. Used for sharing only: no promise to a caller rests on it.
+//! Membership of the fleet, learnt from configured seed addresses, which may be out of date,
+//! and from the addresses that other nodes advertise. It is used for sharing state only: no
+//! guarantee to a caller depends on it.
 //!
-//! * `cell.rs`: parts of a large fleet, and who reads the platform for them.
-//! * `gossip.rs`: to whom a node speaks, and how often.
-//! * `owner.rs`: which node owns a customer's quota, and slots of endpoints.
-//! * `startup.rs`: who reads the platform while nodes start.
-//! * `catch_up.rs`: which node to take newer documents from.
+//! * `cell.rs`: division of a large fleet into cells, and the nodes that read the platform.
+//! * `gossip.rs`: which nodes are sent a status, how often, and which members it advertises.
+//! * `owner.rs`: which node owns a customer's quota or the slots of endpoints.
+//! * `startup.rs`: which nodes read the platform while nodes start.
+//! * `catch_up.rs`: which node to fetch newer documents from.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -29,46 +30,48 @@
 pub use owner::Owner;
 pub use owner::Scope;
 
-/// Bounds of membership.
+/// Timeouts, rates and sizes of membership.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Silence after which what a node said no longer counts.
+    /// Silence after which the last status of a node in the same cell is ignored.
     pub silent_after: Span,
-    /// Silence after which a node is forgotten.
+    /// Silence after which a node is removed.
     pub forget_after: Span,
-    /// How often a silent node is asked for a sign of life.
+    /// The interval at which a silent node is probed with a status.
     pub probe_interval: Span,
-    /// Shortest time between two statuses to one node.
+    /// The minimum time between two statuses to one node.
     pub min_status_interval: Span,
-    /// Statuses that one node sends a second, to all others together.
+    /// The rate limit of urgent statuses that one node sends to the other nodes of its cell
+    /// together.
     pub statuses_per_second: u64,
-    /// Longest time between two statuses to one node.
+    /// The maximum time between two statuses to one node of the cell.
     pub max_status_interval: Span,
-    /// Addresses of others in one status to a node that may know few.
+    /// The maximum number of addresses in a status to a newcomer, which may know few other
+    /// nodes.
     pub members_to_newcomer: usize,
-    /// The same to a node that was heard for long: it knows them, and 16 take 96 of the 118
-    /// bytes that a status of a node at rest has (test
+    /// The maximum number of addresses in a status to an established node. It knows the fleet
+    /// already, and 16 addresses would take 96 of the 118 bytes of an idle node's status (test
     /// `a_node_that_knows_the_fleet_is_told_of_few_others`).
     pub members_to_established: usize,
-    /// How long a node that was first heard may know few others.
+    /// How long a node counts as a newcomer after it was first heard.
     pub newcomer_for: Span,
-    /// Nodes up to which a fleet is one cell.
+    /// The maximum number of nodes in a fleet that forms a single cell.
     pub single_cell_max: usize,
-    /// Nodes of one cell in a larger fleet, about.
+    /// The approximate number of nodes per cell in a larger fleet.
     pub cell_size: usize,
-    /// Statuses that one node sends a second beyond its cell.
+    /// The rate limit of statuses that one node sends beyond its cell.
     pub remote_statuses_per_second: u64,
-    /// The same while a customer presses on its quota.
+    /// The same rate limit while a customer's usage is high compared with its quota.
     pub high_usage_statuses_per_second: u64,
-    /// Nodes of one data centre of a larger fleet that read the platform.
+    /// The number of nodes per data centre that read the platform for a larger fleet.
     pub platform_readers: usize,
-    /// Nodes of one data centre that take part in reading at all: the first of
-    /// them that can read do. While the platform is down no more than these try,
-    /// where otherwise all would take over from each other.
+    /// The number of nodes per data centre that are eligible as readers, of which the first
+    /// that can reach the platform read it. This bounds the nodes that keep trying while the
+    /// platform is down; without it, every node would take over in turn.
     pub reader_candidates: usize,
-    /// Nodes beyond its cell that a node tells at once of documents that are
-    /// new to it. What two of 250 nodes read reaches all within a second, and
-    /// without this after 2.1 s (`tests/dispatch/members.rs`, virtual time).
+    /// The number of nodes beyond the cell that are sent a status at once when this node gets
+    /// new documents. Without it, documents that two of 250 nodes have read take 2.1 s to reach
+    /// all nodes instead of less than one (`tests/dispatch/members.rs`, virtual time).
     pub fan_out: usize,
 }
 
@@ -95,30 +98,31 @@
     }
 }
 
-/// Another node.
+/// Another node of the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct Member {
-    /// When it was last heard, or none when only others spoke of it.
+    /// When a status was last received from it; none while it is known only from other nodes.
     pub last_heard: Option<Time>,
-    /// When its address was first met.
+    /// When its address was first learnt.
     pub discovered: Time,
     /// When it was last sent a status.
     pub last_sent: Time,
-    /// True while it belongs to this node's cell.
+    /// Whether it belongs to this node's cell.
     pub in_cell: bool,
-    /// When it was first heard in its life, or again after a silence.
+    /// When its current incarnation was first heard, or was last heard again after a silence.
     pub joined: Option<Time>,
-    /// When it was heard again in the same life after a silence.
+    /// When the same incarnation was last heard again after a silence.
     pub last_returned: Option<Time>,
-    /// When it last left a question unanswered.
+    /// When it last failed to answer a question.
     pub last_unanswered: Option<Time>,
-    /// When it was last sent findings, with what named all that this node and it knew.
+    /// When it was last sent findings, with the digests of the findings that this node and the
+    /// other held then.
     findings_sent: Option<(Time, (u32, u32))>,
-    /// What it last said.
+    /// Its latest status.
     pub status: Status,
 }
 
-/// All other nodes.
+/// The other nodes of the fleet, as this node knows them.
 #[derive(Debug)]
 pub struct Members {
     options: Options,
@@ -127,27 +131,27 @@
     seeds: Vec<SocketAddrV4>,
     others: HashMap<SocketAddrV4, Member>,
     cell: Cell,
-    /// The nodes of each other cell of the fleet.
+    /// The nodes of every other cell of the fleet.
     other_cells: Vec<Vec<SocketAddrV4>>,
-    /// When another node was first heard.
+    /// When any other node was first heard.
     first_heard: Option<Time>,
-    /// True once this node is stopping.
+    /// Whether this node is stopping.
     pub leaving: bool,
 }
 
-/// What a status brought.
+/// The effect of a received status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reception {
-    /// Nothing: it was old or our own.
+    /// Ignored: it is out of date, or this node sent it itself.
     Stale,
-    /// A life of a node that was not known, or was silent.
+    /// Received from a new incarnation, or from one that had been silent.
     Joined,
-    /// A node that was known said something new.
+    /// Received from an incarnation that is known and live.
     Refreshed,
 }
 
 impl Members {
-    /// Only the seeds are known.
+    /// Creates a membership that knows only the seeds.
     pub fn new(
         own_address: SocketAddrV4,
         data_centre: u32,
@@ -169,7 +173,7 @@
         members
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.seeds = seeds
             .iter()
@@ -178,7 +182,7 @@
             .collect();
     }
 
-    /// Takes in what another node said.
+    /// Records a status from another node, and the addresses that it advertises.
     pub fn record_status(&mut self, now: Time, from: SocketAddrV4, status: Status) -> Reception {
         if from == self.own_address {
             return Reception::Stale;
@@ -228,8 +232,7 @@
         }
     }
 
-    /// Forgets nodes that were silent for long, and addresses that never
-    /// answered.
+    /// Removes nodes that have been silent for too long, and addresses that never answered.
     pub fn remove_expired(&mut self, now: Time) {
         let forget_after = self.options.forget_after;
         self.others.retain(|_, member| {
@@ -238,7 +241,8 @@
         });
     }
 
-    /// Forgets what everybody said, as after a pause of this process.
+    /// Clears the loads and queues that other nodes reported, which are out of date after this
+    /// process was suspended.
     pub fn clear_loads(&mut self) {
         for member in self.others.values_mut() {
             member.status.loads.clear();
@@ -246,8 +250,8 @@
         }
     }
 
-    /// Silence after which what a node said no longer counts: longer beyond
-    /// the cell, where nodes are heard less often.
+    /// Returns the silence after which a status is ignored. It is longer beyond the cell, where
+    /// statuses are sent less often.
     fn silent_after(&self, in_cell: bool) -> Span {
         match in_cell {
             true => self.options.silent_after,
@@ -265,16 +269,16 @@
             .is_some_and(|last_heard| now.since(last_heard) <= silent_after)
     }
 
-    /// The nodes heard lately, with what they said.
+    /// Returns the nodes that were heard recently, with their latest statuses.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
         self.others
             .iter()
             .filter(move |(_, member)| self.is_live(now, member))
     }
 
-    /// How much of the fleet this node can speak for. A node that was cut off
-    /// and returns counts as silent for a while: until all have heard each
-    /// other again, each of them would take itself for most of the fleet.
+    /// Returns how much of the fleet this node hears. A node that returns after a silence
+    /// counts as silent for a while: after a partition, each node would otherwise take itself
+    /// for most of the fleet until all have heard each other again.
     pub fn reach(&self, now: Time) -> Reach {
         let counted = self
             .others
@@ -300,7 +304,7 @@
         }
     }
 
-    /// The newest configuration that a node says it has; none where none was heard.
+    /// Returns the newest configuration version that a live node reports, if any node is live.
     pub fn newest_configuration_version_opt(&self, now: Time) -> Option<u64> {
         let said = self
             .live(now)
@@ -308,8 +312,7 @@
         said.max()
     }
 
-    /// The versions of the configuration that the nodes heard lately say they have, the
-    /// newest first.
+    /// Returns the configuration version that each live node reports, newest first.
     pub fn configuration_versions(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
         let said = self.live(now);
         let mut said: Vec<_> = said
@@ -319,13 +322,14 @@
         said
     }
 
-    /// True while no other node is known that could be asked.
+    /// Whether neither a seed nor another node is known.
     pub fn has_no_peers(&self) -> bool {
         self.seeds.is_empty() && self.others.is_empty()
     }
 
-    /// Notes that a node is sent findings; false where it was sent them so lately with
-    /// the same known on both sides.
+    /// Records that a node is sent findings. Returns false, and records nothing, if it was sent
+    /// findings less than `every` ago with the same digests on both sides, or if the node is
+    /// not known.
     pub fn record_findings_sent(
         &mut self,
         now: Time,
@@ -344,21 +348,22 @@
         true
     }
 
-    /// True for a node of this one's cell.
+    /// Whether a node belongs to this node's cell.
     pub fn is_in_cell(&self, address: SocketAddrV4) -> bool {
         self.others
             .get(&address)
             .is_some_and(|member| member.in_cell)
     }
 
-    /// The life of another node, where it was heard lately.
+    /// Returns the incarnation of another node, if it is live.
     pub fn incarnation_opt(&self, now: Time, address: SocketAddrV4) -> Option<u64> {
         let member = self.others.get(&address);
         let live = member.filter(|member| self.is_live(now, member));
         live.map(|member| member.status.incarnation)
     }
 
-    /// Requests that wait for a service at another node, as it last said.
+    /// Returns the number of requests that wait for a service on another node, by its latest
+    /// status.
     pub fn waiting_at(&self, address: SocketAddrV4, service: u32) -> usize {
         let said = self.others.get(&address).into_iter();
         let waiting = said.flat_map(|member| &member.status.waiting);
@@ -366,12 +371,12 @@
         of_service.map(|waiting| usize::from(waiting.count)).sum()
     }
 
-    /// Other nodes that were heard or spoken of.
+    /// Returns the number of other nodes that are known, live or not.
     pub fn len(&self) -> usize {
         self.others.len()
     }
 
-    /// True while no other node is known.
+    /// Whether no other node is known.
     pub fn is_empty(&self) -> bool {
         self.others.is_empty()
     }
--- a/crates/dispatch/src/member/owner.rs
+++ b/crates/dispatch/src/member/owner.rs
@@ -1,5 +1,5 @@
-//! Which node owns a customer's quota, or the slots of endpoints (rendezvous
-//! hashing): when a node goes, only what it owned changes owners.
+//! Ownership of a customer's quota and of the slots of endpoints, by rendezvous hashing: when a
+//! node leaves, only what it owned gets new owners.
 
 use std::net::SocketAddrV4;
 
@@ -11,37 +11,37 @@
 use super::Members;
 use crate::protocol::Protocol;
 
-/// How long a node that did not answer is passed over.
+/// How long a node that failed to answer is skipped as an owner.
 const UNANSWERED_BACKOFF: Span = Span::from_millis(1_000);
 
-/// Nodes in order of ownership of which one is asked; were all tried in turn, a
-/// node that is cut off would hold each request up many times.
+/// The number of nodes, in order of preference, that are considered as owners. If every node
+/// were considered, a partitioned node would delay each request by one timeout per node.
 const MAX_OWNERS_TRIED: usize = 2;
 
-/// Who owns something, as far as this node can tell.
+/// The owner of a resource, as seen by this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Owner {
     /// This node.
     Local,
     /// Another node.
     Remote(SocketAddrV4),
-    /// The nodes that should do not answer.
+    /// None of the preferred nodes answers.
     Unreachable,
 }
 
-/// Among which nodes an owner is looked for.
+/// The set of nodes among which an owner is selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// All nodes.
     Fleet,
     /// The nodes of this node's cell.
     Cell,
-    /// All nodes of builds that keep the rate limits which endpoints name.
+    /// All nodes whose build enforces the rate limits that endpoints announce.
     RateLimitCapable,
 }
 
 impl Members {
-    /// The owner of what has a key, among the nodes that were heard lately.
+    /// Returns the owner of a key among this node and the live nodes in scope.
     pub fn owner(&self, now: Time, scope: Scope, key: u64) -> Owner {
         let mut owners = Vec::new();
         for (address, member) in self.live(now) {
@@ -49,7 +49,7 @@
                 owners.push((score(key, address), *address, member.last_unanswered));
             }
         }
-        // The others look for another owner as soon as they hear that this node stops.
+        // Other nodes select another owner as soon as they hear that this node is stopping.
         let hands_over = scope == Scope::RateLimitCapable && self.leaving;
         if !hands_over || owners.is_empty() {
             owners.push((score(key, &self.own_address), self.own_address, None));
@@ -68,8 +68,7 @@
         }
     }
 
-    /// The nodes of the other cells that own what has a key there, in an order
-    /// that differs with `turn`.
+    /// Returns the owner of a key in each other cell, in an order that varies with `turn`.
     pub fn owners_in_other_cells(&self, now: Time, key: u64, turn: u64) -> Vec<SocketAddrV4> {
         let owner_in = |cell: &Vec<SocketAddrV4>| {
             let heard = cell.iter().filter(|address| {
@@ -86,34 +85,33 @@
         owners
     }
 
-    /// True where no node that was heard lately goes before this one as the
-    /// owner of what has a key.
+    /// Whether no live node is preferred to this one as the owner of a key.
     pub fn is_preferred_owner(&self, now: Time, key: u64) -> bool {
         let own = score(key, &self.own_address);
         let mut others = self.live(now).filter(|(_, member)| is_eligible(member));
         others.all(|(address, _)| score(key, address) <= own)
     }
 
-    /// True for a node whose build keeps the rate limits that endpoints name.
+    /// Whether a node's build enforces the rate limits that endpoints announce.
     pub fn supports_rate_limits(&self, address: SocketAddrV4) -> bool {
         let protocol = self.protocol_opt(address);
         protocol.is_some_and(Protocol::supports_rate_limits)
     }
 
-    /// True for a node whose build knows what else endpoints say of themselves.
+    /// Whether a node's build reads the notices that endpoints send in answers.
     pub fn supports_notices(&self, address: SocketAddrV4) -> bool {
         self.protocol_opt(address)
             .is_some_and(Protocol::supports_notices)
     }
 
-    /// What a node speaks that was heard.
+    /// Returns the protocol of a node, if the node was ever heard.
     fn protocol_opt(&self, address: SocketAddrV4) -> Option<Protocol> {
         let member = self.others.get(&address);
         let heard = member.filter(|member| member.last_heard.is_some());
         heard.map(|member| member.status.protocol)
     }
 
-    /// Notes that a node did not answer though it was asked.
+    /// Records that a node failed to answer a question.
     pub fn record_unanswered(&mut self, now: Time, address: SocketAddrV4) {
         if let Some(member) = self.others.get_mut(&address) {
             member.last_unanswered = Some(now);
@@ -137,7 +135,7 @@
     last_unanswered.is_some_and(|at| now.since(at) < UNANSWERED_BACKOFF)
 }
 
-/// A node's place among the owners of what has a key; the highest is first.
+/// Returns the rendezvous score of a node for a key; the highest is preferred.
 fn score(key: u64, address: &SocketAddrV4) -> u64 {
     hash::chain(key, &address.ip().octets())
 }
--- a/crates/dispatch/src/member/startup.rs
+++ b/crates/dispatch/src/member/startup.rs
@@ -1,10 +1,10 @@
-//! Who reads the platform while nodes start and have no list of endpoints yet.
+//! Selection of the nodes that read the platform while nodes start without a list of endpoints.
 //!
-//! A whole list from the platform takes ten times the bytes that it takes from a
-//! neighbour, and all hosts share the platform's link: were each of 585 nodes that start
-//! together to read 2,998 endpoints, of which one read is 1.1 MB, that alone would take a
-//! link of 1,000 Mbit/s five seconds, and four times as long with twice the endpoints and
-//! nodes. So few read, and the others take the list from them and from each other.
+//! A whole list takes ten times as many bytes from the platform as from another node, and all
+//! hosts share the platform's link. One read of 2,998 endpoints is 1.1 MB: if each of 585 nodes
+//! that start together read it, that alone would occupy a link of 1,000 Mbit/s for five
+//! seconds, and four times as long with twice the endpoints and nodes. So only a few nodes read
+//! the platform, and the others fetch the list from them and from each other.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -13,18 +13,19 @@
 use super::Role;
 use super::cell;
 
-/// How long a node that has heard another listens before it reads itself: a few times the
-/// way there and back, in which the nodes that it met tell of others.
+/// How long a node that has heard another one waits before it reads the platform itself: a few
+/// round trips, in which it learns of other nodes from the first ones it meets.
 const DISCOVERY_PERIOD: Span = Span::from_millis(80);
 
-/// How long after it has heard another a node waits in all before it reads itself, whoever
-/// else may: two reads of 1.1 MB over 20 Mbit/s and some transfers. Counted from then, since
-/// nodes that were cut off as they started return together.
+/// The time after the first node was heard at which a node reads the platform itself in any
+/// case: enough for two reads of 1.1 MB over 20 Mbit/s and some transfers. It counts from the
+/// first node heard rather than from the start, because nodes that start partitioned return
+/// together.
 const MAX_LIST_WAIT: Span = Span::from_millis(1_500);
 
 impl Members {
-    /// Who reads the platform, as a node sees it that has no list yet since it started and
-    /// can have met others at a time.
+    /// Returns the role in reading the platform of a node that has had no list of endpoints
+    /// since its start, and that can have discovered other nodes by `discovery_ends_at`.
     pub fn startup_role(&self, now: Time, discovery_ends_at: Time) -> Role {
         if self.has_no_peers() {
             return Role::Standalone;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// True where a node is heard that has a list of endpoints.
+    /// Whether a live node has a list of endpoints.
     fn has_peer_with_list(&self, now: Time) -> bool {
         let mut heard = self.live(now);
         heard.any(|(_, member)| {
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other, typed; [`crate::wire`] writes and reads it.
+//! Messages between nodes; [`crate::wire`] encodes and decodes them.
 
 use std::net::SocketAddrV4;
 
@@ -19,38 +19,38 @@
 use crate::section;
 use crate::section::Difference;
 
-/// What one node runs at one endpoint.
+/// The load that one node puts on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     /// The endpoint's number.
     pub endpoint: u32,
-    /// Requests in progress there.
+    /// The number of requests in progress.
     pub running: u16,
-    /// Prompt tokens sent there of which no event was seen yet.
+    /// Prompt tokens of requests whose first event has not arrived yet.
     pub pending_tokens: u32,
-    /// Why the node sends nothing there, if it does not.
+    /// Why the node sends no requests to the endpoint, if it does not.
     pub unavailability: Option<Unavailability>,
 }
 
-/// Why a node sends nothing to an endpoint.
+/// Why a node sends no requests to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unavailability {
-    /// Calls broke.
+    /// Calls to it fail.
     Failing,
-    /// It cannot be connected to.
+    /// Connections to it cannot be opened.
     Unreachable,
-    /// Another answered at its address: this one is gone for good.
+    /// Another endpoint answered at its address, so it is gone for good.
     Gone,
 }
 
-/// What waits on one node for one service.
+/// Requests of one rank that wait on one node for one service.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Waiting {
     /// The service's number.
     pub service: u32,
-    /// The rank.
+    /// The rank of the requests.
     pub rank: Rank,
-    /// How many requests.
+    /// The number of requests.
     pub count: u16,
 }
 
@@ -59,119 +59,119 @@
 pub struct Usage {
     /// The customer's number.
     pub customer: u64,
-    /// Units used in this life of the node.
+    /// Units used during this incarnation of the node.
     pub units: u64,
 }
 
-/// What a node says of itself, many times a second. May be lost, doubled or
-/// overtaken: each holds all that it speaks of.
+/// The state of a node, which it sends many times a second. A status may be lost, duplicated or
+/// reordered, so each is complete for the items that it contains.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Which life of the node speaks.
+    /// The incarnation of the node: differs after each restart.
     pub incarnation: u64,
-    /// Counts the statuses of one life.
+    /// The sequence number of the status within the incarnation.
     pub sequence: u64,
     /// The version of the configuration in force; 0 for none.
     pub configuration: u64,
-    /// The list of endpoints in force.
+    /// The edition of the list of endpoints in force.
     pub endpoints: Edition,
-    /// The number of its data centre.
+    /// The number of the node's data centre.
     pub data_centre: u32,
-    /// True while the node is stopping.
+    /// Whether the node is stopping.
     pub leaving: bool,
-    /// True where it cannot read the platform though it tries.
+    /// Whether the node tries to read the platform and fails.
     pub platform_unreachable: bool,
-    /// What it runs; endpoints left out run nothing.
+    /// The loads on endpoints; an endpoint that is left out has none from this node.
     pub loads: Vec<Load>,
-    /// What waits; services left out have nothing waiting.
+    /// The requests that wait; a service that is left out has none waiting.
     pub waiting: Vec<Waiting>,
-    /// What customers used; those left out have not changed lately.
+    /// The usage of customers; a customer that is left out has not changed recently.
     pub usage: Vec<Usage>,
-    /// Some of the nodes that it has heard lately.
+    /// Addresses of some of the nodes that it heard recently.
     pub members: Vec<SocketAddrV4>,
-    /// Names all that it knows of requests that endpoints ended under; 0 for nothing.
+    /// A digest of all its findings on requests under which endpoints ended; 0 for none.
     pub quarantine_digest: u32,
-    /// What it came to know of them lately.
+    /// Its most recent findings.
     pub findings: Vec<Finding>,
-    /// What the node speaks.
+    /// The protocol of the node.
     #[serde(skip, default = "Protocol::first")]
     pub protocol: Protocol,
-    /// Some of the rate limits that it knows, others each time.
+    /// A part of the rate limits that it knows, a different one each time.
     #[serde(skip)]
     pub rate_limits: Vec<rate_limit::Told>,
-    /// Some of what else endpoints said in answers, others each time.
+    /// A part of the other notices that endpoints sent in answers, a different one each time.
     #[serde(skip)]
     pub notices: Vec<notice::Told>,
 }
 
-/// Asks the owner of a customer's quota for a request's units.
+/// Asks the owner of a customer's quota to charge a request's units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reserve {
-    /// Names the question to the node that asks.
+    /// Identifies the question on the node that asks.
     pub number: u64,
     /// The customer's number.
     pub customer: u64,
-    /// Units.
+    /// The number of units.
     pub units: u64,
-    /// How routine the request is, in percent: 0 is the most protected.
+    /// How routine the request is, in percent: 0 is the most protected, 100 the least.
     pub routine: u8,
-    /// True while requests wait for the endpoints that it needs.
+    /// Whether requests are waiting for the endpoints that this one needs.
     pub pressed: bool,
 }
 
-/// What an owner says to a [`Reserve`].
+/// An owner's answer to a [`Reserve`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Reserved {
     /// The number of the question.
     pub number: u64,
-    /// The answer.
+    /// The decision.
     pub verdict: Verdict,
 }
 
-/// Whether a request fits its customer's quota.
+/// The decision on whether a request fits its customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It does, and is charged.
+    /// It fits, and its units were charged.
     Granted,
-    /// It does not.
+    /// It does not fit.
     Denied(Denied),
-    /// The node asked knows no such customer, or no quota of it.
+    /// The node that was asked does not know the customer, or no quota of it.
     Unknown,
 }
 
-/// Gives back to an owner what a request that did not run was charged.
+/// Returns to an owner the units charged for a request that did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The customer's number.
     pub customer: u64,
-    /// Units.
+    /// The number of units.
     pub units: u64,
 }
 
-/// Everything that goes from node to node by datagram.
+/// A message that nodes exchange by datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// What a node says of itself.
+    /// The state of a node.
     Status(Box<Status>),
-    /// A question to an owner.
+    /// A request for units, to the owner of a quota.
     Reserve(Reserve),
-    /// An owner's answer.
+    /// The owner's answer.
     Reserved(Reserved),
     /// Units that were not used.
     Release(Release),
-    /// A question to the owner of slots.
+    /// A request for a slot, to the owner of slots.
     Lease(Box<lease::Request>),
-    /// Its answer.
+    /// The owner's answer.
     Leased(lease::Reply),
-    /// How a request goes that has a slot.
+    /// The progress of a request that holds a slot.
     Report(lease::Report),
-    /// Whether it still has it.
+    /// Asks whether a request still holds its slot.
     Check(lease::Check),
-    /// What a node knows of requests that endpoints ended under.
+    /// Findings on requests under which endpoints ended.
     Findings(Vec<Finding>),
 }
 
-/// Which of the published documents is spoken of.
+/// A document that the platform publishes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Document {
     /// The configuration.
@@ -181,7 +181,7 @@
 }
 
 impl Document {
-    /// The word for logs.
+    /// Returns the document's name for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Document::Configuration => "configuration",
@@ -190,18 +190,18 @@
     }
 }
 
-/// The newest documents of the platform that a node has, by version; 0 for none.
+/// The newest versions of the platform's documents that a node has; 0 for none.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
     /// The version of the configuration.
     pub configuration: u64,
-    /// The list of endpoints.
+    /// The edition of the list of endpoints.
     pub endpoints: Edition,
 }
 
 impl Versions {
-    /// The same with the other document as new as can be, so that nothing of it is
-    /// asked for.
+    /// Returns the same versions with the other document's at its maximum, so that nothing of
+    /// it counts as newer.
     pub fn only(self, document: Document) -> Versions {
         match document {
             Document::Configuration => Versions {
@@ -216,23 +216,22 @@
     }
 }
 
-/// Asks a node for the documents of the platform that are newer than those of
-/// the node that asks.
+/// Asks a node for those documents of the platform that are newer than the sender's.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pull {
-    /// The documents of the node that asks.
+    /// The versions that the sender has.
     pub known: Versions,
-    /// Parts of configurations that it has, in force or received.
+    /// The configuration parts that the sender has, in force or received.
     pub held: Vec<Digest>,
-    /// Sections of its list of endpoints.
+    /// The sections of the sender's list of endpoints.
     pub sections: section::Index,
-    /// What the node speaks that asks.
+    /// The sender's protocol.
     #[serde(skip, default = "Protocol::first")]
     pub protocol: Protocol,
 }
 
 impl Pull {
-    /// The same question about one document alone.
+    /// Returns the same question restricted to one document.
     pub fn only(self, document: Document) -> Pull {
         let known = self.known.only(document);
         match document {
@@ -250,33 +249,33 @@
     }
 }
 
-/// What a node has that another asked for.
+/// The documents, or what is missing of them, that answer a [`Pull`].
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Snapshot {
-    /// The sections of the list of endpoints that the other does not have, where
-    /// it is newer.
+    /// The sections of the list of endpoints that the other node lacks, if the list is newer.
     pub endpoints: Option<Difference>,
-    /// The configuration without its parts, where it is newer.
+    /// The configuration without its parts, if newer.
     pub manifest: Option<Manifest>,
-    /// The parts of it that the other does not have.
+    /// The configuration parts that the other node lacks.
     pub parts: Vec<Part>,
 }
 
-/// One piece of a [`Snapshot`] on the wire.
+/// One part of a [`Snapshot`] as it is transferred.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Nothing follows: enough others are being given documents. Ask another.
+    /// No documents follow, because too many transfers are in progress; another node is to be
+    /// asked.
     Busy,
-    /// What is new of a list of endpoints.
+    /// The changed sections of a list of endpoints.
     Endpoints(Difference),
     /// A configuration without its parts.
     Manifest(Manifest),
-    /// A part of it.
+    /// A part of the configuration.
     Part(Part),
 }
 
 impl Snapshot {
-    /// The frames in which it goes on the wire.
+    /// Returns the frames in which the snapshot is transferred.
     pub fn into_frames(self) -> impl Iterator<Item = Frame> {
         let endpoints = self.endpoints.into_iter().map(Frame::Endpoints);
         let manifest = self.manifest.into_iter().map(Frame::Manifest);
--- a/crates/dispatch/src/parts.rs
+++ b/crates/dispatch/src/parts.rs
@@ -1,6 +1,6 @@
-//! A configuration in parts, each named by its content, so that a small change
-//! of a long one costs little to pass on, and a transfer that breaks off need
-//! not begin anew.
+//! A configuration divided into parts that are identified by a hash of their content, so that a
+//! small change to a long configuration needs little traffic and an interrupted transfer can be
+//! resumed.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,14 +17,15 @@
 use crate::configuration::Service;
 use crate::region::Restrictions;
 
-/// Parts of one configuration. Their digests take 2 KiB; of 1,500 routes one
-/// part holds about six, or half a kilobyte.
+/// The number of parts of a configuration. Their digests take 2 KiB, and with 1,500 routes a
+/// part holds about six of them, or half a kilobyte.
 pub const COUNT: usize = 256;
 
-/// Received parts that are kept: of the newest version and of one before it.
+/// The maximum number of received parts that are kept: those of the newest version and of the
+/// one before.
 const MAX_RECEIVED: usize = 2 * COUNT;
 
-/// The name of a part: the hash of its content, the same on every node.
+/// A digest of a part: the hash of its content, which is the same on every node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(u64);
 
@@ -37,41 +38,41 @@
 /// Some entries of a configuration, in its order.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Routes, by host and prefix.
+    /// Routes, selected by the hash of host and prefix.
     pub routes: Vec<Route>,
-    /// Services, by name.
+    /// Services, selected by the hash of the name.
     pub services: Vec<Service>,
-    /// Customers, by name.
+    /// Customers, selected by the hash of the name.
     pub customers: Vec<Customer>,
 }
 
 impl Part {
-    /// Its name.
+    /// Returns the digest of the part.
     pub fn to_digest(&self) -> Digest {
         hash_entries(&self.routes, &self.services, &self.customers)
     }
 }
 
-/// All that a configuration holds beside its parts, and what its parts are.
+/// A configuration without its parts, and the list of its parts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
     /// The version.
     pub version: u64,
-    /// Bounds on what a caller may send.
+    /// Limits on what a caller may send.
     pub limits: Limits,
-    /// True where requests need a customer's key.
+    /// Whether requests need a customer's key.
     pub requires_key: bool,
-    /// The names of all parts, in order.
+    /// The digests of all parts, in order.
     pub parts: Vec<Digest>,
-    /// What is bound to regions. Not part of the first layout of messages:
-    /// [`crate::wire`] adds it behind.
+    /// The region restrictions. They are not part of the base layout of messages:
+    /// [`crate::wire`] appends them.
     #[serde(skip)]
     pub restrictions: Restrictions,
 }
 
 impl Manifest {
-    /// Names the whole configuration by its content. Nodes that hold the same version
-    /// with other contents differ in it.
+    /// Returns a digest of the whole configuration, which reveals nodes that hold the same
+    /// version with different content.
     pub fn to_digest(&self) -> Digest {
         let written = postcard::to_extend(&(self, &self.restrictions), Vec::new());
         Digest(written.map_or(0, |bytes| hash::of(&bytes)))
@@ -85,7 +86,7 @@
     digests: Vec<Digest>,
 }
 
-/// Positions of the entries of one part.
+/// The positions of the entries of one part.
 #[derive(Debug, Default)]
 struct Positions {
     routes: Vec<usize>,
@@ -94,7 +95,7 @@
 }
 
 impl Index {
-    /// Reads the whole configuration once.
+    /// Assigns all entries of a configuration to parts.
     pub fn new(configuration: &Configuration) -> Index {
         let mut positions: Vec<Positions> = Vec::new();
         positions.resize_with(COUNT, Positions::default);
@@ -118,12 +119,12 @@
         }
     }
 
-    /// The names of all parts, in order.
+    /// Returns the digests of all parts, in order.
     pub fn digests(&self) -> &[Digest] {
         &self.digests
     }
 
-    /// What a node needs before the parts.
+    /// Returns the manifest, which a node needs before the parts.
     pub fn to_manifest(&self, configuration: &Configuration) -> Manifest {
         Manifest {
             version: configuration.version,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Copies the parts that are not among `held`, but for empty ones.
+    /// Copies the parts that are not in `held`, except empty ones.
     pub fn to_missing_parts(
         &self,
         configuration: &Configuration,
@@ -142,8 +143,7 @@
     ) -> Vec<Part> {
         let empty = Part::default().to_digest();
         let named = self.positions.iter().zip(&self.digests);
-        let missing = named
-            .filter(|(_, hash_entries)| **hash_entries != empty && !held.contains(hash_entries));
+        let missing = named.filter(|(_, digest)| **digest != empty && !held.contains(digest));
         missing
             .map(|(positions, _)| positions.to_part(configuration))
             .collect()
@@ -181,16 +181,15 @@
     }
 }
 
-/// Parts that were received and are not in force yet.
+/// Parts that were received for a configuration that is not in force yet.
 #[derive(Debug, Default)]
 pub struct Received {
     parts: HashMap<Digest, Part>,
 }
 
 impl Received {
-    /// Keeps a part. Where too many are kept all of them go first: they belong to
-    /// versions that never came into force, and what is still wanted is asked for
-    /// again.
+    /// Adds a part. If too many are kept, all of them are dropped first: they belong to
+    /// versions that never came into force, and those still needed are requested again.
     pub fn add(&mut self, part: Part) {
         if self.parts.len() >= MAX_RECEIVED {
             self.parts.clear();
@@ -198,21 +197,21 @@
         self.parts.insert(part.to_digest(), part);
     }
 
-    /// The names of what is kept.
+    /// Returns the digests of the parts that are kept.
     pub fn digests(&self) -> impl Iterator<Item = Digest> + '_ {
         self.parts.keys().copied()
     }
 
-    /// Drops everything.
+    /// Drops all parts.
     pub fn clear(&mut self) {
         self.parts.clear();
     }
 
-    /// Puts a configuration together from what was received and from the one
-    /// in force; nothing where a part is missing.
+    /// Assembles a configuration from the received parts and those of the configuration in
+    /// force. Returns none if a part is missing.
     pub fn try_assemble(
         &self,
-        head: &Manifest,
+        manifest: &Manifest,
         base: Option<(&Configuration, &Index)>,
     ) -> Option<Configuration> {
         let empty = Part::default().to_digest();
@@ -221,15 +220,11 @@
             .flat_map(|(_, index)| index.digests.iter().copied().zip(0..))
             .collect();
         let mut whole = Part::default();
-        for hash_entries in head
-            .parts
-            .iter()
-            .filter(|hash_entries| **hash_entries != empty)
-        {
-            let part = match self.parts.get(hash_entries) {
+        for digest in manifest.parts.iter().filter(|digest| **digest != empty) {
+            let part = match self.parts.get(digest) {
                 Some(part) => part.clone(),
                 None => {
-                    let at = in_force.get(hash_entries)?;
+                    let at = in_force.get(digest)?;
                     let (configuration, index) = base?;
                     index.positions[*at].to_part(configuration)
                 }
@@ -239,24 +234,24 @@
             whole.customers.extend(part.customers);
         }
         let mut configuration = Configuration {
-            version: head.version,
+            version: manifest.version,
             routes: whole.routes,
             services: whole.services,
-            limits: head.limits.clone(),
-            customers: head.requires_key.then_some(whole.customers),
+            limits: manifest.limits.clone(),
+            customers: manifest.requires_key.then_some(whole.customers),
         };
-        head.restrictions.apply(&mut configuration);
+        manifest.restrictions.apply(&mut configuration);
         Some(configuration)
     }
 }
 
-/// The part to which an entry belongs, by the hash of its key.
+/// Returns the part to which an entry belongs, by the hash of its key.
 fn part_index(key: u64) -> usize {
     (key % COUNT as u64) as usize
 }
 
-/// Hashes entries as they go on the wire. Writing to memory does not fail for
-/// these types; were it to, the part would have the digest 0, which no other has.
+/// Hashes entries as they are serialised. Serialising these types to memory does not fail; if
+/// it did, the part would get the digest 0, which no other part has.
 fn hash_entries<R: Serialize, S: Serialize, C: Serialize>(
     routes: &[R],
     services: &[S],
--- a/crates/dispatch/src/protocol.rs
+++ b/crates/dispatch/src/protocol.rs
@@ -1,54 +1,55 @@
-//! Which protocol between nodes a build speaks.
+//! Versions of the protocol between nodes.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The layout of everything on the wire, and the first byte of every datagram and
-/// stream. Nodes of the builds before read no other, so it stays while any of them may
-/// run: what is new stands behind what they read (docs/PROTOCOL.md).
+/// The version of the base layout, which is the first byte of every datagram and stream. Older
+/// builds read no other layout, so it has to stay while any of them may run; additions go after
+/// the part that they read.
 pub const LAYOUT: u8 = 8;
 
-/// What a build can say and read beyond the layout, which all of them share.
+/// The protocol version of a build, which says what it supports beyond the base layout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Protocol(u8);
 
 impl Protocol {
-    /// Of builds that add nothing to the layout, and do not say what they speak.
+    /// The version of builds that add nothing to the base layout and do not announce a version.
     pub const FIRST: Protocol = Protocol(LAYOUT);
 
-    /// The first whose lists of endpoints say from which era of the platform they are,
-    /// and whose configurations say in which regions requests may run.
+    /// The first version whose lists of endpoints carry the platform's era, and whose
+    /// configurations carry region restrictions.
     pub const ERAS: Protocol = Protocol(9);
 
-    /// The first that keeps the rate limits which endpoints name, and whose statuses tell
-    /// of them.
+    /// The first version that enforces the rate limits that endpoints announce, and passes them
+    /// on in statuses.
     pub const RATE_LIMITS: Protocol = Protocol(10);
 
-    /// The first whose statuses tell what else endpoints say of themselves in answers.
+    /// The first version whose statuses pass on the other notices that endpoints send in
+    /// answers.
     pub const NOTICES: Protocol = Protocol(11);
 
-    /// What this build speaks.
+    /// The version of this build.
     pub const CURRENT: Protocol = Protocol::NOTICES;
 
-    /// For messages that do not say which.
+    /// Returns the version assumed for messages that do not contain one.
     pub(crate) fn first() -> Protocol {
         Protocol::FIRST
     }
 
-    /// True where a node knows eras and regions.
+    /// Whether a node supports eras and region restrictions.
     pub fn supports_eras(self) -> bool {
         self >= Protocol::ERAS
     }
 
-    /// True where a node keeps endpoints' rate limits.
+    /// Whether a node enforces the rate limits of endpoints.
     pub fn supports_rate_limits(self) -> bool {
         self >= Protocol::RATE_LIMITS
     }
 
-    /// True where a node knows what else endpoints say of themselves.
+    /// Whether a node reads the other notices of endpoints.
     pub fn supports_notices(self) -> bool {
         self >= Protocol::NOTICES
     }
--- a/crates/dispatch/src/restore.rs
+++ b/crates/dispatch/src/restore.rs
@@ -1,12 +1,11 @@
-//! What a node keeps of earlier lists of endpoints when the platform comes back with an
-//! older copy of what it had acknowledged.
+//! Corrections to lists of endpoints after the platform is restored from an older copy of the
+//! data it had acknowledged.
 //!
-//! Such a copy lacks what was written last until that is written again: an endpoint that
-//! had ended stands there, one that was leaving is ready, one that was started again has
-//! its start before, and a data centre that was evacuated is not. What a node was told
-//! before goes before what the copy says of these, for as long as it takes until all is
-//! written again. Endpoints that the copy lacks are kept as after any outage
-//! ([`List::merge`]).
+//! Until the latest changes are written to it again, such a copy lists endpoints that have
+//! ended, shows endpoints that are leaving as ready, shows an earlier start of endpoints that
+//! were restarted, and lacks evacuations of data centres. During that time, what the node knew
+//! before takes precedence over the copy. Endpoints that the copy lacks are kept as after any
+//! outage ([`List::merge`]).
 
 use std::collections::HashMap;
 
@@ -18,45 +17,47 @@
 use crate::endpoint::Life;
 use crate::endpoint::List;
 
-/// How long what was known goes before an older copy. An entry whose endpoint has ended
-/// goes after three heartbeats of silence, which are 9 s at most on the users' sheets.
+/// How long earlier knowledge takes precedence over an older copy. The entry of an endpoint
+/// that has ended is removed after three missed heartbeats, which takes at most 9 s in known
+/// deployments.
 const OVERRIDE_PERIOD: Span = Span::from_secs(10);
 
-/// How long the end of an endpoint is remembered: three times as long as the platform
-/// keeps its history, which is 20 s on all of the users' sheets.
+/// How long the end of an endpoint is remembered: three times as long as the platform keeps its
+/// history, which is 20 s in all known deployments.
 const DEPARTURE_RETENTION: Span = Span::from_secs(60);
 
-/// What a list said of one start of an endpoint that takes no more work.
+/// Why one start of an endpoint accepts no more work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Departure {
     /// It was leaving.
     Leaving,
-    /// It was not there any more.
+    /// It was no longer listed.
     Gone,
 }
 
-/// What lists of one era, and of those before, said.
+/// Corrections to apply to lists of the era in force.
 #[derive(Debug, Default)]
 pub struct Corrections {
-    /// Endpoints that end in the era in force, with when that was noted.
+    /// Endpoints that are leaving or have ended in this era, with the time at which this was
+    /// recorded.
     departures: HashMap<Life, (Departure, Time)>,
-    /// What goes before the lists of the era in force.
+    /// What takes precedence over lists of this era, from the eras before.
     overrides: Option<Overrides>,
 }
 
-/// What goes before the lists of an era.
+/// What takes precedence over the lists of an era for a while.
 #[derive(Debug)]
 struct Overrides {
     until: Time,
     departures: HashMap<Life, (Departure, Time)>,
     /// The latest start of each endpoint.
-    born: HashMap<id::Endpoint, u64>,
+    latest_starts: HashMap<id::Endpoint, u64>,
     /// Data centres that were evacuated.
     evacuated: Vec<id::DataCentre>,
 }
 
 impl Corrections {
-    /// Notes what a list changes that comes into force after another of its era.
+    /// Records the endpoints that leave or end between two lists of the same era.
     pub fn record_list(&mut self, now: Time, before: &List, after: &List) {
         self.departures
             .retain(|_, (_, at)| now.since(*at) < DEPARTURE_RETENTION);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Notes that a new era begins, after a list of the era before.
+    /// Starts a new era after the last list of the previous one.
     pub fn begin_era(&mut self, now: Time, before: &List) {
         let mut departures = std::mem::take(&mut self.departures);
         let mut evacuated = before.evacuated.clone();
@@ -99,18 +100,18 @@
         }
         evacuated.sort();
         evacuated.dedup();
-        let born = before.endpoints.iter();
-        let born = born.map(|endpoint| (endpoint.name.clone(), endpoint.born));
+        let latest_starts = before.endpoints.iter();
+        let latest_starts = latest_starts.map(|endpoint| (endpoint.name.clone(), endpoint.born));
         self.overrides = Some(Overrides {
             until: now + OVERRIDE_PERIOD,
             departures,
-            born: born.collect(),
+            latest_starts: latest_starts.collect(),
             evacuated,
         });
     }
 
-    /// A list of the era in force as it is to be taken; none where it says nothing that
-    /// was known otherwise.
+    /// Returns a corrected copy of a list of the era in force, or none if the list needs no
+    /// correction.
     pub fn correct(&self, now: Time, list: &List) -> Option<List> {
         let overrides = self
             .overrides
@@ -130,8 +131,8 @@
         (corrected != *list).then_some(corrected)
     }
 
-    /// Forgets what is kept once its time is over; true where it did. Lists count as they
-    /// are from then on.
+    /// Drops the overrides once they have expired, after which lists are used unchanged.
+    /// Returns whether it did.
     pub fn expire(&mut self, now: Time) -> bool {
         let over = self
             .overrides
@@ -145,11 +146,11 @@
 }
 
 impl Overrides {
-    /// An endpoint of an older copy, as it is known; none where it has ended or started
+    /// Returns an endpoint of the copy as corrected, or none if it has ended or was started
     /// again since.
     fn correct(&self, listed: &Endpoint) -> Option<Endpoint> {
-        let born = self.born.get(&listed.name).copied().unwrap_or(0);
-        if listed.born < born {
+        let latest_start = self.latest_starts.get(&listed.name).copied().unwrap_or(0);
+        if listed.born < latest_start {
             return None;
         }
         match self.departures.get(&listed.to_life()) {
--- a/crates/dispatch/src/section.rs
+++ b/crates/dispatch/src/section.rs
@@ -1,8 +1,8 @@
-//! A list of endpoints in sections, each named by its content, so that one
-//! changed entry of a long list costs little to pass on.
+//! A list of endpoints divided into sections that are identified by a hash of their content, so
+//! that little has to be transferred if one entry of a long list changes.
 //!
-//! A node that is behind names the sections that it has, and is given the others
-//! whole. Nothing depends on which lists both have had before.
+//! A node that is behind sends the digests of its sections and receives whole those that
+//! differ. This does not depend on which lists the two nodes had before.
 
 use std::collections::HashSet;
 
@@ -15,16 +15,16 @@
 use crate::endpoint::Endpoint;
 use crate::endpoint::List;
 
-/// Sections of a list. A question that names them takes 0.6 KB. One changed entry
-/// of 166 is then answered with 0.15 KB, and one of 3,100 with 1.3 KB; whole lists
-/// take 4.8 and 90 KB (test `a_changed_entry_costs_little`).
+/// The number of sections of a list. A question with their digests takes 0.6 KB. The answer for
+/// one changed entry takes 0.15 KB in a list of 166 and 1.3 KB in one of 3,100, where whole
+/// lists take 4.8 and 90 KB (test `a_changed_entry_costs_little`).
 pub const COUNT: usize = 64;
 
-/// The name of a section: the hash of its entries, in whichever order they are.
+/// A digest of a section: the hash of its entries, regardless of their order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest(u64);
 
-/// The names of all sections of a list, in order; nothing for no list.
+/// The digests of all sections of a list, in order; empty for no list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Index {
     digests: Vec<Digest>,
@@ -33,13 +33,13 @@
 /// The entries of one section.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Section {
-    /// Its place among the sections.
+    /// The index of the section.
     pub number: u8,
-    /// Its endpoints.
+    /// The endpoints in it.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A list without the sections that a node has already.
+/// A list without the sections that the receiver already has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
     /// The platform's era in which the list was read.
@@ -49,14 +49,14 @@
     pub revision: u64,
     /// Whether the list is settled.
     pub settled: bool,
-    /// Data centres that are evacuated: all of them, as they are few.
+    /// All data centres that are evacuated; they are few, so they are always sent in full.
     pub evacuated: Vec<id::DataCentre>,
-    /// The sections that differ, empty ones among them.
+    /// The sections that differ, including those that became empty.
     pub sections: Vec<Section>,
 }
 
 impl Index {
-    /// Reads the whole list once.
+    /// Computes the digests of all sections of a list.
     pub fn new(list: &List) -> Index {
         let mut digests = vec![Digest::default(); COUNT];
         for endpoint in &list.endpoints {
@@ -73,7 +73,7 @@
 }
 
 impl Difference {
-    /// What a node lacks of a list which has the sections that are `held`.
+    /// Returns what a node with the sections `held` lacks of a list.
     pub fn new(list: &List, index: &Index, held: &Index) -> Difference {
         let numbers = 0..COUNT as u8;
         let differ = numbers.filter(|number| index.digest(*number) != held.digest(*number));
@@ -98,7 +98,8 @@
         }
     }
 
-    /// The whole list, where `base` is the one whose sections were named.
+    /// Returns the whole list, given the `base` from whose sections the difference was
+    /// computed.
     pub fn into_list(self, base: &List) -> List {
         let given: HashSet<u8> = self.sections.iter().map(|section| section.number).collect();
         let kept = base.endpoints.iter();
@@ -116,15 +117,14 @@
     }
 }
 
-/// The section to which an endpoint belongs.
+/// Returns the section to which an endpoint belongs.
 fn section_number(endpoint: &Endpoint) -> u8 {
     let name = endpoint.name.as_str();
     (hash::of(name.as_bytes()) % COUNT as u64) as u8
 }
 
-/// Hashes an entry as it goes on the wire. Writing to memory does not fail for
-/// this type; were it to, the entry would count as one that says nothing else
-/// than its name.
+/// Hashes an entry as it is serialised. Serialising this type to memory does not fail; if it
+/// did, the hash would cover the endpoint's name only.
 fn hash_endpoint(endpoint: &Endpoint) -> u64 {
     let written = postcard::to_extend(endpoint, Vec::new());
     let bytes = written.unwrap_or_else(|_| endpoint.name.as_str().into());
--- a/crates/dispatch/src/wire.rs
+++ b/crates/dispatch/src/wire.rs
@@ -1,10 +1,10 @@
-//! How messages between nodes are written and read.
+//! Encoding and decoding of messages between nodes.
 //!
-//! Each message has the layout that every build reads, and behind it what later builds
-//! add: an addition with lists of what endpoints said behind it, or what a configuration
-//! binds to regions. A build reads of it what it knows, takes the usual for what is
-//! missing, and leaves the rest. Nothing that stands before it ever changes
-//! (docs/PROTOCOL.md; test `what_is_written_is_kept`).
+//! A message starts with the base layout, which every build reads. Later builds append to it:
+//! an extension, lists of what endpoints announced, or the region restrictions of a
+//! configuration. A build reads the appended parts that it knows, uses defaults for those that
+//! are missing, and ignores the rest. The bytes before an appended part never change (test
+//! `what_is_written_is_kept`).
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,29 +17,28 @@
 use crate::protocol;
 use crate::protocol::Protocol;
 
-/// What stands behind a status, a question for documents, and a list of endpoints. More
-/// fields may only be added at its end, each in an addition of its own that may be
-/// missing.
+/// The extension that follows a status, a [`Pull`] and a list of endpoints. Its fields are
+/// fixed; later additions go after it, each separate and optional.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct Extension {
-    /// What the node speaks that wrote it.
+    /// The protocol of the node that wrote the message.
     protocol: Protocol,
-    /// The era of the list of endpoints that the message speaks of.
+    /// The era of the list of endpoints that the message refers to.
     era: Era,
 }
 
 impl Extension {
-    /// Of a message that has none.
+    /// The extension assumed for a message without one.
     const NONE: Extension = Extension {
         protocol: Protocol::FIRST,
         era: Era(0),
     };
 }
 
-/// Writes a datagram: the layout, the message and its addition.
+/// Encodes a datagram: the layout version, the message and what is appended to it.
 ///
 /// # Errors
-/// Only where the codec fails.
+/// If serialisation fails.
 pub fn to_datagram(message: &Message) -> postcard::Result<Vec<u8>> {
     let bytes = postcard::to_extend(message, vec![protocol::LAYOUT])?;
     let status = match message {
@@ -56,7 +55,7 @@
     postcard::to_extend(&status.notices, bytes)
 }
 
-/// Reads a datagram; nothing for another layout or for what is no message.
+/// Decodes a datagram. Returns none for another layout version or invalid bytes.
 pub fn try_from_datagram(bytes: &[u8]) -> Option<Message> {
     let (layout, rest) = bytes.split_first()?;
     if *layout != protocol::LAYOUT {
@@ -78,10 +77,10 @@
     Some(message)
 }
 
-/// Writes a question for documents.
+/// Encodes a question for documents.
 ///
 /// # Errors
-/// Only where the codec fails.
+/// If serialisation fails.
 pub fn pull_to_bytes(pull: &Pull) -> postcard::Result<Vec<u8>> {
     let extension = Extension {
         protocol: pull.protocol,
@@ -90,10 +89,10 @@
     postcard::to_extend(&extension, postcard::to_extend(pull, Vec::new())?)
 }
 
-/// Reads a question for documents.
+/// Decodes a question for documents.
 ///
 /// # Errors
-/// Where the bytes are none.
+/// If the bytes are not a valid question.
 pub fn pull_from_bytes(bytes: &[u8]) -> postcard::Result<Pull> {
     let (mut pull, rest): (Pull, _) = postcard::take_from_bytes(bytes)?;
     let (extension, _) = take_extension(rest)?;
@@ -102,10 +101,10 @@
     Ok(pull)
 }
 
-/// Writes a piece of what a node gives to another.
+/// Encodes one frame of a snapshot.
 ///
 /// # Errors
-/// Only where the codec fails.
+/// If serialisation fails.
 pub fn frame_to_bytes(frame: &Frame) -> postcard::Result<Vec<u8>> {
     let bytes = postcard::to_extend(frame, Vec::new())?;
     match frame {
@@ -121,10 +120,10 @@
     }
 }
 
-/// Reads a piece of what another node gives.
+/// Decodes one frame of a snapshot.
 ///
 /// # Errors
-/// Where the bytes are none.
+/// If the bytes are not a valid frame.
 pub fn frame_from_bytes(bytes: &[u8]) -> postcard::Result<Frame> {
     let (mut frame, rest) = postcard::take_from_bytes(bytes)?;
     match &mut frame {
@@ -137,7 +136,7 @@
     Ok(frame)
 }
 
-/// Reads the addition behind a message, and gives what stands behind it.
+/// Decodes the extension, which may be missing, and returns it with the remaining bytes.
 fn take_extension(rest: &[u8]) -> postcard::Result<(Extension, &[u8])> {
     match rest {
         [] => Ok((Extension::NONE, rest)),
@@ -145,8 +144,8 @@
     }
 }
 
-/// Reads a list behind a question for a slot, or behind the addition of a status, which may
-/// be missing, and gives what stands behind it.
+/// Decodes a list that follows a lease request or the extension of a status, and may be
+/// missing, and returns it with the remaining bytes.
 fn take_list<T: DeserializeOwned>(rest: &[u8]) -> postcard::Result<(Vec<T>, &[u8])> {
     match rest {
         [] => Ok((Vec::new(), rest)),
