--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -16,7 +16,7 @@
 //! * [`edition`]: order of lists of endpoints by recency.
 //! * [`restore`]: corrections after the platform is restored from an older copy.
 //! * [`section`]: division of a list of endpoints into sections for transfer between nodes.
-//! * [`cold`]: rate limits of endpoints that have just started.
+//! * [`cold`]: limits on the load of endpoints that have just started.
 //! * [`worker`]: what was measured of one endpoint.
 //! * [`turnaround`]: the idle time of slots between two requests.
 //! * [`warm`]: which endpoint has which prompt in its cache.
--- a/crates/dispatch/src/section.rs
+++ b/crates/dispatch/src/section.rs
@@ -17,7 +17,7 @@
 
 /// The number of sections of a list. A question with their digests takes 0.6 KB. The answer for
 /// one changed entry takes 0.15 KB in a list of 166 and 1.3 KB in one of 3,100, where whole
-/// lists take 4.8 and 90 KB (test `a_changed_entry_costs_little`).
+/// lists take 4.8 and 90 KB (test `a_changed_entry_transfers_little`).
 pub const COUNT: usize = 64;
 
 /// A digest of a section: the hash of its entries, regardless of their order.
--- a/crates/dispatch/src/wire.rs
+++ b/crates/dispatch/src/wire.rs
@@ -4,7 +4,7 @@
 //! an extension, lists of what endpoints announced, or the region restrictions of a
 //! configuration. A build reads the appended parts that it knows, uses defaults for those that
 //! are missing, and ignores the rest. The bytes before an appended part never change (test
-//! `what_is_written_is_kept`).
+//! `the_encoding_does_not_change`).
 
 use serde::Deserialize;
 use serde::Serialize;
--- a/crates/dispatch/tests/dispatch/members.rs
+++ b/crates/dispatch/tests/dispatch/members.rs
@@ -1,4 +1,4 @@
-//! Which other nodes there are.
+//! Membership: discovery, cells, platform readers and the scheduling of statuses.
 
 use std::collections::HashSet;
 
@@ -16,10 +16,10 @@
 use crate::support::at;
 use crate::support::node;
 
-/// The number of the data centre that all are in.
-const CENTRE: u32 = 1;
+/// The number of the data centre that all nodes are in.
+const DATA_CENTRE: u32 = 1;
 
-const CALM: Trigger = Trigger {
+const ROUTINE: Trigger = Trigger {
     urgent: false,
     usage_high: false,
     new_documents: false,
@@ -27,47 +27,47 @@
 
 const URGENT: Trigger = Trigger {
     urgent: true,
-    ..CALM
+    ..ROUTINE
 };
 
 fn members(own: u8, seeds: &[u8]) -> Members {
     let seeds: Vec<_> = seeds.iter().map(|seed| node(*seed)).collect();
-    Members::new(node(own), CENTRE, &seeds, Options::default())
+    Members::new(node(own), DATA_CENTRE, &seeds, Options::default())
 }
 
 fn status(incarnation: u64, sequence: u64, members: &[u8]) -> Status {
     Status {
         incarnation,
         sequence,
-        data_centre: CENTRE,
+        data_centre: DATA_CENTRE,
         members: members.iter().map(|one| node(*one)).collect(),
         ..Status::default()
     }
 }
 
 #[test]
-fn nodes_meet_through_a_seed_that_knows_another() {
+fn nodes_are_discovered_through_a_seed() {
     let mut members = members(1, &[1, 2, 9]);
-    assert_eq!(members.take_due(at(1), CALM), [node(2), node(9)]);
+    assert_eq!(members.take_due(at(1), ROUTINE), [node(2), node(9)]);
     assert_eq!(
         members.record_status(at(10), node(2), status(2, 1, &[1, 3])),
         Reception::Joined
     );
-    assert!(members.take_due(at(11), CALM).contains(&node(3)));
-    // An address that never answers counts for nothing.
+    assert!(members.take_due(at(11), ROUTINE).contains(&node(3)));
+    // An address that never answers is not counted.
     assert_eq!(members.reach(at(12)).nodes, 2);
     assert!(!members.reach(at(12)).alone);
 }
 
 #[test]
-fn nobody_heard_means_alone() {
+fn a_node_that_has_heard_none_is_alone() {
     let members = members(1, &[2]);
     assert!(members.reach(at(0)).alone);
     assert_eq!(members.reach(at(0)).nodes, 1);
 }
 
 #[test]
-fn a_word_that_was_overtaken_or_came_twice_is_old() {
+fn reordered_and_duplicate_statuses_are_stale() {
     let mut members = members(1, &[]);
     assert_eq!(
         members.record_status(at(0), node(2), status(5, 2, &[])),
@@ -85,7 +85,7 @@
         members.record_status(at(2), node(2), status(5, 3, &[])),
         Reception::Refreshed
     );
-    // Another life counts anew.
+    // A new incarnation starts a new sequence.
     assert_eq!(
         members.record_status(at(3), node(2), status(6, 1, &[])),
         Reception::Joined
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_silent_node_counts_until_it_is_forgotten() {
+fn a_silent_node_counts_until_it_is_removed() {
     let mut members = members(1, &[]);
     members.record_status(at(0), node(2), status(2, 1, &[]));
     assert_eq!(members.reach(at(1_000)).silent, 0);
@@ -105,16 +105,16 @@
 }
 
 #[test]
-fn a_silent_node_is_asked_for_a_sign_of_life() {
+fn a_silent_node_is_probed() {
     let mut members = members(1, &[]);
     members.record_status(at(0), node(2), status(2, 1, &[]));
-    members.take_due(at(2_000), CALM);
-    assert_eq!(members.take_due(at(2_100), CALM), []);
-    assert_eq!(members.take_due(at(2_500), CALM), [node(2)]);
+    members.take_due(at(2_000), ROUTINE);
+    assert_eq!(members.take_due(at(2_100), ROUTINE), []);
+    assert_eq!(members.take_due(at(2_500), ROUTINE), [node(2)]);
 }
 
 #[test]
-fn a_node_that_left_in_order_does_not_count_once_it_is_silent() {
+fn a_node_that_announced_leaving_does_not_count_once_silent() {
     let mut members = members(1, &[]);
     let leaving = Status {
         leaving: true,
@@ -125,7 +125,7 @@
     assert_eq!(members.reach(at(3_000)).nodes, 1);
 }
 
-/// The view that one node of a fleet has once it has heard all others.
+/// Returns the membership of one node that has heard all others.
 fn fleet(own: u8, nodes: u8) -> Members {
     let mut members = members(own, &[]);
     for other in (1..=nodes).filter(|other| *other != own) {
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_small_fleet_is_one_cell_and_each_reads_for_itself() {
+fn a_small_fleet_is_one_cell_and_every_node_is_standalone() {
     let members = fleet(1, 16);
     assert!(members.cell().covers_fleet);
     assert_eq!(members.cell_members(at(1)).count(), 15);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_larger_fleet_has_cells_that_all_nodes_see_alike() {
+fn nodes_of_a_large_fleet_agree_on_cells() {
     let views: Vec<Members> = (1..=40).map(|own| fleet(own, 40)).collect();
     for (own, view) in (1u8..).zip(&views) {
         let cell = view.cell();
@@ -165,22 +165,22 @@
     }
 }
 
-/// A status of the node with a number that cannot read the platform.
-fn cut_off(number: u8) -> Status {
+/// Returns a status of a node that cannot read the platform.
+fn unreachable_status(number: u8) -> Status {
     Status {
         platform_unreachable: true,
         ..status(u64::from(number), 2, &[])
     }
 }
 
-/// Numbers of the nodes that read for others, each by its own view, where those
-/// in `cut_off_nodes` say that they cannot.
-fn readers(nodes: u8, cut_off_nodes: &[u8]) -> Vec<u8> {
+/// Returns the nodes that read the platform by their own view, where `unreachable_nodes` report
+/// that they cannot reach it.
+fn readers(nodes: u8, unreachable_nodes: &[u8]) -> Vec<u8> {
     let mut readers = Vec::new();
     for own in 1..=nodes {
         let mut view = fleet(own, nodes);
-        for other in cut_off_nodes.iter().filter(|other| **other != own) {
-            view.record_status(at(2), node(*other), cut_off(*other));
+        for other in unreachable_nodes.iter().filter(|other| **other != own) {
+            view.record_status(at(2), node(*other), unreachable_status(*other));
         }
         if view.role(at(3)) == Role::Reader {
             readers.push(own);
@@ -190,16 +190,16 @@
 }
 
 #[test]
-fn a_large_fleet_has_few_readers_however_many_cells() {
+fn the_number_of_readers_does_not_grow_with_the_fleet() {
     assert_eq!(readers(40, &[]).len(), 2);
     assert_eq!(readers(200, &[]).len(), 2);
 }
 
 #[test]
-fn others_read_where_readers_are_cut_off() {
+fn other_nodes_read_when_readers_cannot_reach_the_platform() {
     let first = readers(40, &[]);
     let second = readers(40, &first);
-    // Those that are cut off go on trying.
+    // The first readers keep trying.
     let new: Vec<u8> = second
         .iter()
         .copied()
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_platform_that_is_down_for_all_is_tried_by_few() {
+fn few_nodes_try_a_platform_that_is_down() {
     let all: Vec<u8> = (1..=200).collect();
     assert_eq!(
         readers(200, &all).len(),
@@ -219,13 +219,14 @@
 }
 
 #[test]
-fn another_reads_when_readers_are_silent() {
+fn another_node_reads_when_readers_are_silent() {
     let first = readers(40, &[]);
     let second = readers(40, &first);
     let next = second.into_iter().find(|one| !first.contains(one));
     let next = next.expect("another reads");
     let mut members = fleet(next, 40);
-    // Beyond the cell it takes as long as three of the statuses that come there.
+    // Long enough for the first readers to be silent: beyond the cell, the timeout is three
+    // status intervals.
     let later = at(1) + Span::from_millis(7_000);
     for other in (1..=40).filter(|other| !first.contains(other) && *other != next) {
         members.record_status(later, node(other), status(u64::from(other), 2, &[]));
@@ -234,13 +235,13 @@
 }
 
 #[test]
-fn new_documents_are_told_to_some_beyond_the_cell_at_once() {
+fn new_documents_are_announced_beyond_the_cell_at_once() {
     let mut members = fleet(1, 200);
-    members.take_due(at(1), CALM);
-    let quiet = members.take_due(at(2), CALM).len();
+    members.take_due(at(1), ROUTINE);
+    let quiet = members.take_due(at(2), ROUTINE).len();
     let news = Trigger {
         new_documents: true,
-        ..CALM
+        ..ROUTINE
     };
     let told = members.take_due(at(3), news);
     assert_eq!(told.len(), quiet + Options::default().fan_out);
@@ -248,13 +249,13 @@
     assert!(others.iter().all(|one| !told.contains(one)));
 }
 
-/// Milliseconds until all nodes of a fleet have documents that two nodes have read,
-/// where each node that has them tells the nodes that are due, and each that
-/// hears of them has them `taking` milliseconds later.
-fn spread_of_news(nodes: u8, taking: u64) -> u64 {
+/// Returns the milliseconds until all nodes have the documents that two nodes read first. Each
+/// node that has them sends statuses to the nodes that are due, and each recipient has them
+/// `transfer_ms` later.
+fn dissemination_time(nodes: u8, transfer_ms: u64) -> u64 {
     let mut views: Vec<Members> = (1..=nodes).map(|own| fleet(own, nodes)).collect();
     for view in &mut views {
-        view.take_due(at(1), CALM);
+        view.take_due(at(1), ROUTINE);
     }
     let mut has_at: Vec<Option<u64>> = vec![None; usize::from(nodes)];
     has_at[0] = Some(2);
@@ -271,7 +272,7 @@
             };
             for told in views[one].take_due(at(now), trigger) {
                 let told = usize::from(told.ip().octets()[3]) - 1;
-                has_at[told].get_or_insert(now + taking);
+                has_at[told].get_or_insert(now + transfer_ms);
             }
         }
         if has_at.iter().all(Option::is_some) {
@@ -282,20 +283,21 @@
 }
 
 #[test]
-fn news_reaches_every_cell_within_a_second() {
-    let all_have = spread_of_news(250, 60);
+fn new_documents_reach_every_cell_within_a_second() {
+    let all_have = dissemination_time(250, 60);
     assert!(all_have < 1_000, "{all_have} ms");
 }
 
 #[test]
-fn what_a_node_sends_is_the_same_in_a_fleet_of_any_size() {
+fn the_rate_of_statuses_does_not_grow_with_the_fleet() {
     for nodes in [40, 100, 250] {
         let mut members = fleet(1, nodes);
         let sent: usize = (0..2_000)
             .step_by(20)
             .map(|millis| members.take_due(at(1 + millis), URGENT).len())
             .sum();
-        // Two seconds: 200 a second within the cell, 60 beyond, all others once.
+        // In two seconds: 200 per second within the cell, 60 per second beyond it, and one
+        // status to every node.
         assert!(
             sent <= 2 * (200 + 60) + usize::from(nodes),
             "{sent} of {nodes}"
@@ -319,69 +321,70 @@
 }
 
 #[test]
-fn a_node_that_is_ahead_is_asked() {
+fn a_node_with_newer_documents_is_selected() {
     let mut members = members(1, &[]);
-    let said = |configuration, endpoints| Status {
+    let reported = |configuration, endpoints| Status {
         configuration,
         endpoints: edition(endpoints),
         ..status(1, 1, &[])
     };
-    members.record_status(at(0), node(2), said(5, 10));
-    members.record_status(at(0), node(3), said(6, 10));
+    members.record_status(at(0), node(2), reported(5, 10));
+    members.record_status(at(0), node(3), reported(6, 10));
     assert_eq!(
         members.newer_peer_opt(at(1), known(5, 10), 0),
         Some(node(3))
     );
     assert_eq!(members.newer_peer_opt(at(1), known(6, 10), 0), None);
     assert!(members.newer_peer_opt(at(1), known(6, 9), 0).is_some());
-    // A node that is silent cannot be asked.
+    // A silent node is not selected.
     let later = at(1) + Span::from_secs(5);
     assert_eq!(members.newer_peer_opt(later, known(1, 1), 0), None);
 }
 
-/// Nodes that are ahead of `own` by as many revisions as their number.
-fn behind_twenty(own: u8) -> Members {
+/// Returns the view of a node that has heard twenty others with newer lists; a higher number
+/// means a newer list.
+fn behind_twenty_nodes(own: u8) -> Members {
     let mut members = members(own, &[]);
     for other in 2..22 {
-        let said = Status {
+        let reported = Status {
             endpoints: edition(100 + u64::from(other)),
             ..status(u64::from(other), 1, &[])
         };
-        members.record_status(at(0), node(other), said);
+        members.record_status(at(0), node(other), reported);
     }
     members
 }
 
 #[test]
-fn nodes_that_are_behind_do_not_all_ask_the_same_one() {
+fn nodes_that_are_behind_spread_over_several_sources() {
     let asked: HashSet<_> = (100..160)
-        .filter_map(|own| behind_twenty(own).newer_peer_opt(at(1), known(0, 50), 0))
+        .filter_map(|own| behind_twenty_nodes(own).newer_peer_opt(at(1), known(0, 50), 0))
         .collect();
     assert!(asked.len() >= 4, "{asked:?}");
-    // But those that are furthest ahead.
+    // Only the most up-to-date nodes are asked.
     assert!(asked.iter().all(|address| address.ip().octets()[3] >= 14));
 }
 
 #[test]
-fn another_is_asked_where_one_did_not_answer() {
-    let members = behind_twenty(1);
+fn each_attempt_may_select_another_node() {
+    let members = behind_twenty_nodes(1);
     let asked: HashSet<_> = (0..6)
         .filter_map(|attempt| members.newer_peer_opt(at(1), known(0, 50), attempt))
         .collect();
     assert!(asked.len() >= 3, "{asked:?}");
 }
 
-/// What a node that starts does about the platform, `heard` so many milliseconds after its
-/// start another which has a list or none, `after` so many.
+/// The role of a node `after` milliseconds from its start, where it hears another node, if
+/// `heard` is given, at a time in milliseconds and with a revision of the list (0 for none).
 #[rstest]
-#[case::nobody_yet(None, 200, Role::Follower)]
-#[case::nobody_in_time(None, 400, Role::Standalone)]
-#[case::it_listens(Some((50, 0)), 100, Role::Follower)]
-#[case::it_is_among_the_first(Some((50, 0)), 200, Role::Reader)]
-#[case::another_has_a_list(Some((50, 7)), 200, Role::Follower)]
-#[case::it_does_not_come(Some((50, 7)), 1_600, Role::Standalone)]
-#[case::it_was_cut_off_at_first(Some((2_000, 7)), 2_500, Role::Follower)]
-fn who_reads_as_nodes_start(
+#[case::none_heard_yet(None, 200, Role::Follower)]
+#[case::none_heard_in_time(None, 400, Role::Standalone)]
+#[case::discovering(Some((50, 0)), 100, Role::Follower)]
+#[case::among_the_first(Some((50, 0)), 200, Role::Reader)]
+#[case::another_has_the_list(Some((50, 7)), 200, Role::Follower)]
+#[case::list_overdue(Some((50, 7)), 1_600, Role::Standalone)]
+#[case::partitioned_at_start(Some((2_000, 7)), 2_500, Role::Follower)]
+fn roles_of_starting_nodes(
     #[case] heard: Option<(u64, u64)>,
     #[case] after: u64,
     #[case] expected: Role,
@@ -389,19 +392,19 @@
     let mut members = members(1, &[2]);
     let met_at = at(300);
     if let Some((millis, revision)) = heard {
-        let said = Status {
+        let reported = Status {
             endpoints: edition(revision),
             ..status(2, 1, &[])
         };
-        members.record_status(at(millis), node(2), said);
+        members.record_status(at(millis), node(2), reported);
     }
-    // It goes on being heard.
+    // The other node is still live at the end.
     if let Some((_, revision)) = heard {
-        let said = Status {
+        let reported = Status {
             endpoints: edition(revision),
             ..status(2, 2, &[])
         };
-        members.record_status(at(after), node(2), said);
+        members.record_status(at(after), node(2), reported);
     }
     assert_eq!(members.startup_role(at(after), met_at), expected);
 }
--- a/crates/dispatch/tests/dispatch/parts.rs
+++ b/crates/dispatch/tests/dispatch/parts.rs
@@ -1,4 +1,4 @@
-//! Configurations go from node to node in parts.
+//! Transfer of configurations between nodes in parts.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -28,10 +28,11 @@
 use crate::support::pass_on;
 use crate::support::route;
 
-/// A long configuration.
+/// The number of routes of a long configuration.
 const ROUTES: u32 = 1_500;
 
-/// An entry of each kind, by number, in one of a few forms.
+/// An entry of each kind, identified by its number; entries with different forms differ in
+/// content.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Entry {
     number: u32,
@@ -46,7 +47,7 @@
     }
 }
 
-/// Some are bound to regions, some to none.
+/// Restricts some entries to regions and leaves others unrestricted.
 fn regions(entry: Entry) -> Regions {
     let names = (0..entry.form % 3).map(|number| id::Region::new(&format!("region-{number}")));
     Regions::new(names)
@@ -71,7 +72,7 @@
     }
 }
 
-/// A configuration of these entries, those given last where two have a number.
+/// Returns a configuration of the entries. The last one wins if several have the same number.
 fn to_configuration(version: u64, entries: &[Entry]) -> Configuration {
     let mut seen = HashSet::new();
     let entries = entries.iter().rev().copied();
@@ -92,13 +93,13 @@
     dispatcher
 }
 
-fn long(version: u64, form: u8) -> Configuration {
+fn long_configuration(version: u64, form: u8) -> Configuration {
     let usual = (0..ROUTES).map(|number| Entry { number, form: 0 });
     let changed = Entry { number: 7, form };
     to_configuration(version, &usual.chain([changed]).collect::<Vec<_>>())
 }
 
-/// The same, in an order that does not depend on how it was put together.
+/// Returns the configuration with its entries sorted by name.
 fn sorted(configuration: &Configuration) -> Configuration {
     let mut sorted = configuration.clone();
     sorted
@@ -113,33 +114,39 @@
     sorted
 }
 
-fn in_force(dispatcher: &Dispatcher) -> Configuration {
+fn sorted_in_force(dispatcher: &Dispatcher) -> Configuration {
     sorted(dispatcher.configuration().expect("a configuration"))
 }
 
 #[test]
-fn a_small_change_of_a_long_configuration_costs_little() {
-    let newer = node(1, long(8, 1));
+fn a_small_change_to_a_long_configuration_transfers_little() {
+    let newer = node(1, long_configuration(8, 1));
     let mut first = Dispatcher::new(options(2));
     let whole = pass_on(&newer, &mut first);
-    let mut behind = node(3, long(7, 0));
+    let mut behind = node(3, long_configuration(7, 0));
     let change = pass_on(&newer, &mut behind);
-    assert_eq!(in_force(&behind), in_force(&newer));
+    assert_eq!(sorted_in_force(&behind), sorted_in_force(&newer));
     assert!(change * 20 < whole, "{change} of {whole}");
-    let asked = postcard::to_extend(&ask(&newer, &mut node(4, long(7, 0))), Vec::new());
+    let asked = postcard::to_extend(
+        &ask(&newer, &mut node(4, long_configuration(7, 0))),
+        Vec::new(),
+    );
     assert!(asked.expect("it can be written").len() < 4 << 10);
 }
 
 #[test]
-fn nothing_is_named_where_the_configuration_is_as_new() {
-    let other = node(1, long(7, 0));
-    let mut own = node(2, long(7, 0));
+fn no_parts_are_listed_if_the_configuration_is_up_to_date() {
+    let other = node(1, long_configuration(7, 0));
+    let mut own = node(2, long_configuration(7, 0));
     assert_eq!(ask(&other, &mut own).held, []);
 }
 
 #[test]
-fn a_transfer_that_breaks_off_goes_on_at_another_node() {
-    let (one, other) = (node(1, long(8, 1)), node(2, long(8, 1)));
+fn an_interrupted_transfer_resumes_at_another_node() {
+    let (one, other) = (
+        node(1, long_configuration(8, 1)),
+        node(2, long_configuration(8, 1)),
+    );
     let mut behind = Dispatcher::new(options(3));
     let snapshot = one.snapshot(&ask(&one, &mut behind));
     let (parts, head) = (snapshot.parts, snapshot.manifest.expect("a head"));
@@ -147,18 +154,21 @@
     for part in arrived {
         behind.keep_part(part.clone());
     }
-    // Not all of it is there.
+    // Some parts are missing.
     assert!(!behind.take_head(at(1), &head));
     assert_eq!(behind.configuration_version(), 0);
     let rest = other.snapshot(&ask(&other, &mut behind));
     assert_eq!(rest.parts, lost);
     pass_on(&other, &mut behind);
-    assert_eq!(in_force(&behind), in_force(&other));
+    assert_eq!(sorted_in_force(&behind), sorted_in_force(&other));
 }
 
 #[test]
-fn parts_of_a_version_in_between_serve_the_next() {
-    let (old, next) = (node(1, long(7, 0)), node(2, long(8, 1)));
+fn parts_of_an_intermediate_version_are_reused() {
+    let (old, next) = (
+        node(1, long_configuration(7, 0)),
+        node(2, long_configuration(8, 1)),
+    );
     let mut behind = Dispatcher::new(options(3));
     for part in old.snapshot(&ask(&old, &mut behind)).parts {
         behind.keep_part(part);
@@ -168,7 +178,7 @@
 }
 
 #[test]
-fn what_is_received_and_never_used_stays_bounded() {
+fn unused_parts_stay_bounded() {
     let mut behind = Dispatcher::new(options(3));
     for form in 0..8 {
         let entries: Vec<Entry> = (0..ROUTES).map(|number| Entry { number, form }).collect();
@@ -177,10 +187,10 @@
             behind.keep_part(part);
         }
     }
-    let newest = node(2, long(9, 1));
+    let newest = node(2, long_configuration(9, 1));
     assert!(ask(&newest, &mut behind).held.len() <= 512);
     pass_on(&newest, &mut behind);
-    assert_eq!(in_force(&behind), in_force(&newest));
+    assert_eq!(sorted_in_force(&behind), sorted_in_force(&newest));
 }
 
 fn entries() -> impl Strategy<Value = Vec<Entry>> {
@@ -191,7 +201,7 @@
 proptest! {
     #![proptest_config(Config::with_cases(64))]
     #[test]
-    fn any_configuration_follows_any_other(
+    fn any_configuration_can_replace_any_other(
         old in entries(),
         new in entries(),
         lost in any::<u8>(),
@@ -200,18 +210,18 @@
         let (base, step) = versions;
         let newer = node(1, to_configuration(base + step, &new));
         let mut behind = node(2, to_configuration(base, &old));
-        // A transfer that broke off before.
+        // An earlier transfer that was interrupted.
         let broken = newer.snapshot(&ask(&newer, &mut behind)).parts;
         let arrived = broken.len() * usize::from(lost) / 256;
         for part in broken.into_iter().take(arrived) {
             behind.keep_part(part);
         }
         pass_on(&newer, &mut behind);
-        assert_eq!(in_force(&behind), in_force(&newer));
-        // And it can pass it on itself.
+        assert_eq!(sorted_in_force(&behind), sorted_in_force(&newer));
+        // The node can pass the configuration on in turn.
         let mut last = Dispatcher::new(options(3));
         pass_on(&behind, &mut last);
-        assert_eq!(in_force(&last), in_force(&newer));
+        assert_eq!(sorted_in_force(&last), sorted_in_force(&newer));
     }
 }
 
@@ -221,16 +231,16 @@
 }
 
 #[test]
-fn who_was_given_a_configuration_names_it_as_who_gave_it() {
-    let newer = node(1, long(8, 1));
-    let mut behind = node(2, long(7, 0));
+fn a_transferred_configuration_has_the_same_digest() {
+    let newer = node(1, long_configuration(8, 1));
+    let mut behind = node(2, long_configuration(7, 0));
     pass_on(&newer, &mut behind);
     assert_eq!(digest(&behind), digest(&newer));
 }
 
 #[test]
-fn one_version_with_two_contents_has_two_names() {
-    let names =
-        [(8, 1), (8, 2), (7, 1)].map(|(version, form)| digest(&node(1, long(version, form))));
+fn different_contents_of_one_version_have_different_digests() {
+    let names = [(8, 1), (8, 2), (7, 1)]
+        .map(|(version, form)| digest(&node(1, long_configuration(version, form))));
     assert!(names[0] != names[1] && names[0] != names[2]);
 }
--- a/crates/dispatch/tests/dispatch/restore.rs
+++ b/crates/dispatch/tests/dispatch/restore.rs
@@ -1,4 +1,5 @@
-//! The platform comes back with an older copy of what it had acknowledged.
+//! Lists of endpoints after the platform is restored from an older copy of the data it had
+//! acknowledged.
 
 use std::sync::Arc;
 
@@ -33,31 +34,31 @@
     }
 }
 
-/// A node that knows a list of the first era.
-fn know(endpoints: &[Endpoint]) -> Dispatcher {
+/// Returns a node that has a list of the first era.
+fn node_with_list(endpoints: &[Endpoint]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(options(1));
     dispatcher.set_configuration(at(0), configuration(1));
-    set(&mut dispatcher, at(0), list(1, 100, endpoints));
+    set_list(&mut dispatcher, at(0), list(1, 100, endpoints));
     dispatcher
 }
 
-fn set(dispatcher: &mut Dispatcher, now: Time, list: List) -> bool {
+fn set_list(dispatcher: &mut Dispatcher, now: Time, list: List) -> bool {
     dispatcher.set_endpoints(now, Arc::new(list))
 }
 
 /// Publishes a settled list of an era and a revision.
 fn publish(dispatcher: &mut Dispatcher, millis: u64, edition: (u64, u64), endpoints: &[Endpoint]) {
     let (era, revision) = edition;
-    set(dispatcher, at(millis), list(era, revision, endpoints));
+    set_list(dispatcher, at(millis), list(era, revision, endpoints));
 }
 
-/// Publishes a copy of the second era that may lack endpoints.
+/// Publishes an unsettled list of the second era, which may lack endpoints.
 fn restore(dispatcher: &mut Dispatcher, endpoints: &[Endpoint]) {
     let copy = List {
         settled: false,
         ..list(2, 99, endpoints)
     };
-    set(dispatcher, at(2_000), copy);
+    set_list(dispatcher, at(2_000), copy);
 }
 
 fn plain(name: &str) -> Endpoint {
@@ -78,7 +79,7 @@
     }
 }
 
-/// The endpoints that are sent requests, of ten that come at once.
+/// Returns the endpoints that are sent requests, of ten that arrive at once.
 fn used(dispatcher: &mut Dispatcher, now: Time) -> Vec<String> {
     for _ in 0..10 {
         dispatcher.enter(now, job(SERVICE, 2, now));
@@ -90,23 +91,27 @@
 
 #[test]
 fn a_lower_revision_of_a_later_era_is_newer() {
-    let mut dispatcher = know(&[plain("a")]);
-    assert!(set(&mut dispatcher, at(1), list(2, 90, &[plain("b")])));
-    assert!(!set(&mut dispatcher, at(2), list(1, 101, &[plain("a")])));
+    let mut dispatcher = node_with_list(&[plain("a")]);
+    assert!(set_list(&mut dispatcher, at(1), list(2, 90, &[plain("b")])));
+    assert!(!set_list(
+        &mut dispatcher,
+        at(2),
+        list(1, 101, &[plain("a")])
+    ));
     assert_eq!(used(&mut dispatcher, at(3)), ["b"]);
 }
 
 #[test]
-fn one_that_had_ended_is_not_used_though_the_copy_has_it() {
-    let mut dispatcher = know(&[plain("a"), plain("b")]);
+fn an_ended_endpoint_in_the_copy_is_not_used() {
+    let mut dispatcher = node_with_list(&[plain("a"), plain("b")]);
     publish(&mut dispatcher, 1_000, (1, 101), &[plain("b")]);
     publish(&mut dispatcher, 2_000, (2, 99), &[plain("a"), plain("b")]);
     assert_eq!(used(&mut dispatcher, at(2_001)), ["b"]);
 }
 
 #[test]
-fn one_that_was_leaving_still_is() {
-    let mut dispatcher = know(&[plain("a"), plain("b")]);
+fn a_leaving_endpoint_stays_leaving() {
+    let mut dispatcher = node_with_list(&[plain("a"), plain("b")]);
     publish(
         &mut dispatcher,
         1_000,
@@ -118,8 +123,8 @@
 }
 
 #[test]
-fn an_older_start_of_the_same_name_is_not_believed() {
-    let mut dispatcher = know(&[born("a", 5), plain("b")]);
+fn an_earlier_start_of_an_endpoint_is_ignored() {
+    let mut dispatcher = node_with_list(&[born("a", 5), plain("b")]);
     publish(
         &mut dispatcher,
         1_000,
@@ -134,42 +139,42 @@
 }
 
 #[test]
-fn one_that_the_copy_lacks_is_kept_until_the_list_is_settled() {
-    let mut dispatcher = know(&[plain("a")]);
+fn an_endpoint_missing_from_the_copy_is_kept_until_the_list_is_settled() {
+    let mut dispatcher = node_with_list(&[plain("a")]);
     publish(&mut dispatcher, 1_000, (1, 101), &[plain("a"), plain("b")]);
     restore(&mut dispatcher, &[plain("a")]);
     assert_eq!(used(&mut dispatcher, at(2_001)), ["a", "b"]);
-    let mut dispatcher = know(&[plain("a"), plain("b")]);
+    let mut dispatcher = node_with_list(&[plain("a"), plain("b")]);
     publish(&mut dispatcher, 2_000, (2, 99), &[plain("a")]);
     assert_eq!(used(&mut dispatcher, at(2_001)), ["a"]);
 }
 
 #[test]
-fn an_evacuation_holds_until_it_is_written_again() {
-    let mut dispatcher = know(&[plain("a")]);
+fn an_evacuation_holds_until_it_is_rewritten() {
+    let mut dispatcher = node_with_list(&[plain("a")]);
     let evacuated = List {
         evacuated: vec![id::DataCentre::new("a")],
         ..list(1, 101, &[plain("a")])
     };
-    set(&mut dispatcher, at(1_000), evacuated.clone());
+    set_list(&mut dispatcher, at(1_000), evacuated.clone());
     publish(&mut dispatcher, 2_000, (2, 99), &[plain("a")]);
     assert!(used(&mut dispatcher, at(2_001)).is_empty());
-    // Written again, then taken back.
+    // The evacuation is written again, then revoked.
     let again = List {
         era: Era(2),
         ..evacuated
     };
-    set(&mut dispatcher, at(4_000), again);
-    // Those that waited are refused first.
+    set_list(&mut dispatcher, at(4_000), again);
+    // Requests that waited are refused first.
     dispatcher.tick(at(12_900));
     publish(&mut dispatcher, 13_000, (2, 103), &[plain("a")]);
     assert_eq!(used(&mut dispatcher, at(13_001)), ["a"]);
 }
 
-/// What was never written again is over after a while, without another list.
+/// Corrections that were never written again expire without another list.
 #[test]
-fn the_copy_counts_as_it_is_after_a_while() {
-    let mut dispatcher = know(&[plain("a"), plain("b")]);
+fn corrections_expire() {
+    let mut dispatcher = node_with_list(&[plain("a"), plain("b")]);
     publish(&mut dispatcher, 1_000, (1, 101), &[plain("b")]);
     publish(&mut dispatcher, 2_000, (2, 99), &[plain("a"), plain("b")]);
     dispatcher.tick(at(11_999));
@@ -179,8 +184,8 @@
 }
 
 #[test]
-fn what_was_known_holds_over_two_drills_in_a_row() {
-    let mut dispatcher = know(&[plain("a"), plain("b")]);
+fn corrections_survive_a_second_restore() {
+    let mut dispatcher = node_with_list(&[plain("a"), plain("b")]);
     publish(&mut dispatcher, 1_000, (1, 101), &[plain("b")]);
     for (era, millis) in [(2, 2_000), (3, 4_000)] {
         publish(
@@ -193,36 +198,37 @@
     }
 }
 
-/// Within an era the platform's word stands: one that lapsed and is back is used.
+/// Within an era the platform takes precedence: an endpoint that lapsed and is listed again is
+/// used.
 #[test]
-fn one_that_comes_back_in_the_same_era_is_used() {
-    let mut dispatcher = know(&[plain("a"), plain("b")]);
+fn an_endpoint_that_returns_in_the_same_era_is_used() {
+    let mut dispatcher = node_with_list(&[plain("a"), plain("b")]);
     publish(&mut dispatcher, 1_000, (1, 101), &[plain("b")]);
     publish(&mut dispatcher, 2_000, (1, 102), &[plain("a"), plain("b")]);
     assert_eq!(used(&mut dispatcher, at(2_001)), ["a", "b"]);
 }
 
 #[test]
-fn a_node_that_reads_nothing_takes_the_new_era_from_others() {
-    let mut reader = know(&[plain("a")]);
-    set(&mut reader, at(1_000), list(2, 90, &[plain("b")]));
-    let mut other = know(&[plain("a")]);
+fn a_follower_takes_the_new_era_from_a_reader() {
+    let mut reader = node_with_list(&[plain("a")]);
+    set_list(&mut reader, at(1_000), list(2, 90, &[plain("b")]));
+    let mut other = node_with_list(&[plain("a")]);
     pass_on(&reader, &mut other);
     assert_eq!(other.edition(), reader.edition());
-    let mut behind = know(&[plain("c")]);
-    // The other way it is not newer.
+    let mut behind = node_with_list(&[plain("c")]);
+    // In the other direction, the list is not newer.
     let before = reader.edition();
-    set(&mut behind, at(1), list(1, 5_000, &[plain("c")]));
+    set_list(&mut behind, at(1), list(1, 5_000, &[plain("c")]));
     pass_on(&behind, &mut reader);
     assert_eq!(reader.edition(), before);
 }
 
-/// Builds that do not know of eras cannot say whether their list is from before.
+/// Nodes that do not support eras cannot tell whether their list predates a restore.
 #[rstest]
-#[case::they_say_nothing_of_eras(Protocol::FIRST, Era(0), 1, false)]
-#[case::they_are_ahead(Protocol::CURRENT, Era(1), 1, true)]
-#[case::this_node_has_no_list(Protocol::FIRST, Era(0), 0, true)]
-fn lists_of_others(
+#[case::without_eras(Protocol::FIRST, Era(0), 1, false)]
+#[case::newer(Protocol::CURRENT, Era(1), 1, true)]
+#[case::no_own_list(Protocol::FIRST, Era(0), 0, true)]
+fn lists_of_other_nodes(
     #[case] protocol: Protocol,
     #[case] era: Era,
     #[case] own: u64,
@@ -232,25 +238,25 @@
     if own > 0 {
         publish(&mut dispatcher, 0, (own, 100), &[]);
     }
-    let said = Status {
+    let reported = Status {
         incarnation: 2,
         sequence: 1,
         endpoints: list(era.0, 200, &[]).edition(),
         protocol,
         ..Status::default()
     };
-    dispatcher.hear(at(1), node(2), said);
+    dispatcher.hear(at(1), node(2), reported);
     let ahead = dispatcher.ahead_opt(at(2), Document::Endpoints, 0);
     assert_eq!(ahead.is_some(), asked);
 }
 
 #[rstest]
-#[case::nobody_is_heard(None, 200, false)]
-#[case::nobody_was_heard_in_time(None, 400, true)]
-#[case::another_has_the_same(Some(5), 100, true)]
-#[case::another_has_a_newer_one(Some(6), 400, false)]
-#[case::another_has_had_a_newer_one_for_long(Some(6), 1_200, true)]
-fn a_node_that_starts_asks_others_for_their_configuration(
+#[case::none_heard(None, 200, false)]
+#[case::none_heard_in_time(None, 400, true)]
+#[case::another_has_the_same_version(Some(5), 100, true)]
+#[case::another_has_a_newer_version(Some(6), 400, false)]
+#[case::newer_version_overdue(Some(6), 1_200, true)]
+fn a_starting_node_waits_for_a_newer_configuration(
     #[case] heard: Option<u64>,
     #[case] after: u64,
     #[case] ready: bool,
@@ -263,48 +269,45 @@
     dispatcher.set_configuration(at(0), configuration(5));
     publish(&mut dispatcher, 0, (2, 90), &[]);
     if let Some(configuration) = heard {
-        let said = Status {
+        let reported = Status {
             incarnation: 2,
             sequence: 1,
             configuration,
             ..Status::default()
         };
-        dispatcher.hear(at(50), node(2), said);
+        dispatcher.hear(at(50), node(2), reported);
     }
     assert_eq!(dispatcher.is_ready(at(after)), ready);
 }
 
-/// A node that is cut off right after the platform came back keeps what the copy lacked:
-/// no list told it yet that this is gone.
+/// A node that loses the platform right after a restore keeps the endpoints that the copy
+/// lacked, because no settled list has reported them as gone.
 #[test]
-fn what_an_unsettled_copy_lacks_is_kept_beyond_the_corrections() {
-    let mut dispatcher = know(&[plain("a"), plain("b"), plain("c")]);
+fn endpoints_missing_from_an_unsettled_copy_outlast_corrections() {
+    let mut dispatcher = node_with_list(&[plain("a"), plain("b"), plain("c")]);
     publish(&mut dispatcher, 1_000, (1, 101), &[plain("b"), plain("c")]);
     restore(&mut dispatcher, &[plain("a"), plain("b")]);
     dispatcher.tick(at(12_001));
     assert_eq!(used(&mut dispatcher, at(12_002)), ["a", "b", "c"]);
 }
 
-/// What users saw (in the soak, seed 11 of drills alone): three of four nodes refused all
-/// requests for 27 s and more, as if all data centres were evacuated, though none was. The
-/// order of events: one data centre was evacuated and taken back, the platform came back
-/// from a copy in which it still was, and again; a node read the new era first and held the
-/// evacuation for 10 s, as it must; the others took its list, with the evacuation in it.
-/// The cause: a node passed on its list as it had corrected it, under the edition that the
-/// platform's own list has. Once the correction ended nothing told the others, and reads of
-/// their own were dropped, being of the same edition. The evidence: at the end the node that
-/// had corrected served, and those that had its list did not, all in one era and revision.
+/// Guards against a failure in which three of four nodes refused all requests for 27 s and
+/// more, as if every data centre were evacuated. The platform was restored twice from a copy
+/// that still contained an evacuation since revoked. One node read the new era and kept the
+/// evacuation for 10 s, as it should, but passed its corrected list on under the edition of the
+/// platform's own list. When the correction expired, nothing told the other nodes, and they
+/// dropped what they read themselves because it had the same edition.
 #[test]
-fn a_correction_ends_for_nodes_that_took_the_list_from_others() {
-    let mut reader = know(&[plain("a")]);
+fn a_correction_expires_on_nodes_that_received_the_list() {
+    let mut reader = node_with_list(&[plain("a")]);
     let evacuated = List {
         evacuated: vec![id::DataCentre::new("a")],
         ..list(1, 101, &[plain("a")])
     };
-    set(&mut reader, at(1_000), evacuated);
+    set_list(&mut reader, at(1_000), evacuated);
     publish(&mut reader, 2_000, (2, 99), &[plain("a")]);
     assert_eq!(used(&mut reader, at(2_100)), [""; 0]);
-    let mut other = know(&[plain("a")]);
+    let mut other = node_with_list(&[plain("a")]);
     pass_on(&reader, &mut other);
     for millis in (2_100..=13_000).step_by(100) {
         reader.tick(at(millis));
--- a/crates/dispatch/tests/dispatch/section.rs
+++ b/crates/dispatch/tests/dispatch/section.rs
@@ -1,4 +1,4 @@
-//! Lists of endpoints on their way from node to node.
+//! Transfer of lists of endpoints between nodes in sections.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 use crate::support::options;
 use crate::support::pass_on;
 
-/// So many endpoints, with names as long as they are in the field.
+/// Returns `count` endpoints with names of a realistic length.
 fn many(count: u32) -> Vec<Endpoint> {
     let names = (0..count).map(|number| format!("i-{number:010x}"));
     names.map(|name| endpoint(&name, MODEL, 6)).collect()
@@ -39,12 +39,12 @@
         .collect()
 }
 
-/// One of many endpoints leaves. Bytes are those of the answer: before lists had
-/// sections 4,818 and 89,904, and 151 and 1,253 since. A question takes 569 and 610.
+/// One of many endpoints starts to leave. Answers measured 151 and 1,253 bytes, where whole
+/// lists take 4,818 and 89,904; a question takes 569 and 610.
 #[rstest]
 #[case::of_166(166, 200)]
 #[case::of_3100(3_100, 2_000)]
-fn a_changed_entry_costs_little(#[case] count: u32, #[case] most: usize) {
+fn a_changed_entry_transfers_little(#[case] count: u32, #[case] most: usize) {
     let mut endpoints = many(count);
     let mut behind = node(1, 1, &endpoints);
     endpoints[7].leaving = true;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_node_without_a_list_is_given_all_of_it() {
+fn a_node_without_a_list_receives_all_of_it() {
     let ahead = node(2, 2, &many(166));
     let mut new = Dispatcher::new(options(1));
     pass_on(&ahead, &mut new);
@@ -63,12 +63,12 @@
 }
 
 #[test]
-fn the_order_of_a_list_does_not_matter() {
+fn the_order_of_entries_does_not_matter() {
     let endpoints = many(166);
-    let mut turned = endpoints.clone();
-    turned.reverse();
+    let mut reversed = endpoints.clone();
+    reversed.reverse();
     let one = list(1, &endpoints);
-    let other = list(2, &turned);
+    let other = list(2, &reversed);
     let difference = Difference::new(&other, &Index::new(&other), &Index::new(&one));
     assert_eq!(difference.sections, []);
 }
@@ -86,9 +86,9 @@
 }
 
 proptest! {
-    /// Whatever both lists hold, what comes out is the newer one, entry by entry.
+    /// A difference between any two lists yields the newer one, entry by entry.
     #[test]
-    fn a_difference_leads_to_the_newer_list(old in endpoints(), new in endpoints()) {
+    fn a_difference_yields_the_newer_list(old in endpoints(), new in endpoints()) {
         let old = list(1, &old);
         let new = list(2, &new);
         let difference = Difference::new(&new, &Index::new(&new), &Index::new(&old));
--- a/crates/dispatch/tests/dispatch/wire/mod.rs
+++ b/crates/dispatch/tests/dispatch/wire/mod.rs
@@ -1,4 +1,4 @@
-//! What goes from node to node keeps the layout that builds in service read.
+//! Compatibility of the encoding of messages with builds in service.
 
 use std::collections::HashMap;
 
@@ -15,20 +15,20 @@
 
 mod samples;
 
-/// What builds of the first protocol write.
+/// Messages as encoded by builds of the first protocol version.
 const FIRST: &str = include_str!("8.hex");
 
-/// What builds of the protocol with eras write.
+/// Messages as encoded by builds of the version that added eras.
 const ERAS: &str = include_str!("9.hex");
 
-/// What builds of the protocol with rate limits write.
+/// Messages as encoded by builds of the version that added rate limits.
 const RATE_LIMITS: &str = include_str!("10.hex");
 
-/// What this build writes.
-const OWN: &str = include_str!("11.hex");
+/// Messages as encoded by this build.
+const CURRENT: &str = include_str!("11.hex");
 
-/// Messages in a file, by name.
-fn kept(file: &str) -> HashMap<&str, Vec<u8>> {
+/// Returns the messages in a file, by name.
+fn samples_of(file: &str) -> HashMap<&str, Vec<u8>> {
     let lines = file.lines().filter_map(|line| line.split_once(' '));
     lines.map(|(name, hex)| (name, to_bytes(hex))).collect()
 }
@@ -41,8 +41,8 @@
         .collect()
 }
 
-/// Everything, by name and as this build writes it.
-fn written() -> Vec<(String, Vec<u8>)> {
+/// Returns every sample message, by name, as encoded by this build.
+fn encoded() -> Vec<(String, Vec<u8>)> {
     let messages = samples::messages().into_iter();
     let messages = messages.map(|(name, message)| (name.to_owned(), message));
     let messages = messages.chain(samples::refusals());
@@ -52,30 +52,30 @@
     let frames = samples::frames().into_iter();
     let frames = frames.map(|(name, frame)| (name.to_owned(), wire::frame_to_bytes(&frame)));
     let all = messages.chain(pulls).chain(frames);
-    all.map(|(name, bytes)| (name, bytes.expect("it can be written")))
+    all.map(|(name, bytes)| (name, bytes.expect("encodes")))
         .collect()
 }
 
 #[test]
-fn what_is_written_is_kept() {
-    let kept = kept(OWN);
-    for (name, bytes) in written() {
+fn the_encoding_does_not_change() {
+    let stored = samples_of(CURRENT);
+    for (name, bytes) in encoded() {
         assert_eq!(
-            kept.get(name.as_str()),
+            stored.get(name.as_str()),
             Some(&bytes),
-            "{name} is written otherwise than by builds in service: raise the protocol \
-             and keep the new bytes beside the old (docs/PROTOCOL.md)"
+            "{name} is encoded differently than by builds in service: raise the protocol \
+             version and store the new bytes beside the old"
         );
     }
 }
 
-/// Builds of the first protocol read a message and leave what stands behind it.
+/// Builds of the first version decode a message and ignore what is appended to it.
 #[test]
-fn builds_of_the_first_protocol_read_all_that_is_written() {
-    let first = kept(FIRST);
-    let written: HashMap<String, Vec<u8>> = written().into_iter().collect();
+fn builds_of_the_first_version_decode_every_message() {
+    let first = samples_of(FIRST);
+    let encoded: HashMap<String, Vec<u8>> = encoded().into_iter().collect();
     for (name, before) in &first {
-        let now = &written[*name];
+        let now = &encoded[*name];
         assert!(now.starts_with(before), "{name}");
         let (skip, read): (usize, fn(&[u8]) -> bool) = match *name {
             "pull" => (0, |bytes| postcard::from_bytes::<Pull>(bytes).is_ok()),
@@ -88,20 +88,20 @@
     }
 }
 
-/// What builds of the protocol with eras read behind a status.
+/// What builds of the version with eras decode after a status.
 #[derive(Debug, PartialEq, Deserialize)]
 struct EraExtension {
     protocol: u8,
     era: u64,
 }
 
-/// Builds of the protocol with eras read a message and their addition, and leave what
-/// stands behind it. Messages that they do not know are not sent to them.
+/// Builds of the version with eras decode a message and its extension, and ignore what follows.
+/// They are never sent message types that they do not know.
 #[test]
-fn builds_with_eras_read_all_that_is_written() {
-    let written: HashMap<String, Vec<u8>> = written().into_iter().collect();
-    for name in kept(ERAS).keys() {
-        let bytes = &written[*name];
+fn builds_with_eras_decode_every_message() {
+    let encoded: HashMap<String, Vec<u8>> = encoded().into_iter().collect();
+    for name in samples_of(ERAS).keys() {
+        let bytes = &encoded[*name];
         if !["status", "check", "report-ended"].contains(name) {
             continue;
         }
@@ -121,25 +121,26 @@
     }
 }
 
-/// Builds of the protocol with rate limits leave what stands behind them.
+/// Builds of the version with rate limits ignore what is appended after them.
 #[test]
-fn builds_with_rate_limits_read_all_that_is_written() {
-    let written: HashMap<String, Vec<u8>> = written().into_iter().collect();
-    let kept = kept(RATE_LIMITS);
-    // The byte of the protocol itself differs in a status and a question for documents.
-    for (name, before) in kept.iter().filter(|(name, _)| **name != "status") {
-        let now = &written[*name];
+fn builds_with_rate_limits_decode_every_message() {
+    let encoded: HashMap<String, Vec<u8>> = encoded().into_iter().collect();
+    let stored = samples_of(RATE_LIMITS);
+    // Only the byte with the protocol version differs in a status, a pull and a list of
+    // endpoints.
+    for (name, before) in stored.iter().filter(|(name, _)| **name != "status") {
+        let now = &encoded[*name];
         let is_numbered = *name == "pull" || name.starts_with("frame-endpoints");
         let differ = before.iter().zip(now).filter(|(old, new)| old != new);
         assert!(differ.count() <= usize::from(is_numbered), "{name}");
         assert!(now.len() >= before.len(), "{name}");
     }
-    let (before, now) = (&kept["status"], &written["status"]);
+    let (before, now) = (&stored["status"], &encoded["status"]);
     let differ = before.iter().zip(now).filter(|(old, new)| old != new);
     assert_eq!(differ.count(), 1);
 }
 
-/// A message with a status changed, where it is one.
+/// Returns the message with its status changed, if it is a status.
 fn with_status(mut message: Message, change: impl FnOnce(&mut Status)) -> Message {
     if let Message::Status(status) = &mut message {
         change(status);
@@ -147,7 +148,7 @@
     message
 }
 
-/// A message without what the protocol with rate limits does not have.
+/// Returns the message without what the version with rate limits lacks.
 fn without_notices(mut message: Message) -> Message {
     if let Message::Lease(request) = &mut message {
         request.avoided.clear();
@@ -158,7 +159,7 @@
     })
 }
 
-/// A message without what the protocol with eras does not have.
+/// Returns the message without what the version with eras lacks.
 fn without_rate_limits(message: Message) -> Message {
     with_status(without_notices(message), |status| {
         status.protocol = Protocol::ERAS;
@@ -166,8 +167,8 @@
     })
 }
 
-/// A message without what the first protocol does not have.
-fn without_additions(message: Message) -> Message {
+/// Returns the message without what the first version lacks.
+fn without_extensions(message: Message) -> Message {
     with_status(without_rate_limits(message), |status| {
         status.protocol = Protocol::FIRST;
         status.endpoints.era = Era::default();
@@ -175,17 +176,17 @@
 }
 
 #[rstest]
-#[case::of_the_first_protocol(FIRST, without_additions)]
+#[case::of_the_first_protocol(FIRST, without_extensions)]
 #[case::of_the_protocol_with_eras(ERAS, without_rate_limits)]
 #[case::of_the_protocol_with_rate_limits(RATE_LIMITS, without_notices)]
-#[case::of_this_build(OWN, |message| message)]
-fn datagrams_are_read(#[case] file: &str, #[case] expected: fn(Message) -> Message) {
-    let kept = kept(file);
+#[case::of_this_build(CURRENT, |message| message)]
+fn datagrams_are_decoded(#[case] file: &str, #[case] expected: fn(Message) -> Message) {
+    let stored = samples_of(file);
     let messages = samples::messages().into_iter();
     let messages = messages.map(|(name, message)| (name.to_owned(), message));
     for (name, message) in messages.chain(samples::refusals()) {
-        let Some(bytes) = kept.get(name.as_str()) else {
-            // A code or an event that the build did not have.
+        let Some(bytes) = stored.get(name.as_str()) else {
+            // A code or an event that the older build does not have.
             let later = ["refused-", "report-rate-limit"];
             assert!(later.iter().any(|one| name.starts_with(one)), "{name}");
             continue;
@@ -196,12 +197,12 @@
 }
 
 #[test]
-fn questions_and_answers_of_the_first_protocol_are_read() {
-    let kept = kept(FIRST);
+fn transfers_of_the_first_version_are_decoded() {
+    let stored = samples_of(FIRST);
     for (name, mut pull) in samples::pulls() {
         pull.protocol = Protocol::FIRST;
         pull.known.endpoints.era = Era::default();
-        assert_eq!(wire::pull_from_bytes(&kept[name]), Ok(pull));
+        assert_eq!(wire::pull_from_bytes(&stored[name]), Ok(pull));
     }
     for (name, mut frame) in samples::frames() {
         match &mut frame {
@@ -209,8 +210,8 @@
             Frame::Manifest(head) => head.restrictions = Restrictions::default(),
             Frame::Busy | Frame::Part(_) => {}
         }
-        match (wire::frame_from_bytes(&kept[name]), frame) {
-            // Regions are not in the part.
+        match (wire::frame_from_bytes(&stored[name]), frame) {
+            // The encoded part does not contain regions.
             (Ok(Frame::Part(read)), Frame::Part(part)) => {
                 assert_eq!(read.to_digest(), part.to_digest(), "{name}");
             }
@@ -220,13 +221,13 @@
 }
 
 #[test]
-fn questions_and_answers_come_back_as_they_went() {
-    let kept = kept(OWN);
+fn transfers_round_trip() {
+    let stored = samples_of(CURRENT);
     for (name, pull) in samples::pulls() {
-        assert_eq!(wire::pull_from_bytes(&kept[name]), Ok(pull));
+        assert_eq!(wire::pull_from_bytes(&stored[name]), Ok(pull));
     }
     for (name, frame) in samples::frames() {
-        let read = wire::frame_from_bytes(&kept[name]);
+        let read = wire::frame_from_bytes(&stored[name]);
         match (read, frame) {
             (Ok(Frame::Part(read)), Frame::Part(part)) => {
                 assert_eq!(read.to_digest(), part.to_digest(), "{name}");
@@ -236,22 +237,22 @@
     }
 }
 
-/// What a later build adds stands behind what this one knows.
+/// This build ignores what later builds append.
 #[test]
-fn what_later_builds_add_is_left() {
+fn appended_bytes_are_ignored() {
     for (name, message) in samples::messages() {
         let Message::Status(_) = message else {
             continue;
         };
-        let mut bytes = wire::to_datagram(&message).expect("it can be written");
+        let mut bytes = wire::to_datagram(&message).expect("encodes");
         bytes.extend([1, 2, 3]);
         assert_eq!(wire::try_from_datagram(&bytes), Some(message), "{name}");
     }
 }
 
 #[test]
-fn another_layout_or_nonsense_is_not_read() {
-    let mut bytes = kept(OWN)["check"].clone();
+fn other_layouts_and_invalid_bytes_are_rejected() {
+    let mut bytes = samples_of(CURRENT)["check"].clone();
     bytes[0] += 1;
     assert_eq!(wire::try_from_datagram(&bytes), None);
     assert_eq!(wire::try_from_datagram(&[]), None);
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -1,4 +1,4 @@
-//! One of every kind of message, with all that it can hold.
+//! Sample messages: one of every kind, with every field in use.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -193,7 +193,7 @@
     }
 }
 
-/// Everything that goes by datagram.
+/// Returns every kind of datagram, by name.
 pub fn messages() -> Vec<(&'static str, Message)> {
     let reserved = |verdict| Message::Reserved(Reserved { number: 4, verdict });
     let leased = |answer| Message::Leased(lease::Reply { number: 5, answer });
@@ -260,7 +260,7 @@
     ]
 }
 
-/// What is answered with each code, by the code.
+/// Returns a refusal with each code, by name.
 pub fn refusals() -> Vec<(String, Message)> {
     let refused = |code: &Code| {
         let answer = Answer::Refused(refusal(*code));
@@ -338,7 +338,7 @@
     }
 }
 
-/// Every question for documents.
+/// Returns every question for documents, by name.
 pub fn pulls() -> Vec<(&'static str, Pull)> {
     let held = vec![parts::Part::default().to_digest()];
     let known = Versions {
@@ -354,7 +354,7 @@
     vec![("pull", pull)]
 }
 
-/// Everything that a node gives to another.
+/// Returns every frame of a snapshot, by name.
 pub fn frames() -> Vec<(&'static str, Frame)> {
     let configuration = configuration();
     let index = parts::Index::new(&configuration);
