--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -138,7 +138,7 @@
         // earlier build doesn't know them and would grant the same one again.
         worker.rest.is_resting(now).then(|| UnusableSlot {
             end: End::Abandoned,
-            excludes_endpoint: !self.members.knows_notices(owner),
+            excludes_endpoint: !self.members.supports_notices(owner),
         })
     }
 
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -116,11 +116,11 @@
             false => self.slot_owner(now, pool, endpoint),
         };
         match owner {
-            Owner::Unheard => local,
-            Owner::Own => Arbiter::Local {
+            Owner::Unreachable => local,
+            Owner::Local => Arbiter::Local {
                 only: endpoint.filter(|_| pool.shared),
             },
-            Owner::Other(owner) => Arbiter::Remote(LeaseTarget { owner, endpoint }),
+            Owner::Remote(owner) => Arbiter::Remote(LeaseTarget { owner, endpoint }),
         }
     }
 
@@ -128,12 +128,12 @@
     /// a fleet of one cell every node decides on its own, except for rate-limited
     /// endpoints.
     pub(super) fn slot_owner(&self, now: Time, pool: &Pool, endpoint: Option<u32>) -> Owner {
-        let whole = self.members.cell().whole;
+        let whole = self.members.cell().covers_fleet;
         let (scope, key) = match endpoint {
             Some(endpoint) if !whole => (Scope::Fleet, endpoint),
-            Some(endpoint) if pool.is_rate_limited(endpoint) => (Scope::Keepers, endpoint),
+            Some(endpoint) if pool.is_rate_limited(endpoint) => (Scope::RateLimitCapable, endpoint),
             None if !whole => (Scope::Cell, pool.number),
-            Some(_) | None => return Owner::Own,
+            Some(_) | None => return Owner::Local,
         };
         self.members.owner(now, scope, u64::from(key))
     }
@@ -157,7 +157,7 @@
         } else {
             confirmed
         };
-        let one_cell = self.members.cell().whole;
+        let one_cell = self.members.cell().covers_fleet;
         let (samples, load_of): (usize, &dyn Fn(&Worker) -> f64) = match one_cell {
             true => (SAMPLED_ENDPOINTS_IN_ONE_CELL, &|worker| {
                 self.owner_wait_seconds(now, pool, worker)
@@ -198,9 +198,9 @@
         let limits = kept.filter_map(|other| other.rate_limit.limit_opt());
         let rate: f64 = limits.map(Limit::per_second).sum();
         let reported_waiting = match owner {
-            Owner::Own => pool.queue.len(),
-            Owner::Other(owner) => self.members.waiting_at(owner, pool.number),
-            Owner::Unheard => 0,
+            Owner::Local => pool.queue.len(),
+            Owner::Remote(owner) => self.members.waiting_at(owner, pool.number),
+            Owner::Unreachable => 0,
         };
         (reported_waiting + self.open_requests_at(worker) + 1) as f64 / rate
     }
@@ -314,7 +314,7 @@
         }
         let is_silent = open_request.unanswered >= MAX_UNANSWERED;
         if is_silent {
-            self.members.note_unanswered(now, open_request.owner);
+            self.members.record_unanswered(now, open_request.owner);
         }
         if is_silent || (answered && !self.is_still_owner(now, id)) {
             if let Some(OpenRequest { job: Some(job), .. }) = self.cancel_open_request(id) {
@@ -335,7 +335,7 @@
         };
         let worker = self.worker_opt(target, endpoint);
         let is_closed = |worker: &Worker| !worker.is_open() || worker.rest.is_resting(now);
-        !self.members.cell().whole && worker.is_some_and(is_closed)
+        !self.members.cell().covers_fleet && worker.is_some_and(is_closed)
     }
 
     /// Returns the state of a service's endpoint by its number.
@@ -354,14 +354,14 @@
         let Some((pool, job)) = pool.zip(open_request.job.as_ref()) else {
             return false;
         };
-        if self.members.cell().whole && !self.is_fully_rate_limited(now, pool, job) {
+        if self.members.cell().covers_fleet && !self.is_fully_rate_limited(now, pool, job) {
             return false;
         }
         if self.is_displaced(pool, job) {
             let mut hosts = self.fallback_owners(now, pool, job).into_iter();
             return hosts.any(|(owner, _)| owner == open_request.owner);
         }
-        self.slot_owner(now, pool, open_request.endpoint) == Owner::Other(open_request.owner)
+        self.slot_owner(now, pool, open_request.endpoint) == Owner::Remote(open_request.owner)
     }
 
     /// Cancels an open request and returns it.
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -40,7 +40,7 @@
     /// data centre, or all endpoints of the cell are leaving. Never the case for a shared service
     /// or in a fleet of one cell.
     pub(super) fn is_displaced(&self, pool: &Pool, job: &Job) -> bool {
-        if self.members.cell().whole || pool.shared {
+        if self.members.cell().covers_fleet || pool.shared {
             return false;
         }
         let own = &self.options.data_centre;
@@ -90,16 +90,16 @@
         let all: u64 = hosts.iter().map(|(_, slots)| u64::from(*slots)).sum();
         let drawn = hash::chain(self.options.incarnation, &turn.to_le_bytes());
         let Some(mut at) = drawn.checked_rem(all) else {
-            return Owner::Unheard;
+            return Owner::Unreachable;
         };
         for (owner, slots) in hosts {
             let slots = u64::from(slots);
             if at < slots {
-                return Owner::Other(owner);
+                return Owner::Remote(owner);
             }
             at -= slots;
         }
-        Owner::Unheard
+        Owner::Unreachable
     }
 
     /// Returns the slot owners in data centres that are not evacuated and in which a request may
@@ -110,8 +110,10 @@
         pool: &Pool,
         job: &Job,
     ) -> Vec<(SocketAddrV4, u32)> {
-        let owners = self.members.other_owners(now, u64::from(pool.number), 0);
-        let cells = self.members.cells_by_data_centre();
+        let owners = self
+            .members
+            .owners_in_other_cells(now, u64::from(pool.number), 0);
+        let cells = self.members.other_cell_counts();
         let centres = owners.into_iter().filter_map(|owner| {
             let centre = self.members.data_centre_opt(owner)?;
             let allowed = self.options.regions.allows_number(&job.bound, centre);
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -45,7 +45,7 @@
     /// Reports an endpoint's limit to the owner of the slot, which may be in another cell
     /// and would otherwise learn of it seconds later.
     fn report_rate_limit(&mut self, lease: Lease, limit: Option<Limit>) {
-        if self.members.keeps_rate_limits(lease.owner) {
+        if self.members.supports_rate_limits(lease.owner) {
             let event = lease::Event::RateLimit { limit };
             self.send_lease_report(lease.owner, lease.number, event);
         }
@@ -144,6 +144,6 @@
     /// owner does not enforce rate limits, because the rate that such an owner grants to
     /// other nodes is unknown.
     pub(super) fn may_use_slot(&self, owner: SocketAddrV4, worker: &Worker) -> bool {
-        !worker.is_rate_limited() || self.members.keeps_rate_limits(owner)
+        !worker.is_rate_limited() || self.members.supports_rate_limits(owner)
     }
 }
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -165,7 +165,9 @@
             origin: Some(origin),
             // In a fleet of one cell the endpoint only selects the owner, which may grant
             // any rate-limited endpoint that it owns.
-            only_endpoint: request.endpoint.filter(|_| !self.members.cell().whole),
+            only_endpoint: request
+                .endpoint
+                .filter(|_| !self.members.cell().covers_fleet),
             avoided: request.avoided.clone(),
             trial: false,
             bound: Constraint::default(),
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -63,7 +63,7 @@
 use crate::quota::Accounts;
 use crate::rate_limit;
 use crate::region;
-use crate::restore::Memory;
+use crate::restore::Corrections;
 use crate::section;
 use crate::table::Table;
 use crate::turnaround::Turnaround;
@@ -212,7 +212,7 @@
     /// The list as published by the platform, if `list` contains corrections.
     uncorrected: Option<Arc<List>>,
     /// Facts from earlier lists that an older copy of the platform's data may lack.
-    memory: Memory,
+    memory: Corrections,
     pools: HashMap<id::Target, Pool>,
     targets: HashMap<job::Id, id::Target>,
     runs: HashMap<job::Id, Run>,
@@ -279,7 +279,7 @@
             list: Arc::default(),
             sections: section::Index::default(),
             uncorrected: None,
-            memory: Memory::default(),
+            memory: Corrections::default(),
             pools: HashMap::new(),
             targets: HashMap::new(),
             runs: HashMap::new(),
--- a/crates/dispatch/src/dispatcher/permit.rs
+++ b/crates/dispatch/src/dispatcher/permit.rs
@@ -47,10 +47,10 @@
         if self.accounts.is_discovering(now) {
             return Authority::Service(false);
         }
-        if pool.shared || self.members.cell().whole {
+        if pool.shared || self.members.cell().covers_fleet {
             return Authority::PerEndpoint;
         }
-        Authority::Service(self.slot_owner(now, pool, None) == Owner::Own)
+        Authority::Service(self.slot_owner(now, pool, None) == Owner::Local)
     }
 
     /// Whether the limits of an endpoint allow a request to be sent there now.
@@ -74,7 +74,7 @@
         let key = u64::from(worker.number);
         match permit.authority {
             Authority::Service(may) => may,
-            Authority::PerEndpoint => self.members.owner(now, Scope::Fleet, key) == Owner::Own,
+            Authority::PerEndpoint => self.members.owner(now, Scope::Fleet, key) == Owner::Local,
         }
     }
 
@@ -102,7 +102,9 @@
     ) -> bool {
         match permit.authority {
             Authority::Service(may) => may,
-            Authority::PerEndpoint => self.slot_owner(now, pool, Some(worker.number)) == Owner::Own,
+            Authority::PerEndpoint => {
+                self.slot_owner(now, pool, Some(worker.number)) == Owner::Local
+            }
         }
     }
 
@@ -112,7 +114,7 @@
     /// Without this rule the callers of an owner would use up the rate limit of its endpoints, and
     /// callers of a node that owns none would not be served at all.
     pub(super) fn is_fully_rate_limited(&self, now: Time, pool: &Pool, job: &Job) -> bool {
-        if !self.members.cell().whole {
+        if !self.members.cell().covers_fleet {
             return false;
         }
         let options = &self.options.worker;
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -89,7 +89,7 @@
     ) -> Option<(job::Id, Candidate)> {
         let pool = self.pools.get(target)?;
         let free: u32 = self.free_slots(now, pool);
-        let one_cell = self.members.cell().whole;
+        let one_cell = self.members.cell().covers_fleet;
         let limited = one_cell && pool.workers.iter().any(Worker::is_rate_limited);
         for (id, job) in pool.queue.iter().take(self.options.policy.look_ahead) {
             // Leaves the free slots to more protected requests that wait on other nodes, except for
@@ -125,7 +125,7 @@
     /// Counts the free slots of this cell. In a fleet of one cell, endpoints with a rate limit are
     /// left out because only their owners hand out their slots.
     pub(super) fn free_slots(&self, now: Time, pool: &Pool) -> u32 {
-        let one_cell = self.members.cell().whole;
+        let one_cell = self.members.cell().covers_fleet;
         let usable = pool.workers.iter().filter(|worker| {
             let options = &self.options.worker;
             let open = match one_cell {
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -18,7 +18,7 @@
 use crate::length::Lengths;
 use crate::notice::Change;
 use crate::notice::Update;
-use crate::parts::Head;
+use crate::parts::Manifest;
 use crate::parts::Part;
 use crate::prefix_cache;
 use crate::prefix_cache::PrefixCache;
@@ -109,7 +109,7 @@
             true => list,
             false => Arc::new(list.merge(&self.list)),
         };
-        self.memory.note(now, &self.list, &list);
+        self.memory.record_list(now, &self.list, &list);
         self.sections = section::Index::new(&list);
         self.list = list;
         self.has_news = true;
@@ -206,7 +206,7 @@
 
     /// Assembles and applies a configuration from the parts that other nodes sent. Returns
     /// false if one at least as new is in force or if parts are missing.
-    pub fn receive_manifest(&mut self, now: Time, head: &Head) -> bool {
+    pub fn receive_manifest(&mut self, now: Time, head: &Manifest) -> bool {
         if head.version <= self.configuration_version() {
             return false;
         }
@@ -222,7 +222,7 @@
     /// endpoints for all cells is shared by them.
     pub(super) fn assign_cell_workers(&mut self) {
         let cell = self.members.cell();
-        let cells = self.members.cells();
+        let cells = self.members.cell_count();
         let own = &self.options.data_centre;
         for pool in self.pools.values_mut() {
             let mut listed: Vec<&mut Worker> = pool
@@ -230,8 +230,8 @@
                 .iter_mut()
                 .filter(|worker| worker.listed)
                 .collect();
-            pool.shared = !cell.whole && listed.len() < cells * MIN_ENDPOINTS_PER_CELL;
-            let all = cell.whole || pool.shared;
+            pool.shared = !cell.covers_fleet && listed.len() < cells * MIN_ENDPOINTS_PER_CELL;
+            let all = cell.covers_fleet || pool.shared;
             for worker in &mut listed {
                 worker.own_cell = all;
             }
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -87,7 +87,7 @@
 
     /// The configuration versions reported by other nodes, newest first.
     pub fn peer_configuration_versions(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
-        self.members.configurations(now)
+        self.members.configuration_versions(now)
     }
 
     /// The list of endpoints in force.
@@ -118,10 +118,10 @@
     /// platform alone is believed.
     fn is_catching_up(&self, now: Time) -> bool {
         let started = self.accounts.started();
-        if now.since(started) >= CATCH_UP_TIMEOUT || self.members.has_nobody_to_ask() {
+        if now.since(started) >= CATCH_UP_TIMEOUT || self.members.has_no_peers() {
             return false;
         }
-        match self.members.newest_configuration_opt(now) {
+        match self.members.newest_configuration_version_opt(now) {
             None => self.accounts.is_discovering(now),
             Some(newest) => newest > self.configuration_version(),
         }
@@ -175,7 +175,7 @@
 
     /// Whether at least as many other nodes serve as are stopping, and at least one serves.
     pub fn are_most_peers_serving(&self, now: Time) -> bool {
-        let others = self.members.fresh(now);
+        let others = self.members.live(now);
         let (stopping, serving): (Vec<_>, Vec<_>) =
             others.partition(|(_, member)| member.status.leaving);
         serving.len() >= stopping.len().max(1)
@@ -213,13 +213,13 @@
 
     /// Whether a node belongs to this node's cell.
     pub fn is_near(&self, address: SocketAddrV4) -> bool {
-        self.members.is_near(address)
+        self.members.is_in_cell(address)
     }
 
     /// Counts the other nodes that are heard, by protocol version.
     pub fn peers_by_protocol(&self, now: Time) -> BTreeMap<Protocol, i64> {
         let mut heard = BTreeMap::new();
-        for (_, member) in self.members.fresh(now) {
+        for (_, member) in self.members.live(now) {
             *heard.entry(member.status.protocol).or_default() += 1;
         }
         heard
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -9,16 +9,16 @@
 
 use super::Dispatcher;
 use crate::endpoint;
-use crate::member::News;
-use crate::member::Occasion;
-use crate::member::Reading;
+use crate::member::Reception;
+use crate::member::Role;
+use crate::member::Trigger;
 use crate::message::Document;
-use crate::message::Known;
 use crate::message::Load;
 use crate::message::Pull;
 use crate::message::Snapshot;
 use crate::message::Status;
-use crate::message::Trouble;
+use crate::message::Unavailability;
+use crate::message::Versions;
 use crate::message::Waiting;
 use crate::parts::Digest;
 use crate::protocol::Protocol;
@@ -61,22 +61,27 @@
 impl Dispatcher {
     /// Handles another node's status. The load it reports counts from the next tick on,
     /// which keeps a status cheap to handle in a large fleet.
-    pub fn receive_status(&mut self, now: Time, from: SocketAddrV4, mut status: Status) -> News {
+    pub fn receive_status(
+        &mut self,
+        now: Time,
+        from: SocketAddrV4,
+        mut status: Status,
+    ) -> Reception {
         self.accounts.note_start(now);
         let findings = std::mem::take(&mut status.findings);
         let rate_limits = std::mem::take(&mut status.rate_limits);
         let notices = std::mem::take(&mut status.notices);
-        let quarantine = status.quarantine;
+        let quarantine = status.quarantine_digest;
         let incarnation = status.incarnation;
         let usage = status.usage.clone();
-        let news = self.members.hear(now, from, status);
-        if news == News::Old {
+        let news = self.members.record_status(now, from, status);
+        if news == Reception::Stale {
             return news;
         }
         let reporter = Reporter {
             address: from,
             incarnation,
-            known: news == News::Known,
+            known: news == Reception::Refreshed,
         };
         let reach = self.members.reach(now);
         let table = self.table.as_ref();
@@ -97,18 +102,18 @@
     /// Sums up the load and the trouble that other nodes report for each endpoint.
     pub(super) fn sum_remote_loads(&mut self, now: Time) {
         let mut sums: HashMap<u32, RemoteLoad> = HashMap::new();
-        for (_, member) in self.members.fresh(now) {
+        for (_, member) in self.members.live(now) {
             let loads = &member.status.loads;
             let credible = !is_cut_off(loads);
             for load in loads {
                 let sum = sums.entry(load.endpoint).or_default();
                 sum.running += u32::from(load.running);
-                sum.pending += u64::from(load.pending);
-                match load.trouble {
-                    Some(Trouble::Gone) => sum.trouble.gone += 1,
-                    Some(Trouble::Failing) => sum.trouble.failing += 1,
-                    Some(Trouble::Unreachable) if credible => sum.trouble.unreachable += 1,
-                    Some(Trouble::Unreachable) | None => {}
+                sum.pending += u64::from(load.pending_tokens);
+                match load.unavailability {
+                    Some(Unavailability::Gone) => sum.trouble.gone += 1,
+                    Some(Unavailability::Failing) => sum.trouble.failing += 1,
+                    Some(Unavailability::Unreachable) if credible => sum.trouble.unreachable += 1,
+                    Some(Unavailability::Unreachable) | None => {}
                 }
             }
         }
@@ -123,12 +128,12 @@
     /// Returns the statuses that are due, each with the nodes to send it to. Nodes that may
     /// know few others get a longer one.
     pub fn statuses(&mut self, now: Time) -> Vec<(Status, Vec<SocketAddrV4>)> {
-        let occasion = Occasion {
+        let occasion = Trigger {
             urgent: self.urgent,
-            pressed: self.accounts.is_usage_high(now),
-            news: self.has_news,
+            usage_high: self.accounts.is_usage_high(now),
+            new_documents: self.has_news,
         };
-        let due = self.members.due(now, occasion);
+        let due = self.members.take_due(now, occasion);
         if due.is_empty() {
             return Vec::new();
         }
@@ -139,7 +144,10 @@
             due.partition(|address| self.members.is_newcomer(now, *address));
         let status = self.status(now);
         let to_established = Status {
-            members: self.members.told_to_known(&status.members).to_vec(),
+            members: self
+                .members
+                .advertised_to_established(&status.members)
+                .to_vec(),
             rate_limits: limit_reports(&status.rate_limits),
             notices: limit_reports(&status.notices),
             ..status.clone()
@@ -159,14 +167,14 @@
             endpoints: self.list.edition(),
             data_centre: endpoint::number_of(self.options.data_centre.as_str()),
             leaving: self.leaving,
-            cut_off: self.is_partitioned,
+            platform_unreachable: self.is_partitioned,
             loads: self.loads(now),
             waiting: self.waiting(),
             usage: self.accounts.usage(now, MAX_USAGE_ENTRIES),
-            members: self.members.told(now, self.sequence),
-            quarantine: self.quarantine.digest(),
+            members: self.members.advertised_members(now, self.sequence),
+            quarantine_digest: self.quarantine.digest(),
             findings: self.quarantine.recent_findings(now),
-            protocol: Protocol::OWN,
+            protocol: Protocol::CURRENT,
             rate_limits: self.rotate_reports(self.rate_limits_to_announce(now)),
             notices: self.rotate_reports(self.announcements(now)),
         }
@@ -198,11 +206,11 @@
             Load {
                 endpoint: worker.number,
                 running: running.min(u32::from(u16::MAX)) as u16,
-                pending: pending.min(u64::from(u32::MAX)) as u32,
-                trouble: worker.trouble(now, &self.options.worker),
+                pending_tokens: pending.min(u64::from(u32::MAX)) as u32,
+                unavailability: worker.trouble(now, &self.options.worker),
             }
         });
-        let reported = loads.filter(|load| load.running > 0 || load.trouble.is_some());
+        let reported = loads.filter(|load| load.running > 0 || load.unavailability.is_some());
         reported.take(MAX_LOAD_ENTRIES).collect()
     }
 
@@ -248,7 +256,7 @@
     /// configuration may be a hundred times as large as a list of endpoints and changes
     /// seldom. So the two are sent independently, and of each only the parts that differ.
     pub fn snapshot(&self, pull: &Pull) -> Snapshot {
-        let edition = match pull.protocol.knows_eras() {
+        let edition = match pull.protocol.supports_eras() {
             true => self.list.edition(),
             false => self.list.edition().without_era(),
         };
@@ -267,8 +275,8 @@
         let configuration = table.configuration();
         Snapshot {
             endpoints,
-            head: Some(table.parts().to_head(configuration)),
-            parts: table.parts().to_missing(configuration, &held),
+            manifest: Some(table.parts().to_manifest(configuration)),
+            parts: table.parts().to_missing_parts(configuration, &held),
         }
     }
 
@@ -299,13 +307,13 @@
                 Vec::new()
             },
             sections: self.sections.clone(),
-            protocol: Protocol::OWN,
+            protocol: Protocol::CURRENT,
         }
     }
 
     /// Returns the versions of the documents that this node has.
-    pub fn versions(&self) -> Known {
-        Known {
+    pub fn versions(&self) -> Versions {
+        Versions {
             configuration: self.configuration_version(),
             endpoints: self.list.edition(),
         }
@@ -320,7 +328,7 @@
         attempt: u64,
     ) -> Option<SocketAddrV4> {
         let known = self.versions().only(document);
-        self.members.ahead_opt(now, known, attempt)
+        self.members.newer_peer_opt(now, known, attempt)
     }
 
     /// Replaces the seeds after a change of settings.
@@ -329,12 +337,12 @@
     }
 
     /// Returns which nodes read the platform, as seen by this node.
-    pub fn role(&self, now: Time) -> Reading {
+    pub fn role(&self, now: Time) -> Role {
         match self.list.revision {
             0 => self
                 .members
-                .first_reading(now, self.accounts.discovery_ends_at()),
-            _ => self.members.reading(now),
+                .startup_role(now, self.accounts.discovery_ends_at()),
+            _ => self.members.role(now),
         }
     }
 
@@ -355,7 +363,7 @@
 /// Whether a node fails to connect to so many endpoints that the node itself is more likely
 /// cut off than the endpoints.
 fn is_cut_off(loads: &[Load]) -> bool {
-    let unreachable = |load: &&Load| load.trouble == Some(Trouble::Unreachable);
+    let unreachable = |load: &&Load| load.unavailability == Some(Unavailability::Unreachable);
     let unreachable = loads.iter().filter(unreachable).count();
     unreachable >= MIN_UNREACHABLE_IF_CUT_OFF && unreachable * 2 > loads.len()
 }
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -263,7 +263,7 @@
         let turn = (since.0 - after.0) / self.quarantine.options().trial_turn_duration.0.max(1);
         let score = |node: &SocketAddrV4| hash::chain(fingerprint.0, &node.ip().octets());
         let own = score(&self.options.own);
-        let before = self.members.fresh(now);
+        let before = self.members.live(now);
         let before = before.filter(|(node, _)| score(node) > own).count() as u64;
         before < 1 << turn.min(MAX_TURN_DOUBLINGS)
     }
@@ -304,7 +304,10 @@
             return;
         }
         let every = self.quarantine.options().min_send_interval;
-        if !self.members.note_told(now, to, (ours, theirs), every) {
+        if !self
+            .members
+            .record_findings_sent(now, to, (ours, theirs), every)
+        {
             return;
         }
         let findings = self.quarantine.findings(now);
@@ -314,7 +317,7 @@
     /// Whether this node sends findings to another one: to all nodes of its own cell, and
     /// to a few outside it.
     fn should_answer_digest(&self, now: Time, to: SocketAddrV4) -> bool {
-        if self.members.is_near(to) {
+        if self.members.is_in_cell(to) {
             return true;
         }
         let mixed = hash::chain(self.options.incarnation, &now.0.to_le_bytes());
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -36,11 +36,11 @@
     pub fn tick(&mut self, now: Time) -> bool {
         let paused = self.ticked_at > Time(0) && now.since(self.ticked_at) > MIN_PROCESS_PAUSE;
         if paused {
-            self.members.forget_statuses();
+            self.members.clear_loads();
         }
         self.ticked_at = now;
         self.accounts.note_start(now);
-        self.members.forget(now);
+        self.members.remove_expired(now);
         self.quarantine.expire(now);
         self.expire_corrections(now);
         self.arrange(now);
@@ -67,9 +67,9 @@
             return;
         }
         self.arranged_at = now;
-        let before = (self.members.cell(), self.members.cells());
-        self.members.arrange(now);
-        if (self.members.cell(), self.members.cells()) != before {
+        let before = (self.members.cell(), self.members.cell_count());
+        self.members.assign_cells(now);
+        if (self.members.cell(), self.members.cell_count()) != before {
             self.assign_cell_workers();
         }
         self.check_remote_requests(now);
--- /dev/null
+++ b/crates/dispatch/src/member/catch_up.rs
@@ -0,0 +1,83 @@
+//! Selection of the node from which newer documents are fetched.
+
+use std::cmp::Reverse;
+use std::net::SocketAddrV4;
+
+use woadstage_types::hash;
+use woadstage_types::unit::Time;
+
+use super::Members;
+use crate::edition::Edition;
+use crate::message::Versions;
+
+/// The maximum number of most up-to-date nodes among which one is chosen. If every node asked
+/// the single most up-to-date one, a long document would saturate that node's link. A node that
+/// does not have the document at all chooses among all nodes that do: if all of 585 nodes that
+/// start together asked the same eight, each of which serves three at once, whole lists would
+/// take 4 s by calculation.
+const MAX_CANDIDATES: usize = 8;
+
+/// A node that has a newer document than this one.
+struct Candidate {
+    /// The version of its configuration, if newer.
+    configuration: Option<u64>,
+    /// The edition of its list of endpoints, if newer.
+    endpoints: Option<Edition>,
+    in_cell: bool,
+    /// Whether it is in this node's data centre.
+    same_data_centre: bool,
+    address: SocketAddrV4,
+}
+
+impl Members {
+    /// Returns a node that has a document newer than `known`, if there is one. The choice
+    /// varies with `attempt` if there are several, and even attempts prefer the node's own cell
+    /// and data centre.
+    ///
+    /// Nodes that do not support eras cannot tell whether their list predates a restore of the
+    /// platform from an older copy, so their list counts as newer only than one without an era.
+    /// Their configuration is never used, as it lacks the region restrictions.
+    pub fn newer_peer_opt(&self, now: Time, known: Versions, attempt: u64) -> Option<SocketAddrV4> {
+        let candidates = self.live(now).map(|(address, member)| {
+            let status = &member.status;
+            Candidate {
+                configuration: Some(status.configuration)
+                    .filter(|new| *new > known.configuration && status.protocol.supports_eras()),
+                endpoints: (status.endpoints > known.endpoints).then_some(status.endpoints),
+                in_cell: member.in_cell,
+                same_data_centre: status.data_centre == self.data_centre,
+                address: *address,
+            }
+        });
+        let mut ahead: Vec<_> = candidates
+            .filter(|one| one.configuration.is_some() || one.endpoints.is_some())
+            .collect();
+        if attempt.is_multiple_of(2) && ahead.iter().any(|one| one.in_cell) {
+            ahead.retain(|one| one.in_cell);
+        }
+        // Traffic within a data centre does not load the links between data centres.
+        if attempt.is_multiple_of(2) && ahead.iter().any(|one| one.same_data_centre) {
+            ahead.retain(|one| one.same_data_centre);
+        }
+        // A hash breaks ties differently on each node and at each attempt.
+        let seed = hash::chain(attempt, &self.own_address.ip().octets());
+        let preference = |one: &Candidate| hash::chain(seed, &one.address.ip().octets());
+        ahead.sort_by_key(|one| Reverse((one.configuration, one.endpoints, preference(one))));
+        let is_first = |one: &Candidate| {
+            let configuration = known.configuration == 0 && one.configuration.is_some();
+            configuration || (known.endpoints.revision == 0 && one.endpoints.is_some())
+        };
+        if !ahead.iter().any(is_first) {
+            ahead.truncate(MAX_CANDIDATES);
+        }
+        let chosen = ahead.iter().max_by_key(|one| preference(one));
+        chosen.map(|one| one.address)
+    }
+
+    /// Returns the configuration version that another node last reported; 0 for an unknown
+    /// node.
+    pub fn configuration(&self, address: SocketAddrV4) -> u64 {
+        let member = self.others.get(&address);
+        member.map_or(0, |member| member.status.configuration)
+    }
+}
--- a/crates/dispatch/src/member/mod.rs
+++ b/crates/dispatch/src/member/mod.rs
@@ -1,11 +1,12 @@
-//! Which other nodes there are, from a few stale addresses and from what other
-//! nodes say. Used for sharing only: no promise to a caller rests on it.
+//! Membership of the fleet, learnt from configured seed addresses, which may be out of date,
+//! and from the addresses that other nodes advertise. It is used for sharing state only: no
+//! guarantee to a caller depends on it.
 //!
-//! * `cell.rs`: parts of a large fleet, and who reads the platform for them.
-//! * `speak.rs`: to whom a node speaks, and how often.
-//! * `owner.rs`: which node owns a customer's quota, and slots of endpoints.
-//! * `start.rs`: who reads the platform while nodes start.
-//! * `ahead.rs`: which node to take newer documents from.
+//! * `cell.rs`: division of a large fleet into cells, and the nodes that read the platform.
+//! * `gossip.rs`: which nodes are sent a status, how often, and which members it advertises.
+//! * `owner.rs`: which node owns a customer's quota or the slots of endpoints.
+//! * `startup.rs`: which nodes read the platform while nodes start.
+//! * `catch_up.rs`: which node to fetch newer documents from.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -17,58 +18,60 @@
 use crate::message::Status;
 use crate::quota::Reach;
 
-mod ahead;
+mod catch_up;
 mod cell;
+mod gossip;
 mod owner;
-mod speak;
-mod start;
+mod startup;
 
 pub use cell::Cell;
-pub use cell::Reading;
+pub use cell::Role;
+pub use gossip::Trigger;
 pub use owner::Owner;
 pub use owner::Scope;
-pub use speak::Occasion;
 
-/// Bounds of membership.
+/// Timeouts, rates and sizes of membership.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Silence after which what a node said no longer counts.
+    /// Silence after which the last status of a node in the same cell is ignored.
     pub silent_after: Span,
-    /// Silence after which a node is forgotten.
+    /// Silence after which a node is removed.
     pub forget_after: Span,
-    /// How often a silent node is asked for a sign of life.
-    pub probe_every: Span,
-    /// Shortest time between two statuses to one node.
-    pub status_every: Span,
-    /// Statuses that one node sends a second, to all others together.
+    /// The interval at which a silent node is probed with a status.
+    pub probe_interval: Span,
+    /// The minimum time between two statuses to one node.
+    pub min_status_interval: Span,
+    /// The rate limit of urgent statuses that one node sends to the other nodes of its cell
+    /// together.
     pub statuses_per_second: u64,
-    /// Longest time between two statuses to one node.
-    pub status_at_least_every: Span,
-    /// Addresses of others in one status to a node that may know few.
-    pub told: usize,
-    /// The same to a node that was heard for long: it knows them, and 16 take 96 of the 118
-    /// bytes that a status of a node at rest has (test
+    /// The maximum time between two statuses to one node of the cell.
+    pub max_status_interval: Span,
+    /// The maximum number of addresses in a status to a newcomer, which may know few other
+    /// nodes.
+    pub members_to_newcomer: usize,
+    /// The maximum number of addresses in a status to an established node. It knows the fleet
+    /// already, and 16 addresses would take 96 of the 118 bytes of an idle node's status (test
     /// `a_node_that_knows_the_fleet_is_told_of_few_others`).
-    pub told_to_known: usize,
-    /// How long a node that was first heard may know few others.
-    pub meets_for: Span,
-    /// Nodes up to which a fleet is one cell.
-    pub one_cell: usize,
-    /// Nodes of one cell in a larger fleet, about.
-    pub cell: usize,
-    /// Statuses that one node sends a second beyond its cell.
-    pub beyond_per_second: u64,
-    /// The same while a customer presses on its quota.
-    pub pressed_per_second: u64,
-    /// Nodes of one data centre of a larger fleet that read the platform.
-    pub readers: usize,
-    /// Nodes of one data centre that take part in reading at all: the first of
-    /// them that can read do. While the platform is down no more than these try,
-    /// where otherwise all would take over from each other.
+    pub members_to_established: usize,
+    /// How long a node counts as a newcomer after it was first heard.
+    pub newcomer_for: Span,
+    /// The maximum number of nodes in a fleet that forms a single cell.
+    pub single_cell_max: usize,
+    /// The approximate number of nodes per cell in a larger fleet.
+    pub cell_size: usize,
+    /// The rate limit of statuses that one node sends beyond its cell.
+    pub remote_statuses_per_second: u64,
+    /// The same rate limit while a customer's usage is high compared with its quota.
+    pub high_usage_statuses_per_second: u64,
+    /// The number of nodes per data centre that read the platform for a larger fleet.
+    pub platform_readers: usize,
+    /// The number of nodes per data centre that are eligible as readers, of which the first
+    /// that can reach the platform read it. This bounds the nodes that keep trying while the
+    /// platform is down; without it, every node would take over in turn.
     pub reader_candidates: usize,
-    /// Nodes beyond its cell that a node tells at once of documents that are
-    /// new to it. What two of 250 nodes read reaches all within a second, and
-    /// without this after 2.1 s (`tests/dispatch/members.rs`, virtual time).
+    /// The number of nodes beyond the cell that are sent a status at once when this node gets
+    /// new documents. Without it, documents that two of 250 nodes have read take 2.1 s to reach
+    /// all nodes instead of less than one (`tests/dispatch/members.rs`, virtual time).
     pub fan_out: usize,
 }
 
@@ -77,90 +80,91 @@
         Options {
             silent_after: Span::from_millis(1_200),
             forget_after: Span::from_secs(40),
-            probe_every: Span::from_millis(400),
-            status_every: Span::from_millis(40),
+            probe_interval: Span::from_millis(400),
+            min_status_interval: Span::from_millis(40),
             statuses_per_second: 200,
-            status_at_least_every: Span::from_millis(400),
-            told: 16,
-            told_to_known: 2,
-            meets_for: Span::from_secs(5),
-            one_cell: 16,
-            cell: 24,
-            beyond_per_second: 120,
-            pressed_per_second: 300,
-            readers: 2,
+            max_status_interval: Span::from_millis(400),
+            members_to_newcomer: 16,
+            members_to_established: 2,
+            newcomer_for: Span::from_secs(5),
+            single_cell_max: 16,
+            cell_size: 24,
+            remote_statuses_per_second: 120,
+            high_usage_statuses_per_second: 300,
+            platform_readers: 2,
             reader_candidates: 8,
             fan_out: 3,
         }
     }
 }
 
-/// Another node.
+/// Another node of the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct Member {
-    /// When it was last heard, or none when only others spoke of it.
-    pub heard: Option<Time>,
-    /// When its address was first met.
-    pub met: Time,
+    /// When a status was last received from it; none while it is known only from other nodes.
+    pub last_heard: Option<Time>,
+    /// When its address was first learnt.
+    pub discovered: Time,
     /// When it was last sent a status.
-    pub sent: Time,
-    /// True while it belongs to this node's cell.
-    pub near: bool,
-    /// When it was first heard in its life, or again after a silence.
+    pub last_sent: Time,
+    /// Whether it belongs to this node's cell.
+    pub in_cell: bool,
+    /// When its current incarnation was first heard, or was last heard again after a silence.
     pub joined: Option<Time>,
-    /// When it was heard again in the same life after a silence.
-    pub returned: Option<Time>,
-    /// When it last left a question unanswered.
-    pub unanswered: Option<Time>,
-    /// When it was last sent findings, with what named all that this node and it knew.
-    told: Option<(Time, (u32, u32))>,
-    /// What it last said.
+    /// When the same incarnation was last heard again after a silence.
+    pub last_returned: Option<Time>,
+    /// When it last failed to answer a question.
+    pub last_unanswered: Option<Time>,
+    /// When it was last sent findings, with the digests of the findings that this node and the
+    /// other held then.
+    findings_sent: Option<(Time, (u32, u32))>,
+    /// Its latest status.
     pub status: Status,
 }
 
-/// All other nodes.
+/// The other nodes of the fleet, as this node knows them.
 #[derive(Debug)]
 pub struct Members {
     options: Options,
-    own: SocketAddrV4,
+    own_address: SocketAddrV4,
     data_centre: u32,
     seeds: Vec<SocketAddrV4>,
     others: HashMap<SocketAddrV4, Member>,
     cell: Cell,
-    /// The nodes of each other cell of the fleet.
+    /// The nodes of every other cell of the fleet.
     other_cells: Vec<Vec<SocketAddrV4>>,
-    /// When another node was first heard.
+    /// When any other node was first heard.
     first_heard: Option<Time>,
-    /// True once this node is stopping.
+    /// Whether this node is stopping.
     pub leaving: bool,
 }
 
-/// What a status brought.
+/// The effect of a received status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
-    /// Nothing: it was old or our own.
-    Old,
-    /// A life of a node that was not known, or was silent.
+pub enum Reception {
+    /// Ignored: it is out of date, or this node sent it itself.
+    Stale,
+    /// Received from a new incarnation, or from one that had been silent.
     Joined,
-    /// A node that was known said something new.
-    Known,
+    /// Received from an incarnation that is known and live.
+    Refreshed,
 }
 
 impl Members {
-    /// Only the seeds are known.
+    /// Creates a membership that knows only the seeds.
     pub fn new(
-        own: SocketAddrV4,
+        own_address: SocketAddrV4,
         data_centre: u32,
         seeds: &[SocketAddrV4],
         options: Options,
     ) -> Members {
         let mut members = Members {
             options,
-            own,
+            own_address,
             data_centre,
             seeds: Vec::new(),
             others: HashMap::new(),
-            cell: cell::ONE_CELL,
+            cell: cell::SINGLE_CELL,
             other_cells: Vec::new(),
             first_heard: None,
             leaving: false,
@@ -169,142 +173,148 @@
         members
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.seeds = seeds
             .iter()
             .copied()
-            .filter(|seed| *seed != self.own)
+            .filter(|seed| *seed != self.own_address)
             .collect();
     }
 
-    /// Takes in what another node said.
-    pub fn hear(&mut self, now: Time, from: SocketAddrV4, status: Status) -> News {
-        if from == self.own {
-            return News::Old;
+    /// Records a status from another node, and the addresses that it advertises.
+    pub fn record_status(&mut self, now: Time, from: SocketAddrV4, status: Status) -> Reception {
+        if from == self.own_address {
+            return Reception::Stale;
         }
         for address in &status.members {
-            self.meet(now, *address);
+            self.discover(now, *address);
         }
-        let silent_after = self.silent_after(self.cell.whole);
-        let near = self.cell.whole;
+        let silent_after = self.silent_after(self.cell.covers_fleet);
+        let in_cell = self.cell.covers_fleet;
         let member = self.others.entry(from).or_insert_with(|| Member {
-            met: now,
-            near,
+            discovered: now,
+            in_cell,
             ..Member::default()
         });
         let same = member.status.incarnation == status.incarnation;
         if same && status.sequence <= member.status.sequence {
-            return News::Old;
+            return Reception::Stale;
         }
         let was_heard = member
-            .heard
-            .is_some_and(|heard| now.since(heard) <= silent_after);
+            .last_heard
+            .is_some_and(|last_heard| now.since(last_heard) <= silent_after);
         if same && !was_heard {
-            member.returned = Some(now);
+            member.last_returned = Some(now);
         }
         let known = same && was_heard;
         if !known {
             member.joined = Some(now);
         }
-        member.heard = Some(now);
+        member.last_heard = Some(now);
         member.status = status;
         self.first_heard.get_or_insert(now);
-        if known { News::Known } else { News::Joined }
+        if known {
+            Reception::Refreshed
+        } else {
+            Reception::Joined
+        }
     }
 
-    fn meet(&mut self, now: Time, address: SocketAddrV4) {
-        let near = self.cell.whole;
-        if address != self.own {
+    fn discover(&mut self, now: Time, address: SocketAddrV4) {
+        let in_cell = self.cell.covers_fleet;
+        if address != self.own_address {
             self.others.entry(address).or_insert_with(|| Member {
-                met: now,
-                near,
+                discovered: now,
+                in_cell,
                 ..Member::default()
             });
         }
     }
 
-    /// Forgets nodes that were silent for long, and addresses that never
-    /// answered.
-    pub fn forget(&mut self, now: Time) {
+    /// Removes nodes that have been silent for too long, and addresses that never answered.
+    pub fn remove_expired(&mut self, now: Time) {
         let forget_after = self.options.forget_after;
         self.others.retain(|_, member| {
-            let last = member.heard.unwrap_or(member.met);
+            let last = member.last_heard.unwrap_or(member.discovered);
             now.since(last) <= forget_after
         });
     }
 
-    /// Forgets what everybody said, as after a pause of this process.
-    pub fn forget_statuses(&mut self) {
+    /// Clears the loads and queues that other nodes reported, which are out of date after this
+    /// process was suspended.
+    pub fn clear_loads(&mut self) {
         for member in self.others.values_mut() {
             member.status.loads.clear();
             member.status.waiting.clear();
         }
     }
 
-    /// Silence after which what a node said no longer counts: longer beyond
-    /// the cell, where nodes are heard less often.
-    fn silent_after(&self, near: bool) -> Span {
-        match near {
+    /// Returns the silence after which a status is ignored. It is longer beyond the cell, where
+    /// statuses are sent less often.
+    fn silent_after(&self, in_cell: bool) -> Span {
+        match in_cell {
             true => self.options.silent_after,
             false => self
                 .options
                 .silent_after
-                .max(Span(self.beyond_every(false).0 * 3)),
+                .max(Span(self.remote_interval(false).0 * 3)),
         }
     }
 
-    fn is_fresh(&self, now: Time, member: &Member) -> bool {
-        let silent_after = self.silent_after(member.near);
+    fn is_live(&self, now: Time, member: &Member) -> bool {
+        let silent_after = self.silent_after(member.in_cell);
         member
-            .heard
-            .is_some_and(|heard| now.since(heard) <= silent_after)
+            .last_heard
+            .is_some_and(|last_heard| now.since(last_heard) <= silent_after)
     }
 
-    /// The nodes heard lately, with what they said.
-    pub fn fresh(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
+    /// Returns the nodes that were heard recently, with their latest statuses.
+    pub fn live(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
         self.others
             .iter()
-            .filter(move |(_, member)| self.is_fresh(now, member))
+            .filter(move |(_, member)| self.is_live(now, member))
     }
 
-    /// How much of the fleet this node can speak for. A node that was cut off
-    /// and returns counts as silent for a while: until all have heard each
-    /// other again, each of them would take itself for most of the fleet.
+    /// Returns how much of the fleet this node hears. A node that returns after a silence
+    /// counts as silent for a while: after a partition, each node would otherwise take itself
+    /// for most of the fleet until all have heard each other again.
     pub fn reach(&self, now: Time) -> Reach {
-        let counted = self.others.values().filter(|member| member.heard.is_some());
+        let counted = self
+            .others
+            .values()
+            .filter(|member| member.last_heard.is_some());
         let (mut nodes, mut silent) = (1, 0);
         for member in counted {
-            let fresh = self.is_fresh(now, member);
-            if !fresh && member.status.leaving {
+            let live = self.is_live(now, member);
+            if !live && member.status.leaving {
                 continue;
             }
             let returns = member
-                .returned
+                .last_returned
                 .is_some_and(|at| now.since(at) < self.options.silent_after);
             nodes += 1;
-            silent += usize::from(!fresh || returns);
+            silent += usize::from(!live || returns);
         }
         Reach {
             nodes,
             silent,
             isolated: self.first_heard.is_none(),
-            one_cell: nodes <= self.options.one_cell,
+            one_cell: nodes <= self.options.single_cell_max,
         }
     }
 
-    /// The newest configuration that a node says it has; none where none was heard.
-    pub fn newest_configuration_opt(&self, now: Time) -> Option<u64> {
+    /// Returns the newest configuration version that a live node reports, if any node is live.
+    pub fn newest_configuration_version_opt(&self, now: Time) -> Option<u64> {
         let said = self
-            .fresh(now)
+            .live(now)
             .map(|(_, member)| member.status.configuration);
         said.max()
     }
 
-    /// The versions of the configuration that the nodes heard lately say they have, the
-    /// newest first.
-    pub fn configurations(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
-        let said = self.fresh(now);
+    /// Returns the configuration version that each live node reports, newest first.
+    pub fn configuration_versions(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
+        let said = self.live(now);
         let mut said: Vec<_> = said
             .map(|(address, member)| (*address, member.status.configuration))
             .collect();
@@ -312,14 +322,15 @@
         said
     }
 
-    /// True while no other node is known that could be asked.
-    pub fn has_nobody_to_ask(&self) -> bool {
+    /// Whether neither a seed nor another node is known.
+    pub fn has_no_peers(&self) -> bool {
         self.seeds.is_empty() && self.others.is_empty()
     }
 
-    /// Notes that a node is sent findings; false where it was sent them so lately with
-    /// the same known on both sides.
-    pub fn note_told(
+    /// Records that a node is sent findings. Returns false, and records nothing, if it was sent
+    /// findings less than `every` ago with the same digests on both sides, or if the node is
+    /// not known.
+    pub fn record_findings_sent(
         &mut self,
         now: Time,
         address: SocketAddrV4,
@@ -330,26 +341,29 @@
             return false;
         };
         let lately = |(at, before): (Time, (u32, u32))| before == known && now.since(at) < every;
-        if member.told.is_some_and(lately) {
+        if member.findings_sent.is_some_and(lately) {
             return false;
         }
-        member.told = Some((now, known));
+        member.findings_sent = Some((now, known));
         true
     }
 
-    /// True for a node of this one's cell.
-    pub fn is_near(&self, address: SocketAddrV4) -> bool {
-        self.others.get(&address).is_some_and(|member| member.near)
+    /// Whether a node belongs to this node's cell.
+    pub fn is_in_cell(&self, address: SocketAddrV4) -> bool {
+        self.others
+            .get(&address)
+            .is_some_and(|member| member.in_cell)
     }
 
-    /// The life of another node, where it was heard lately.
+    /// Returns the incarnation of another node, if it is live.
     pub fn incarnation_opt(&self, now: Time, address: SocketAddrV4) -> Option<u64> {
         let member = self.others.get(&address);
-        let fresh = member.filter(|member| self.is_fresh(now, member));
-        fresh.map(|member| member.status.incarnation)
+        let live = member.filter(|member| self.is_live(now, member));
+        live.map(|member| member.status.incarnation)
     }
 
-    /// Requests that wait for a service at another node, as it last said.
+    /// Returns the number of requests that wait for a service on another node, by its latest
+    /// status.
     pub fn waiting_at(&self, address: SocketAddrV4, service: u32) -> usize {
         let said = self.others.get(&address).into_iter();
         let waiting = said.flat_map(|member| &member.status.waiting);
@@ -357,12 +371,12 @@
         of_service.map(|waiting| usize::from(waiting.count)).sum()
     }
 
-    /// Other nodes that were heard or spoken of.
+    /// Returns the number of other nodes that are known, live or not.
     pub fn len(&self) -> usize {
         self.others.len()
     }
 
-    /// True while no other node is known.
+    /// Whether no other node is known.
     pub fn is_empty(&self) -> bool {
         self.others.is_empty()
     }
--- a/crates/dispatch/src/restore.rs
+++ b/crates/dispatch/src/restore.rs
@@ -1,12 +1,11 @@
-//! What a node keeps of earlier lists of endpoints when the platform comes back with an
-//! older copy of what it had acknowledged.
+//! Corrections to lists of endpoints after the platform is restored from an older copy of the
+//! data it had acknowledged.
 //!
-//! Such a copy lacks what was written last until that is written again: an endpoint that
-//! had ended stands there, one that was leaving is ready, one that was started again has
-//! its start before, and a data centre that was evacuated is not. What a node was told
-//! before goes before what the copy says of these, for as long as it takes until all is
-//! written again. Endpoints that the copy lacks are kept as after any outage
-//! ([`List::merge`]).
+//! Until the latest changes are written to it again, such a copy lists endpoints that have
+//! ended, shows endpoints that are leaving as ready, shows an earlier start of endpoints that
+//! were restarted, and lacks evacuations of data centres. During that time, what the node knew
+//! before takes precedence over the copy. Endpoints that the copy lacks are kept as after any
+//! outage ([`List::merge`]).
 
 use std::collections::HashMap;
 
@@ -18,48 +17,50 @@
 use crate::endpoint::Instance;
 use crate::endpoint::List;
 
-/// How long what was known goes before an older copy. An entry whose endpoint has ended
-/// goes after three heartbeats of silence, which are 9 s at most on the users' sheets.
-const WRITTEN_AGAIN_WITHIN: Span = Span::from_secs(10);
+/// How long earlier knowledge takes precedence over an older copy. The entry of an endpoint
+/// that has ended is removed after three missed heartbeats, which takes at most 9 s in known
+/// deployments.
+const OVERRIDE_PERIOD: Span = Span::from_secs(10);
 
-/// How long the end of an endpoint is remembered: three times as long as the platform
-/// keeps its history, which is 20 s on all of the users' sheets.
-const REMEMBERED_FOR: Span = Span::from_secs(60);
+/// How long the end of an endpoint is remembered: three times as long as the platform keeps its
+/// history, which is 20 s in all known deployments.
+const DEPARTURE_RETENTION: Span = Span::from_secs(60);
 
-/// What a list said of one start of an endpoint that takes no more work.
+/// Why one start of an endpoint accepts no more work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
+enum Departure {
     /// It was leaving.
     Leaving,
-    /// It was not there any more.
+    /// It was no longer listed.
     Gone,
 }
 
-/// What lists of one era, and of those before, said.
+/// Corrections to apply to lists of the era in force.
 #[derive(Debug, Default)]
-pub struct Memory {
-    /// Endpoints that end in the era in force, with when that was noted.
-    ends: HashMap<Instance, (End, Time)>,
-    /// What goes before the lists of the era in force.
-    kept: Option<Kept>,
+pub struct Corrections {
+    /// Endpoints that are leaving or have ended in this era, with the time at which this was
+    /// recorded.
+    departures: HashMap<Instance, (Departure, Time)>,
+    /// What takes precedence over lists of this era, from the eras before.
+    overrides: Option<Overrides>,
 }
 
-/// What goes before the lists of an era.
+/// What takes precedence over the lists of an era for a while.
 #[derive(Debug)]
-struct Kept {
+struct Overrides {
     until: Time,
-    ends: HashMap<Instance, (End, Time)>,
+    departures: HashMap<Instance, (Departure, Time)>,
     /// The latest start of each endpoint.
-    started_at: HashMap<id::Endpoint, u64>,
+    latest_starts: HashMap<id::Endpoint, u64>,
     /// Data centres that were evacuated.
     evacuated: Vec<id::DataCentre>,
 }
 
-impl Memory {
-    /// Notes what a list changes that comes into force after another of its era.
-    pub fn note(&mut self, now: Time, before: &List, after: &List) {
-        self.ends
-            .retain(|_, (_, at)| now.since(*at) < REMEMBERED_FOR);
+impl Corrections {
+    /// Records the endpoints that leave or end between two lists of the same era.
+    pub fn record_list(&mut self, now: Time, before: &List, after: &List) {
+        self.departures
+            .retain(|_, (_, at)| now.since(*at) < DEPARTURE_RETENTION);
         let listed: HashMap<Instance, bool> = after
             .endpoints
             .iter()
@@ -67,8 +68,10 @@
             .collect();
         for (life, leaving) in &listed {
             match leaving {
-                true => self.ends.insert(life.clone(), (End::Leaving, now)),
-                false => self.ends.remove(life),
+                true => self
+                    .departures
+                    .insert(life.clone(), (Departure::Leaving, now)),
+                false => self.departures.remove(life),
             };
         }
         if !after.settled {
@@ -76,70 +79,84 @@
         }
         for life in before.endpoints.iter().map(Endpoint::to_instance) {
             if !listed.contains_key(&life) {
-                self.ends.insert(life, (End::Gone, now));
+                self.departures.insert(life, (Departure::Gone, now));
             }
         }
     }
 
-    /// Notes that a new era begins, after a list of the era before.
+    /// Starts a new era after the last list of the previous one.
     pub fn begin_era(&mut self, now: Time, before: &List) {
-        let mut ends = std::mem::take(&mut self.ends);
+        let mut departures = std::mem::take(&mut self.departures);
         let mut evacuated = before.evacuated.clone();
-        if let Some(kept) = self.kept.take().filter(|kept| now < kept.until) {
-            for (life, end) in kept.ends {
-                ends.entry(life).or_insert(end);
+        if let Some(overrides) = self
+            .overrides
+            .take()
+            .filter(|overrides| now < overrides.until)
+        {
+            for (life, end) in overrides.departures {
+                departures.entry(life).or_insert(end);
             }
-            evacuated.extend(kept.evacuated);
+            evacuated.extend(overrides.evacuated);
         }
         evacuated.sort();
         evacuated.dedup();
-        let started_at = before.endpoints.iter();
-        let started_at = started_at.map(|endpoint| (endpoint.name.clone(), endpoint.started_at));
-        self.kept = Some(Kept {
-            until: now + WRITTEN_AGAIN_WITHIN,
-            ends,
-            started_at: started_at.collect(),
+        let latest_starts = before.endpoints.iter();
+        let latest_starts =
+            latest_starts.map(|endpoint| (endpoint.name.clone(), endpoint.started_at));
+        self.overrides = Some(Overrides {
+            until: now + OVERRIDE_PERIOD,
+            departures,
+            latest_starts: latest_starts.collect(),
             evacuated,
         });
     }
 
-    /// A list of the era in force as it is to be taken; none where it says nothing that
-    /// was known otherwise.
+    /// Returns a corrected copy of a list of the era in force, or none if the list needs no
+    /// correction.
     pub fn correct(&self, now: Time, list: &List) -> Option<List> {
-        let kept = self.kept.as_ref().filter(|kept| now < kept.until)?;
-        let endpoints = list.endpoints.iter().filter_map(|one| kept.correct(one));
+        let overrides = self
+            .overrides
+            .as_ref()
+            .filter(|overrides| now < overrides.until)?;
+        let endpoints = list
+            .endpoints
+            .iter()
+            .filter_map(|one| overrides.correct(one));
         let mut corrected = List {
             endpoints: endpoints.collect(),
             ..list.clone()
         };
-        let missing = kept.evacuated.iter();
+        let missing = overrides.evacuated.iter();
         let missing = missing.filter(|one| !list.evacuated.contains(one));
         corrected.evacuated.extend(missing.cloned());
         (corrected != *list).then_some(corrected)
     }
 
-    /// Forgets what is kept once its time is over; true where it did. Lists count as they
-    /// are from then on.
+    /// Drops the overrides once they have expired, after which lists are used unchanged.
+    /// Returns whether it did.
     pub fn expire(&mut self, now: Time) -> bool {
-        let over = self.kept.as_ref().is_some_and(|kept| now >= kept.until);
+        let over = self
+            .overrides
+            .as_ref()
+            .is_some_and(|overrides| now >= overrides.until);
         if over {
-            self.kept = None;
+            self.overrides = None;
         }
         over
     }
 }
 
-impl Kept {
-    /// An endpoint of an older copy, as it is known; none where it has ended or started
+impl Overrides {
+    /// Returns an endpoint of the copy as corrected, or none if it has ended or was started
     /// again since.
     fn correct(&self, listed: &Endpoint) -> Option<Endpoint> {
-        let started_at = self.started_at.get(&listed.name).copied().unwrap_or(0);
-        if listed.started_at < started_at {
+        let latest_start = self.latest_starts.get(&listed.name).copied().unwrap_or(0);
+        if listed.started_at < latest_start {
             return None;
         }
-        match self.ends.get(&listed.to_instance()) {
-            Some((End::Gone, _)) => None,
-            Some((End::Leaving, _)) => Some(Endpoint {
+        match self.departures.get(&listed.to_instance()) {
+            Some((Departure::Gone, _)) => None,
+            Some((Departure::Leaving, _)) => Some(Endpoint {
                 leaving: true,
                 ..listed.clone()
             }),
--- a/crates/dispatch/src/table.rs
+++ b/crates/dispatch/src/table.rs
@@ -81,7 +81,7 @@
 
     /// Returns a digest of the content of the whole configuration.
     pub fn to_digest(&self) -> parts::Digest {
-        self.parts().to_head(&self.configuration).to_digest()
+        self.parts().to_manifest(&self.configuration).to_digest()
     }
 
     /// Returns the route of a host with the longest prefix of the path.
--- a/crates/dispatch/src/wire.rs
+++ b/crates/dispatch/src/wire.rs
@@ -1,10 +1,10 @@
-//! How messages between nodes are written and read.
+//! Encoding and decoding of messages between nodes.
 //!
-//! Each message has the layout that every build reads, and behind it what later builds
-//! add: an addition with lists of what endpoints said behind it, or what a configuration
-//! binds to regions. A build reads of it what it knows, takes the usual for what is
-//! missing, and leaves the rest. Nothing that stands before it ever changes
-//! (docs/PROTOCOL.md; test `what_is_written_is_kept`).
+//! A message starts with the base layout, which every build reads. Later builds append to it:
+//! an extension, lists of what endpoints announced, or the region restrictions of a
+//! configuration. A build reads the appended parts that it knows, uses defaults for those that
+//! are missing, and ignores the rest. The bytes before an appended part never change (test
+//! `the_encoding_does_not_change`).
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,29 +17,28 @@
 use crate::protocol;
 use crate::protocol::Protocol;
 
-/// What stands behind a status, a question for documents, and a list of endpoints. More
-/// fields may only be added at its end, each in an addition of its own that may be
-/// missing.
+/// The extension that follows a status, a [`Pull`] and a list of endpoints. Its fields are
+/// fixed; later additions go after it, each separate and optional.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Addition {
-    /// What the node speaks that wrote it.
+struct Extension {
+    /// The protocol of the node that wrote the message.
     protocol: Protocol,
-    /// The era of the list of endpoints that the message speaks of.
+    /// The era of the list of endpoints that the message refers to.
     era: Era,
 }
 
-impl Addition {
-    /// Of a message that has none.
-    const NONE: Addition = Addition {
+impl Extension {
+    /// The extension assumed for a message without one.
+    const NONE: Extension = Extension {
         protocol: Protocol::FIRST,
         era: Era(0),
     };
 }
 
-/// Writes a datagram: the layout, the message and its addition.
+/// Encodes a datagram: the layout version, the message and what is appended to it.
 ///
 /// # Errors
-/// Only where the codec fails.
+/// If serialisation fails.
 pub fn to_datagram(message: &Message) -> postcard::Result<Vec<u8>> {
     let bytes = postcard::to_extend(message, vec![protocol::LAYOUT])?;
     let status = match message {
@@ -47,16 +46,16 @@
         Message::Lease(request) => return postcard::to_extend(&request.avoided, bytes),
         _ => return Ok(bytes),
     };
-    let addition = Addition {
+    let extension = Extension {
         protocol: status.protocol,
         era: status.endpoints.era,
     };
-    let bytes = postcard::to_extend(&addition, bytes)?;
+    let bytes = postcard::to_extend(&extension, bytes)?;
     let bytes = postcard::to_extend(&status.rate_limits, bytes)?;
     postcard::to_extend(&status.notices, bytes)
 }
 
-/// Reads a datagram; nothing for another layout or for what is no message.
+/// Decodes a datagram. Returns none for another layout version or invalid bytes.
 pub fn try_from_datagram(bytes: &[u8]) -> Option<Message> {
     let (layout, rest) = bytes.split_first()?;
     if *layout != protocol::LAYOUT {
@@ -66,9 +65,9 @@
     match &mut message {
         Message::Lease(request) => request.avoided = take_list(rest).ok()?.0,
         Message::Status(status) => {
-            let (addition, rest) = take_addition(rest).ok()?;
-            status.protocol = addition.protocol;
-            status.endpoints.era = addition.era;
+            let (extension, rest) = take_extension(rest).ok()?;
+            status.protocol = extension.protocol;
+            status.endpoints.era = extension.era;
             let (rate_limits, rest) = take_list(rest).ok()?;
             status.rate_limits = rate_limits;
             status.notices = take_list(rest).ok()?.0;
@@ -78,73 +77,75 @@
     Some(message)
 }
 
-/// Writes a question for documents.
+/// Encodes a question for documents.
 ///
 /// # Errors
-/// Only where the codec fails.
+/// If serialisation fails.
 pub fn pull_to_bytes(pull: &Pull) -> postcard::Result<Vec<u8>> {
-    let addition = Addition {
+    let extension = Extension {
         protocol: pull.protocol,
         era: pull.known.endpoints.era,
     };
-    postcard::to_extend(&addition, postcard::to_extend(pull, Vec::new())?)
+    postcard::to_extend(&extension, postcard::to_extend(pull, Vec::new())?)
 }
 
-/// Reads a question for documents.
+/// Decodes a question for documents.
 ///
 /// # Errors
-/// Where the bytes are none.
+/// If the bytes are not a valid question.
 pub fn pull_from_bytes(bytes: &[u8]) -> postcard::Result<Pull> {
     let (mut pull, rest): (Pull, _) = postcard::take_from_bytes(bytes)?;
-    let (addition, _) = take_addition(rest)?;
-    pull.protocol = addition.protocol;
-    pull.known.endpoints.era = addition.era;
+    let (extension, _) = take_extension(rest)?;
+    pull.protocol = extension.protocol;
+    pull.known.endpoints.era = extension.era;
     Ok(pull)
 }
 
-/// Writes a piece of what a node gives to another.
+/// Encodes one frame of a snapshot.
 ///
 /// # Errors
-/// Only where the codec fails.
+/// If serialisation fails.
 pub fn frame_to_bytes(frame: &Frame) -> postcard::Result<Vec<u8>> {
     let bytes = postcard::to_extend(frame, Vec::new())?;
     match frame {
         Frame::Endpoints(difference) => {
-            let addition = Addition {
-                protocol: Protocol::OWN,
+            let extension = Extension {
+                protocol: Protocol::CURRENT,
                 era: difference.era,
             };
-            postcard::to_extend(&addition, bytes)
+            postcard::to_extend(&extension, bytes)
         }
-        Frame::Head(head) => postcard::to_extend(&head.restrictions, bytes),
+        Frame::Manifest(manifest) => postcard::to_extend(&manifest.restrictions, bytes),
         Frame::Busy | Frame::Part(_) => Ok(bytes),
     }
 }
 
-/// Reads a piece of what another node gives.
+/// Decodes one frame of a snapshot.
 ///
 /// # Errors
-/// Where the bytes are none.
+/// If the bytes are not a valid frame.
 pub fn frame_from_bytes(bytes: &[u8]) -> postcard::Result<Frame> {
     let (mut frame, rest) = postcard::take_from_bytes(bytes)?;
     match &mut frame {
-        Frame::Endpoints(difference) => difference.era = take_addition(rest)?.0.era,
-        Frame::Head(head) if !rest.is_empty() => head.restrictions = postcard::from_bytes(rest)?,
-        Frame::Head(_) | Frame::Busy | Frame::Part(_) => {}
+        Frame::Endpoints(difference) => difference.era = take_extension(rest)?.0.era,
+        Frame::Manifest(manifest) if !rest.is_empty() => {
+            manifest.restrictions = postcard::from_bytes(rest)?
+        }
+        Frame::Manifest(_) | Frame::Busy | Frame::Part(_) => {}
     }
     Ok(frame)
 }
 
-/// Reads the addition behind a message, and gives what stands behind it.
-fn take_addition(rest: &[u8]) -> postcard::Result<(Addition, &[u8])> {
+/// Decodes the extension, which may be missing, and returns it with the remaining bytes.
+fn take_extension(rest: &[u8]) -> postcard::Result<(Extension, &[u8])> {
     match rest {
-        [] => Ok((Addition::NONE, rest)),
+        [] => Ok((Extension::NONE, rest)),
         rest => postcard::take_from_bytes(rest),
     }
 }
 
-/// Reads a list behind a question for a slot, or behind the addition of a status, which may
-/// be missing, and gives what stands behind it.
+/// Decodes a list that follows a lease request or the extension of a status, and may be
+/// missing, and returns it with the remaining bytes.
 fn take_list<T: DeserializeOwned>(rest: &[u8]) -> postcard::Result<(Vec<T>, &[u8])> {
     match rest {
         [] => Ok((Vec::new(), rest)),
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -7,7 +7,7 @@
 
 use crate::cold;
 use crate::endpoint::Endpoint;
-use crate::message::Trouble;
+use crate::message::Unavailability;
 use crate::rate_limit;
 use crate::rest;
 
@@ -342,17 +342,17 @@
     }
 
     /// The problem to report to other nodes, if any.
-    pub fn trouble(&self, now: Time, options: &Options) -> Option<Trouble> {
+    pub fn trouble(&self, now: Time, options: &Options) -> Option<Unavailability> {
         if self
             .gone_at
             .is_some_and(|at| now.since(at) < options.gone_report_period)
         {
-            return Some(Trouble::Gone);
+            return Some(Unavailability::Gone);
         }
         let resting = self.consecutive_failures > 0 && now < self.backoff_until;
         let trouble = match self.unreachable {
-            true => Trouble::Unreachable,
-            false => Trouble::Failing,
+            true => Unavailability::Unreachable,
+            false => Unavailability::Failing,
         };
         resting.then_some(trouble)
     }
--- a/crates/dispatch/tests/dispatch/order.rs
+++ b/crates/dispatch/tests/dispatch/order.rs
@@ -107,8 +107,8 @@
     let load = Load {
         endpoint: crate::support::endpoint("e", MODEL, 1).to_number(),
         running: 2,
-        pending: 0,
-        trouble: None,
+        pending_tokens: 0,
+        unavailability: None,
     };
     let status = Status {
         incarnation: 2,
--- a/crates/dispatch/tests/dispatch/outcomes.rs
+++ b/crates/dispatch/tests/dispatch/outcomes.rs
@@ -11,7 +11,7 @@
 use woadstage_dispatch::job::Job;
 use woadstage_dispatch::message::Load;
 use woadstage_dispatch::message::Status;
-use woadstage_dispatch::message::Trouble;
+use woadstage_dispatch::message::Unavailability;
 use woadstage_types::unit::Span;
 
 use crate::support::MODEL;
@@ -223,14 +223,14 @@
 /// Builds the status of a node that reports trouble with some endpoints.
 fn trouble_report(
     number: u8,
-    trouble: Trouble,
+    trouble: Unavailability,
     names: &[&str],
 ) -> (std::net::SocketAddrV4, Status) {
     let loads = names.iter().map(|name| Load {
         endpoint: number_of(name),
         running: 0,
-        pending: 0,
-        trouble: Some(trouble),
+        pending_tokens: 0,
+        unavailability: Some(trouble),
     });
     let status = Status {
         incarnation: u64::from(number),
@@ -253,14 +253,14 @@
 }
 
 #[rstest]
-#[case::gone_for_one(vec![trouble_report(2, Trouble::Gone, &["e"])], false)]
-#[case::unreachable_for_two(vec![trouble_report(2, Trouble::Unreachable, &["e"]), trouble_report(3, Trouble::Unreachable, &["e"])], false)]
-#[case::unreachable_for_one(vec![trouble_report(2, Trouble::Unreachable, &["e"])], true)]
-#[case::failing_for_two(vec![trouble_report(2, Trouble::Failing, &["e"]), trouble_report(3, Trouble::Failing, &["e"])], true)]
+#[case::gone_for_one(vec![trouble_report(2, Unavailability::Gone, &["e"])], false)]
+#[case::unreachable_for_two(vec![trouble_report(2, Unavailability::Unreachable, &["e"]), trouble_report(3, Unavailability::Unreachable, &["e"])], false)]
+#[case::unreachable_for_one(vec![trouble_report(2, Unavailability::Unreachable, &["e"])], true)]
+#[case::failing_for_two(vec![trouble_report(2, Unavailability::Failing, &["e"]), trouble_report(3, Unavailability::Failing, &["e"])], true)]
 #[case::unreachable_for_two_isolated_nodes(
     vec![
-        trouble_report(2, Trouble::Unreachable, &["e", "f", "g", "h"]),
-        trouble_report(3, Trouble::Unreachable, &["e", "f", "g", "h"]),
+        trouble_report(2, Unavailability::Unreachable, &["e", "f", "g", "h"]),
+        trouble_report(3, Unavailability::Unreachable, &["e", "f", "g", "h"]),
     ],
     true
 )]
@@ -277,7 +277,7 @@
     let id = dispatcher.enter(at(0), non_repeatable(1));
     dispatcher.end(at(10), id, End::Whole);
     for number in [2, 3] {
-        let (from, status) = trouble_report(number, Trouble::Unreachable, &["e"]);
+        let (from, status) = trouble_report(number, Unavailability::Unreachable, &["e"]);
         dispatcher.receive_status(at(20), from, status);
     }
     dispatcher.tick(at(21));
