--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -133,7 +133,7 @@
 }
 
 /// Tells those that are due what this node runs.
-pub fn tell(shell: &Shell, socket: &UdpSocket) {
+pub fn send_statuses(shell: &Shell, socket: &UdpSocket) {
     let statuses = shell.command(|dispatcher, now| dispatcher.statuses(now));
     for (status, due) in statuses {
         send_status(shell, socket, status, &due);
--- a/crates/gateway/src/peers/reservations.rs
+++ b/crates/gateway/src/peers/reservations.rs
@@ -37,7 +37,7 @@
 
 impl Reservations {
     /// Asks an owner; nothing where it does not answer in time.
-    pub async fn ask(
+    pub async fn request(
         &self,
         peers: &Sender,
         owner: SocketAddrV4,
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -212,7 +212,7 @@
             });
         }
         last = now;
-        peers::tell(&shell, &socket);
+        peers::send_statuses(&shell, &socket);
         let role = shell.query(|dispatcher, now| dispatcher.role(now));
         reading.send_if_modified(|told| std::mem::replace(told, role) != role);
     }
@@ -222,7 +222,7 @@
     let mut left_out = 0;
     loop {
         tokio::time::sleep(SWEEP_EVERY).await;
-        shell.upstream.sweep(shell.now());
+        shell.upstream.remove_expired(shell.now());
         let all = shell.log.left_out();
         if all > left_out {
             shell.log(&Event::LeftOut {
--- a/crates/gateway/src/serve/charge.rs
+++ b/crates/gateway/src/serve/charge.rs
@@ -57,7 +57,10 @@
     loop {
         charge = match charge {
             Charge::Ask(owner, reserve) => {
-                let verdict = shell.reservations.ask(&shell.peers, owner, reserve).await;
+                let verdict = shell
+                    .reservations
+                    .request(&shell.peers, owner, reserve)
+                    .await;
                 shell.metrics.reserved(verdict.as_ref());
                 charged = match verdict {
                     Some(Verdict::Granted | Verdict::Denied(_)) => Charged::By(owner),
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -39,7 +39,7 @@
 use crate::shell::Shell;
 use crate::upstream::Answer;
 use crate::upstream::Body;
-use crate::upstream::Fault;
+use crate::upstream::CallError;
 use crate::upstream::probe;
 
 /// A request on its way to an answer. Dropping it means that the caller left.
@@ -225,7 +225,7 @@
         &mut self,
         endpoint: &Endpoint,
         last_event: Option<&str>,
-    ) -> Result<Answer, Fault> {
+    ) -> Result<Answer, CallError> {
         let attempt = Attempt {
             endpoint,
             left: self.admitted.caller_deadline.since(self.shell.now()),
@@ -236,13 +236,13 @@
             outgoing::make(names, &self.admitted, &self.head, payload, &attempt)
         });
         let Some(request) = request else {
-            return Err(Fault::Lost("the body has gone out already".into()));
+            return Err(CallError::Lost("the body has gone out already".into()));
         };
         let shell = self.shell.clone();
         let call = shell.upstream.call(shell.now(), endpoint, request);
         match shell.timeout_at(self.admitted.deadline, call).await {
             Ok(sent) => sent,
-            Err(_) => Err(Fault::Late),
+            Err(_) => Err(CallError::Late),
         }
     }
 
@@ -307,7 +307,7 @@
         let (next, decision) = self.shell.end(job, end);
         self.decision = decision;
         if let Some(endpoint) = self.endpoint.as_ref().filter(|_| end == End::Lost) {
-            probe::look_after(&self.shell, endpoint);
+            probe::start(&self.shell, endpoint);
         }
         let next_word = match next {
             Next::Over => "over",
@@ -387,10 +387,10 @@
     }
 }
 
-fn to_end(fault: &Fault) -> End {
+fn to_end(fault: &CallError) -> End {
     match fault {
-        Fault::NotSent(_) => End::NotSent,
-        Fault::Lost(_) => End::Lost,
-        Fault::Late => End::Late,
+        CallError::NotSent(_) => End::NotSent,
+        CallError::Lost(_) => End::Lost,
+        CallError::Late => End::Late,
     }
 }
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -52,7 +52,7 @@
         connection,
     } = answer;
     let (mut head, incoming) = response.into_parts();
-    let keep = reuse::keep_for(&head.headers);
+    let keep = reuse::keep_alive_duration(&head.headers);
     outgoing::strip(&mut head.headers);
     let whole = head.status.is_success();
     let stream = exchange.admitted.route.kind == Kind::Stream && whole;
@@ -227,12 +227,12 @@
         let keep = self.keep;
         tokio::task::spawn_local(async move {
             let life = endpoint.to_instance();
-            if let Some(connection) = reuse::rested(connection, keep).await {
+            if let Some(connection) = reuse::into_reusable(connection, keep).await {
                 let most = shell.query(|dispatcher, now| {
                     dispatcher.max_idle_connections(now, &endpoint.service)
                 });
                 let upstream = &shell.upstream;
-                upstream.keep(shell.now(), life, connection, keep, most);
+                upstream.add_idle(shell.now(), life, connection, keep, most);
             }
         });
     }
@@ -255,7 +255,7 @@
         if !answer.response.status().is_success() {
             return false;
         }
-        self.keep = reuse::keep_for(answer.response.headers());
+        self.keep = reuse::keep_alive_duration(answer.response.headers());
         self.incoming = answer.response.into_body();
         self.connection = Some(answer.connection);
         true
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -27,7 +27,7 @@
 
 /// Why a call brought no answer.
 #[derive(Debug)]
-pub enum Fault {
+pub enum CallError {
     /// No byte of the request was written.
     NotSent(String),
     /// The request may have been read.
@@ -36,16 +36,16 @@
     Late,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::NotSent(detail) | Fault::Lost(detail) => f.write_str(detail),
-            Fault::Late => f.write_str("no answer in time"),
+            CallError::NotSent(detail) | CallError::Lost(detail) => f.write_str(detail),
+            CallError::Late => f.write_str("no answer in time"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for CallError {}
 
 /// A connection to one endpoint; closed at once when dropped.
 pub struct Connection {
@@ -92,13 +92,13 @@
     /// Sends a request to an endpoint and waits for the head of its answer.
     ///
     /// # Errors
-    /// [`Fault::NotSent`] where it is certain that nothing was written.
+    /// [`CallError::NotSent`] where it is certain that nothing was written.
     pub async fn call(
         &self,
         now: Time,
         endpoint: &Endpoint,
         request: Request<Body>,
-    ) -> Result<Answer, Fault> {
+    ) -> Result<Answer, CallError> {
         let mut request = request;
         for _ in 0..KEPT_TRIES {
             let Some(connection) = self.take(now, &endpoint.to_instance()) else {
@@ -107,21 +107,21 @@
             match send(connection, request).await {
                 Ok(answer) => return Ok(answer),
                 Err(Sending::Unsent(unsent)) => request = *unsent,
-                Err(Sending::Lost(detail)) => return Err(Fault::Lost(detail)),
+                Err(Sending::Lost(detail)) => return Err(CallError::Lost(detail)),
             }
         }
         let opening = tokio::time::timeout(CONNECT_WITHIN, connect::open(endpoint.address));
         let connection = match opening.await {
             Ok(Ok(connection)) => connection,
-            Ok(Err(error)) => return Err(Fault::NotSent(format!("connect: {error}"))),
-            Err(_) => return Err(Fault::NotSent("connect: timed out".into())),
+            Ok(Err(error)) => return Err(CallError::NotSent(format!("connect: {error}"))),
+            Err(_) => return Err(CallError::NotSent("connect: timed out".into())),
         };
         match send(connection, request).await {
             Ok(answer) => Ok(answer),
             Err(Sending::Unsent(_)) => {
-                Err(Fault::NotSent("closed before anything was sent".into()))
+                Err(CallError::NotSent("closed before anything was sent".into()))
             }
-            Err(Sending::Lost(detail)) => Err(Fault::Lost(detail)),
+            Err(Sending::Lost(detail)) => Err(CallError::Lost(detail)),
         }
     }
 }
--- a/crates/gateway/src/upstream/probe.rs
+++ b/crates/gateway/src/upstream/probe.rs
@@ -34,14 +34,14 @@
 
 impl Upstream {
     /// True while it is not known of some endpoint whether it has ended.
-    pub fn is_looking_after_any(&self) -> bool {
+    pub fn is_probing(&self) -> bool {
         !self.probed.borrow().is_empty()
     }
 }
 
 /// Looks after an endpoint that broke off an answer, once for all that break at a
 /// moment. Of a host that says nothing the platform will tell.
-pub fn look_after(shell: &Rc<Shell>, endpoint: &Arc<Endpoint>) {
+pub fn start(shell: &Rc<Shell>, endpoint: &Arc<Endpoint>) {
     let number = endpoint.to_number();
     if !shell.upstream.probed.borrow_mut().insert(number) {
         return;
--- a/crates/gateway/src/upstream/reuse.rs
+++ b/crates/gateway/src/upstream/reuse.rs
@@ -42,10 +42,10 @@
         Some(idle.remove(at).connection)
     }
 
-    /// Keeps a connection that has [`rested`], for so long at the most, and no more than
+    /// Keeps a connection that has [`into_reusable`], for so long at the most, and no more than
     /// `most` to the same endpoint. The time for which its other end keeps it goes on
     /// while this host is suspended.
-    pub fn keep(
+    pub fn add_idle(
         &self,
         now: Time,
         endpoint: Instance,
@@ -71,7 +71,7 @@
     }
 
     /// Closes connections whose time is over.
-    pub fn sweep(&self, now: Time) {
+    pub fn remove_expired(&self, now: Time) {
         self.idle.borrow_mut().retain(|_, idle| {
             idle.retain(|one| one.until > now && !one.connection.sender.is_closed());
             !idle.is_empty()
@@ -81,7 +81,7 @@
 
 /// Waits until a connection whose answer was whole can be used again; nothing where it
 /// cannot, or its endpoint said not to.
-pub async fn rested(mut connection: Connection, keep: Duration) -> Option<Connection> {
+pub async fn into_reusable(mut connection: Connection, keep: Duration) -> Option<Connection> {
     if keep.is_zero() {
         return None;
     }
@@ -90,7 +90,7 @@
 }
 
 /// How long a connection may be kept after an answer with this head.
-pub fn keep_for(headers: &HeaderMap) -> Duration {
+pub fn keep_alive_duration(headers: &HeaderMap) -> Duration {
     let values = |name| {
         headers
             .get_all(name)
--- a/crates/gateway/tests/gateway/crash.rs
+++ b/crates/gateway/tests/gateway/crash.rs
@@ -144,7 +144,7 @@
         for number in 0..4 {
             let answer = ask(&gateway, &format!("id-{number}"), "a body").await;
             assert_eq!(answer.status, 502);
-            while gateway.shell.upstream.is_looking_after_any() {
+            while gateway.shell.upstream.is_probing() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         }
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -220,7 +220,7 @@
                 .nodes,
             2
         );
-        peers::tell(&gateway.shell, &socket);
+        peers::send_statuses(&gateway.shell, &socket);
         let mut buffer = vec![0; 2_048];
         let (length, _) = other.recv_from(&mut buffer).await.expect("a status");
         assert!(wire::try_from_datagram(&buffer[..length]).is_some());
@@ -285,7 +285,9 @@
             }
         };
         let shell = &gateway.shell;
-        let asking = shell.reservations.ask(&shell.peers, address, question(3));
+        let asking = shell
+            .reservations
+            .request(&shell.peers, address, question(3));
         let (verdict, ()) = tokio::join!(asking, answering);
         assert_eq!(verdict, Some(Verdict::Granted));
         assert!(gateway.shell.reservations.is_empty());
@@ -300,7 +302,7 @@
         let shell = &gateway.shell;
         let verdict = shell
             .reservations
-            .ask(&shell.peers, address, question(3))
+            .request(&shell.peers, address, question(3))
             .await;
         assert_eq!(verdict, None);
         assert!(gateway.shell.reservations.is_empty());
--- a/crates/gateway/tests/gateway/support/wire.rs
+++ b/crates/gateway/tests/gateway/support/wire.rs
@@ -4,7 +4,7 @@
 use tokio::net::TcpStream;
 
 /// Puts the request's id in place of `{id}`.
-pub fn echo(text: &str, head: &str) -> String {
+pub fn insert_request_id(text: &str, head: &str) -> String {
     text.replace("{id}", field(head, "woadstage-request").unwrap_or(""))
 }
 
--- a/crates/gateway/tests/gateway/support/worker.rs
+++ b/crates/gateway/tests/gateway/support/worker.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-use super::wire::echo;
+use super::wire::insert_request_id;
 use super::wire::read_body;
 use super::wire::read_head;
 
@@ -121,7 +121,9 @@
         while let Some(head) = read_head(&mut stream, &mut buffer).await {
             let act = self.next();
             if let Act::AnswerEarly(text, go_on) = &act {
-                let _ = stream.write_all(echo(text, &head).as_bytes()).await;
+                let _ = stream
+                    .write_all(insert_request_id(text, &head).as_bytes())
+                    .await;
                 go_on.notified().await;
             }
             let body = read_body(&mut stream, &mut buffer, &head).await;
@@ -139,16 +141,21 @@
     /// Does one act; true where the connection goes on.
     async fn act(&self, stream: &mut TcpStream, act: Act, head: &str) -> bool {
         match act {
-            Act::Answer(text) | Act::CrashOn(_, text) => {
-                stream.write_all(echo(&text, head).as_bytes()).await.is_ok()
-            }
+            Act::Answer(text) | Act::CrashOn(_, text) => stream
+                .write_all(insert_request_id(&text, head).as_bytes())
+                .await
+                .is_ok(),
             Act::AnswerEarly(..) => true,
             Act::AnswerAndClose(text) => {
-                let _ = stream.write_all(echo(&text, head).as_bytes()).await;
+                let _ = stream
+                    .write_all(insert_request_id(&text, head).as_bytes())
+                    .await;
                 false
             }
             Act::AnswerAndReset(text) => {
-                let _ = stream.write_all(echo(&text, head).as_bytes()).await;
+                let _ = stream
+                    .write_all(insert_request_id(&text, head).as_bytes())
+                    .await;
                 // What was written is on its way before the reset follows.
                 tokio::time::sleep(Duration::from_millis(30)).await;
                 let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
@@ -161,7 +168,7 @@
                         _ = stream.readable() => return false,
                     }
                     if stream
-                        .write_all(echo(&text, head).as_bytes())
+                        .write_all(insert_request_id(&text, head).as_bytes())
                         .await
                         .is_err()
                     {
