--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -1,4 +1,4 @@
-//! Readiness for the platform, and metrics for operators.
+//! Serves the readiness page for the platform and the metrics page for operators.
 
 use std::convert::Infallible;
 
@@ -17,10 +17,10 @@
 
 use crate::shell::Shell;
 
-/// A page: its status and text.
+/// The status and text of a page.
 pub type Page = (StatusCode, Vec<u8>);
 
-/// Serves pages that `page` makes from a path.
+/// Serves the pages that `page` returns for a path.
 pub async fn serve(listener: TcpListener, page: impl Fn(&str) -> Page + Clone + 'static) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -35,7 +35,7 @@
             async move { Ok::<_, Infallible>(response) }
         });
         tokio::task::spawn_local(async move {
-            // A reader that leaves early misses the page and nothing else.
+            // An error only means that the client disconnected early.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -43,9 +43,10 @@
     }
 }
 
-/// Says whether the node is ready for callers.
-pub fn readiness(shell: &Shell, path: &str, asked: &str) -> Page {
-    if path != asked {
+/// Returns the page that shows whether the node is ready for callers, which exists at `ready_path`
+/// only.
+pub fn readiness(shell: &Shell, path: &str, ready_path: &str) -> Page {
+    if path != ready_path {
         return (StatusCode::NOT_FOUND, Vec::new());
     }
     match shell.query(|dispatcher, now| dispatcher.is_ready(now)) {
@@ -54,7 +55,7 @@
     }
 }
 
-/// All figures of the node.
+/// Updates the metrics that are computed on demand, and returns all metrics of the node.
 pub fn metrics(shell: &Shell) -> Page {
     let metrics = &shell.metrics;
     let (reach, held, configuration, endpoints, services) = shell.query(|dispatcher, now| {
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,12 +1,12 @@
-//! Other nodes. Statuses go by datagram, since each holds all it speaks of and
-//! a lost one is made up for by the next, and so do questions to the owners of
-//! quotas and of slots, which another answers where one does not. What the platform
-//! published goes by stream, to nodes that have not read it themselves.
+//! Communication with other nodes. Statuses are sent over UDP: each is complete in itself, so the
+//! next one makes up for a lost one. Requests to the owners of quotas and slots use UDP too, since
+//! another node can answer if one does not. The platform's documents are transferred over TCP to
+//! nodes that have not read them themselves.
 //!
-//! * [`catch_up`]: when to take documents, and from whom.
-//! * [`transfer`]: documents on their way.
-//! * [`reservations`]: questions to owners of quotas.
-//! * [`traffic`]: what is sent, by kind.
+//! * [`catch_up`]: decides when to fetch documents, and from which node.
+//! * [`transfer`]: transfers documents.
+//! * [`reservations`]: requests to owners of quotas.
+//! * [`traffic`]: counts of sent messages, by kind.
 
 use std::cell::OnceCell;
 use std::net::SocketAddr;
@@ -32,59 +32,61 @@
 use traffic::Kind;
 use traffic::Traffic;
 
-/// Longest datagram that is read.
-const DATAGRAM_MOST: usize = 8 << 10;
+/// The maximum size of a received datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 
-/// Sends messages that the other end can do without.
+/// Sends messages over UDP, without a guarantee of delivery.
 #[derive(Default)]
 pub struct Sender {
     socket: OnceCell<Rc<UdpSocket>>,
-    /// All that this node sends to others.
+    /// Counts of what this node sends to others.
     pub traffic: Traffic,
 }
 
 impl Sender {
-    /// Says through which socket to send; until then nothing goes out.
+    /// Sets the socket to send from. Messages sent before are dropped.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        // A process has one such socket for all its life.
+        // The socket is set once per process.
         let _ = self.socket.set(socket);
     }
 
-    /// Sends a message. Where it is lost, it is asked for or sent anew.
+    /// Sends a message without waiting. A lost message is requested or sent again later.
     pub fn send(&self, to: SocketAddrV4, message: &Message) {
         let Some(socket) = self.socket.get() else {
             return;
         };
         if let Ok(datagram) = wire::to_datagram(message) {
-            self.traffic.note(Kind::of(message), datagram.len());
-            // What the system cannot take now is as good as lost on the way.
+            self.traffic
+                .record(Kind::from_message(message), datagram.len());
+            // A full send buffer is treated like a datagram lost on the network.
             let _ = socket.try_send_to(&datagram, to.into());
         }
     }
 
-    /// Sends a message that somebody waits for, as soon as the system takes it.
-    /// Nothing where it cannot be sent.
-    pub async fn try_send(&self, to: SocketAddrV4, message: &Message) -> Option<()> {
+    /// Sends a message as soon as the socket is writable, for callers that wait for a reply. Returns
+    /// `None` if the message can't be sent.
+    pub async fn send_when_writable(&self, to: SocketAddrV4, message: &Message) -> Option<()> {
         let socket = self.socket.get()?;
         let datagram = wire::to_datagram(message).ok()?;
-        self.traffic.note(Kind::of(message), datagram.len());
+        self.traffic
+            .record(Kind::from_message(message), datagram.len());
         socket.send_to(&datagram, to).await.ok()?;
         Some(())
     }
 }
 
-/// Takes in what other nodes say, for as long as the process runs.
+/// Receives and handles messages from other nodes, for as long as the process runs.
 pub async fn listen(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; DATAGRAM_MOST];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // A datagram that could not be delivered shows here as an error.
+        // Errors here include ICMP reports on datagrams that could not be delivered.
         let Ok((length, SocketAddr::V4(from))) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         match wire::try_from_datagram(&buffer[..length]) {
-            Some(Message::Status(status)) => hear(&shell, from, *status),
-            Some(Message::Reserve(asked)) => reserve(&shell, from, &asked),
-            Some(Message::Reserved(answer)) => shell.reservations.take_answer(answer),
+            Some(Message::Status(status)) => receive_status(&shell, from, *status),
+            Some(Message::Reserve(reserve)) => answer_reservation(&shell, from, &reserve),
+            Some(Message::Reserved(answer)) => shell.reservations.deliver_answer(answer),
             Some(Message::Release(release)) => {
                 shell.command(|dispatcher, _| dispatcher.release(&release));
             }
@@ -110,19 +112,20 @@
     }
 }
 
-/// Answers a node that takes this one for the owner of a customer's quota.
-fn reserve(shell: &Shell, from: SocketAddrV4, asked: &Reserve) {
-    let verdict = shell.command(|dispatcher, now| dispatcher.reserve(now, asked));
+/// Answers a node that considers this one the owner of a customer's quota.
+fn answer_reservation(shell: &Shell, from: SocketAddrV4, reserve: &Reserve) {
+    let verdict = shell.command(|dispatcher, now| dispatcher.reserve(now, reserve));
     let answer = Message::Reserved(Reserved {
-        number: asked.number,
+        number: reserve.number,
         verdict,
     });
     shell.peers.send(from, &answer);
 }
 
-fn hear(shell: &Shell, from: SocketAddrV4, status: Status) {
-    let news = shell.command(|dispatcher, now| dispatcher.receive_status(now, from, status));
-    if news == Reception::Joined {
+/// Handles a status, and logs a node that is new or had been silent.
+fn receive_status(shell: &Shell, from: SocketAddrV4, status: Status) {
+    let reception = shell.command(|dispatcher, now| dispatcher.receive_status(now, from, status));
+    if reception == Reception::Joined {
         shell.metrics.change("node-heard");
         shell.log(&Event::Dependency {
             name: "node",
@@ -132,7 +135,7 @@
     }
 }
 
-/// Tells those that are due what this node runs.
+/// Sends this node's status to the nodes that are due one.
 pub fn send_statuses(shell: &Shell, socket: &UdpSocket) {
     let statuses = shell.command(|dispatcher, now| dispatcher.statuses(now));
     for (status, due) in statuses {
@@ -147,10 +150,10 @@
     for address in due.iter().copied() {
         let kind = match shell.query(|dispatcher, _| dispatcher.is_near(address)) {
             true => Kind::StatusInCell,
-            false => Kind::StatusBeyond,
+            false => Kind::StatusOutsideCell,
         };
-        shell.peers.traffic.note(kind, datagram.len());
-        // What the system cannot take now is made up for by the next.
+        shell.peers.traffic.record(kind, datagram.len());
+        // If the send buffer is full, the next status makes up for this one.
         let _ = socket.try_send_to(&datagram, address.into());
     }
 }
--- a/crates/gateway/src/peers/reservations.rs
+++ b/crates/gateway/src/peers/reservations.rs
@@ -1,4 +1,4 @@
-//! Questions to the owners of customers' quotas, and those who wait for answers.
+//! Requests to the owners of customers' quotas, and the tasks that wait for the replies.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,30 +13,31 @@
 
 use super::Sender;
 
-/// How long an owner's answer is waited for: many times the way there and back
-/// within a region, and little beside any objective.
-const ANSWER_WITHIN: Duration = Duration::from_millis(60);
+/// The time limit for an owner's reply: many round trips within a region, and short beside any
+/// latency objective.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Questions that are open.
+/// The reservations for which an owner's reply is pending.
 #[derive(Default)]
 pub struct Reservations {
-    open: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
+    pending: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
 }
 
-/// Forgets a question when nobody waits for its answer any more.
-struct Question<'a> {
+/// Removes a pending reservation when dropped, as when the task that waits for it is cancelled.
+struct PendingGuard<'a> {
     number: u64,
     reservations: &'a Reservations,
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.reservations.open.borrow_mut().remove(&self.number);
+        self.reservations.pending.borrow_mut().remove(&self.number);
     }
 }
 
 impl Reservations {
-    /// Asks an owner; nothing where it does not answer in time.
+    /// Sends a reservation to an owner and returns its verdict, or `None` if the owner does not reply
+    /// in time.
     pub async fn request(
         &self,
         peers: &Sender,
@@ -44,34 +45,34 @@
         reserve: Reserve,
     ) -> Option<Verdict> {
         let (sender, receiver) = oneshot::channel();
-        self.open.borrow_mut().insert(reserve.number, sender);
-        let _question = Question {
+        self.pending.borrow_mut().insert(reserve.number, sender);
+        let _guard = PendingGuard {
             number: reserve.number,
             reservations: self,
         };
-        let question = Message::Reserve(reserve);
-        let asking = async {
-            peers.try_send(owner, &question).await?;
+        let message = Message::Reserve(reserve);
+        let exchange = async {
+            peers.send_when_writable(owner, &message).await?;
             receiver.await.ok()
         };
-        tokio::time::timeout(ANSWER_WITHIN, asking).await.ok()?
+        tokio::time::timeout(REPLY_TIMEOUT, exchange).await.ok()?
     }
 
-    /// Hands an answer to the one who waits for it.
-    pub fn take_answer(&self, answer: Reserved) {
-        if let Some(asker) = self.open.borrow_mut().remove(&answer.number) {
-            // Fails where the asker has just left.
-            let _ = asker.send(answer.verdict);
+    /// Passes a reply to the task that waits for it.
+    pub fn deliver_answer(&self, answer: Reserved) {
+        if let Some(waiter) = self.pending.borrow_mut().remove(&answer.number) {
+            // Fails if the waiting task has just been cancelled.
+            let _ = waiter.send(answer.verdict);
         }
     }
 
-    /// Questions that are open.
+    /// The number of pending reservations.
     pub fn len(&self) -> usize {
-        self.open.borrow().len()
+        self.pending.borrow().len()
     }
 
-    /// True while none is open.
+    /// Whether no reservation is pending.
     pub fn is_empty(&self) -> bool {
-        self.open.borrow().is_empty()
+        self.pending.borrow().is_empty()
     }
 }
--- a/crates/gateway/src/peers/traffic.rs
+++ b/crates/gateway/src/peers/traffic.rs
@@ -1,34 +1,34 @@
-//! What a node sends to others, by kind.
+//! Counts the messages that this node sends to other nodes, by kind.
 
 use std::cell::Cell;
 
 use woadstage_dispatch::message::Frame;
 use woadstage_dispatch::message::Message;
 
-/// What is sent.
+/// The kind of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Statuses within the cell.
     StatusInCell,
-    /// Statuses to all other nodes.
-    StatusBeyond,
-    /// Slots.
+    /// Statuses to nodes outside the cell.
+    StatusOutsideCell,
+    /// Requests for slots, their replies and reports.
     Lease,
-    /// Units of quotas.
+    /// Reservations and releases of quota units.
     Quota,
-    /// Requests under which endpoints ended.
+    /// Findings on requests under which endpoints ended.
     Findings,
     /// Configurations and parts of them.
     Configuration,
-    /// Sections of lists of endpoints.
+    /// Sections of endpoint lists.
     Endpoints,
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds, in the order of their declaration.
     pub const ALL: [Kind; 7] = [
         Kind::StatusInCell,
-        Kind::StatusBeyond,
+        Kind::StatusOutsideCell,
         Kind::Lease,
         Kind::Quota,
         Kind::Findings,
@@ -36,11 +36,11 @@
         Kind::Endpoints,
     ];
 
-    /// The word for metrics.
+    /// Returns the label value of the metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::StatusInCell => "status-in-cell",
-            Kind::StatusBeyond => "status-beyond",
+            Kind::StatusOutsideCell => "status-beyond",
             Kind::Lease => "lease",
             Kind::Quota => "quota",
             Kind::Findings => "findings",
@@ -49,10 +49,10 @@
         }
     }
 
-    /// The kind of a message; a status counts as one beyond the cell.
-    pub fn of(message: &Message) -> Kind {
+    /// Returns the kind of a message. A status counts as one to a node outside the cell.
+    pub fn from_message(message: &Message) -> Kind {
         match message {
-            Message::Status(_) => Kind::StatusBeyond,
+            Message::Status(_) => Kind::StatusOutsideCell,
             Message::Reserve(_) | Message::Reserved(_) | Message::Release(_) => Kind::Quota,
             Message::Lease(_) | Message::Leased(_) | Message::Report(_) | Message::Check(_) => {
                 Kind::Lease
@@ -61,8 +61,8 @@
         }
     }
 
-    /// The kind of a piece of a document.
-    pub fn of_frame(frame: &Frame) -> Kind {
+    /// Returns the kind of a frame of a transfer.
+    pub fn from_frame(frame: &Frame) -> Kind {
         match frame {
             Frame::Endpoints(_) => Kind::Endpoints,
             Frame::Busy | Frame::Manifest(_) | Frame::Part(_) => Kind::Configuration,
@@ -70,16 +70,16 @@
     }
 }
 
-/// Messages and bytes that were sent, without the headers of the network.
+/// The messages and bytes sent, without network headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Messages.
+    /// The number of messages.
     pub messages: u64,
-    /// Bytes.
+    /// The number of bytes.
     pub bytes: u64,
 }
 
-/// All that was sent since the start.
+/// Counts of what was sent since the process started.
 #[derive(Debug, Default)]
 pub struct Traffic {
     counts: [Cell<Count>; Kind::ALL.len()],
@@ -87,7 +87,7 @@
 
 impl Traffic {
     /// Counts a message.
-    pub fn note(&self, kind: Kind, bytes: usize) {
+    pub fn record(&self, kind: Kind, bytes: usize) {
         let cell = &self.counts[kind as usize];
         let count = cell.get();
         cell.set(Count {
@@ -96,7 +96,7 @@
         });
     }
 
-    /// What was sent of each kind.
+    /// Returns the counts of each kind.
     pub fn counts(&self) -> impl Iterator<Item = (Kind, Count)> + '_ {
         let counts = self.counts.iter().map(Cell::get);
         Kind::ALL.into_iter().zip(counts)
--- a/crates/gateway/src/peers/transfer/frame.rs
+++ b/crates/gateway/src/peers/transfer/frame.rs
@@ -1,4 +1,5 @@
-//! Messages on a stream: their layout once, then each message after its length.
+//! Frames messages on a stream: one byte for the layout, then each message prefixed with its
+//! length.
 
 use tokio::io::AsyncRead;
 use tokio::io::AsyncReadExt;
@@ -6,111 +7,117 @@
 use tokio::io::AsyncWriteExt;
 use woadstage_dispatch::protocol;
 
-use super::PROGRESS_WITHIN;
+use super::PROGRESS_TIMEOUT;
 
-/// Longest message, in bytes. A part of a configuration is far shorter; a list
-/// of 3,100 endpoints takes some 300 KiB.
-const MESSAGE_MOST: usize = 8 << 20;
+/// The maximum length of a message with its prefix, in bytes. A part of a configuration is far
+/// shorter; a list of 3,100 endpoints takes about 300 KiB.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// Bytes that are read at once.
-const READ_AT_ONCE: usize = 16 << 10;
+/// The size of the buffer for one read, in bytes.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Adds the layout with which every stream begins.
-pub fn begin(bytes: &mut Vec<u8>) {
+/// Appends the layout byte that starts every stream.
+pub fn put_layout(bytes: &mut Vec<u8>) {
     bytes.push(protocol::LAYOUT);
 }
 
-/// Adds a message.
+/// Appends a message with its length prefix.
 ///
 /// # Errors
-/// Where it is too long for the field that holds its length.
-pub fn add(bytes: &mut Vec<u8>, message: &[u8]) -> anyhow::Result<()> {
+/// If the length of the message doesn't fit the prefix.
+pub fn put_message(bytes: &mut Vec<u8>, message: &[u8]) -> anyhow::Result<()> {
     let length = u32::try_from(message.len())?;
     bytes.extend_from_slice(&length.to_le_bytes());
     bytes.extend_from_slice(message);
     Ok(())
 }
 
-/// Writes all bytes, for as long as the other end takes some.
+/// Writes all bytes; the timeout applies to each write, not to the whole.
 ///
 /// # Errors
-/// Where the stream breaks or nothing moves any more.
+/// If the stream fails or a write makes no progress in time.
 pub async fn write(stream: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> anyhow::Result<()> {
-    let mut rest = bytes;
-    while !rest.is_empty() {
-        let written = tokio::time::timeout(PROGRESS_WITHIN, stream.write(rest)).await??;
-        anyhow::ensure!(written > 0, "the other end takes no more");
-        rest = &rest[written..];
+    let mut remaining = bytes;
+    while !remaining.is_empty() {
+        let written = tokio::time::timeout(PROGRESS_TIMEOUT, stream.write(remaining)).await??;
+        anyhow::ensure!(written > 0, "the peer accepts no more bytes");
+        remaining = &remaining[written..];
     }
     Ok(())
 }
 
-/// Reads the messages of a stream, one by one.
+/// Reads the messages of a stream one at a time.
 pub struct Reader<S> {
     stream: S,
-    bytes: Vec<u8>,
-    begun: bool,
-    /// Bytes read so far.
-    pub total: usize,
+    buffered: Vec<u8>,
+    layout_checked: bool,
+    /// The number of bytes read so far.
+    pub total_bytes: usize,
 }
 
 impl<S: AsyncRead + Unpin> Reader<S> {
-    /// Nothing was read yet.
+    /// Returns a reader at the start of a stream.
     pub fn new(stream: S) -> Reader<S> {
         Reader {
             stream,
-            bytes: Vec::new(),
-            begun: false,
-            total: 0,
+            buffered: Vec::new(),
+            layout_checked: false,
+            total_bytes: 0,
         }
     }
 
-    /// The next message, which `decode` reads, or none at the end of the stream.
+    /// Returns the next message as decoded by `decode`, or `None` at the end of the stream.
     ///
     /// # Errors
-    /// Where the stream breaks, ends within a message or brings nothing more,
-    /// and where it has another layout.
+    /// If the stream fails, ends within a message, makes no progress in time or has an
+    /// unsupported layout, or if a message is too long or can't be decoded.
     pub async fn next<M>(
         &mut self,
         decode: impl FnOnce(&[u8]) -> postcard::Result<M>,
     ) -> anyhow::Result<Option<M>> {
-        if !self.begun {
+        if !self.layout_checked {
             if !self.fill(1).await? {
                 return Ok(None);
             }
-            let layout = self.bytes.remove(0);
+            let layout = self.buffered.remove(0);
             anyhow::ensure!(
                 layout == protocol::LAYOUT,
-                "another layout of messages: {layout}"
+                "unsupported message layout {layout}"
             );
-            self.begun = true;
+            self.layout_checked = true;
         }
-        const LENGTH: usize = size_of::<u32>();
-        if !self.fill(LENGTH).await? {
+        const PREFIX_BYTES: usize = size_of::<u32>();
+        if !self.fill(PREFIX_BYTES).await? {
             return Ok(None);
         }
-        let length: [u8; LENGTH] = self.bytes[..LENGTH].try_into()?;
-        let end = LENGTH + u32::from_le_bytes(length) as usize;
-        anyhow::ensure!(end <= MESSAGE_MOST, "a message of {end} bytes");
+        let length: [u8; PREFIX_BYTES] = self.buffered[..PREFIX_BYTES].try_into()?;
+        let end = PREFIX_BYTES + u32::from_le_bytes(length) as usize;
+        anyhow::ensure!(
+            end <= MAX_MESSAGE_BYTES,
+            "message of {end} bytes exceeds the limit of {MAX_MESSAGE_BYTES}"
+        );
         anyhow::ensure!(self.fill(end).await?, "the stream ended within a message");
-        let message = decode(&self.bytes[LENGTH..end])?;
-        self.bytes.drain(..end);
+        let message = decode(&self.buffered[PREFIX_BYTES..end])?;
+        self.buffered.drain(..end);
         Ok(Some(message))
     }
 
-    /// Reads until so many bytes are there; false where the stream ended
-    /// before the first of them.
+    /// Reads until `count` bytes are buffered. Returns false if the stream ended with an empty
+    /// buffer.
     async fn fill(&mut self, count: usize) -> anyhow::Result<bool> {
-        let mut buffer = [0; READ_AT_ONCE];
-        while self.bytes.len() < count {
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        while self.buffered.len() < count {
             let reading = self.stream.read(&mut buffer);
-            let read = tokio::time::timeout(PROGRESS_WITHIN, reading).await??;
+            let read = tokio::time::timeout(PROGRESS_TIMEOUT, reading).await??;
             if read == 0 {
-                anyhow::ensure!(self.bytes.is_empty(), "the stream ended within a message");
+                anyhow::ensure!(
+                    self.buffered.is_empty(),
+                    "the stream ended within a message"
+                );
                 return Ok(false);
             }
-            self.total += read;
-            self.bytes.extend_from_slice(&buffer[..read]);
+            self.total_bytes += read;
+            self.buffered.extend_from_slice(&buffer[..read]);
         }
         Ok(true)
     }
--- a/crates/gateway/src/peers/transfer/mod.rs
+++ b/crates/gateway/src/peers/transfer/mod.rs
@@ -1,8 +1,8 @@
-//! Documents of the platform on their way from node to node, by stream.
+//! Transfers the platform's documents between nodes over TCP.
 //!
-//! * `give.rs`: answers nodes that are behind.
-//! * `take.rs`: asks a node that is ahead.
-//! * `frame.rs`: messages on a stream.
+//! * `serve.rs`: sends documents to nodes that have older ones.
+//! * `fetch.rs`: fetches documents from a node that has newer ones.
+//! * `frame.rs`: length-prefixed messages on a stream.
 
 use std::cell::Cell;
 use std::fmt;
@@ -14,76 +14,76 @@
 use crate::event::Event;
 use crate::shell::Shell;
 
+mod fetch;
 pub mod frame;
-mod give;
-mod take;
+mod serve;
 
-pub use give::serve;
-pub use take::Ended;
-pub use take::take;
+pub use fetch::Outcome;
+pub use fetch::fetch;
+pub use serve::serve;
 
-/// Longest pause in which nothing of a transfer moves. On the slowest link of
-/// 10 Mbit/s 1 MB moves in that time; as long a silence is a node that is gone.
-const PROGRESS_WITHIN: Duration = Duration::from_secs(1);
+/// The time without progress after which a transfer fails. The slowest link, of 10 Mbit/s,
+/// carries about 1 MB in that time, so a longer silence means that the other node is gone.
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest transfer. A node that is behind asks one other at a time, so that
-/// one which is slow without end must not keep it from the others, and it must
-/// have a change within 3 s on the users' larger sites. Three transfers of 260 kB
-/// share 10 Mbit/s in 0.7 s. What has arrived by then is kept.
-const WHOLE_WITHIN: Duration = Duration::from_secs(2);
+/// The time limit of a transfer. A node fetches a document from one node at a time, so a slow
+/// node must not keep it from the others, and on the users' larger sites a change must reach
+/// each node within 3 s. Three transfers of 260 kB that share 10 Mbit/s take 0.7 s. Parts that
+/// arrived before the time limit are kept.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Transfers that are under way on a node.
+/// The numbers of transfers in progress on a node.
 #[derive(Debug, Default)]
 pub struct Counts {
-    taking: Cell<usize>,
-    giving: Cell<usize>,
+    receiving: Cell<usize>,
+    sending: Cell<usize>,
 }
 
-/// Which way documents go.
+/// The direction of a transfer, as seen from this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    Taken,
-    Given,
+    Received,
+    Sent,
 }
 
 impl fmt::Display for Direction {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Direction::Taken => "taken",
-            Direction::Given => "given",
+            Direction::Received => "taken",
+            Direction::Sent => "given",
         })
     }
 }
 
-/// Runs a transfer that returns its bytes, counts it among those under way,
-/// bounds its time, and logs how it ended.
-async fn logged(
+/// Runs a transfer, which returns its length in bytes, within [`TRANSFER_TIMEOUT`]; counts it
+/// while it is in progress, and logs its outcome.
+async fn run_logged(
     shell: &Shell,
     direction: Direction,
     peer: SocketAddrV4,
     transfer: impl Future<Output = anyhow::Result<usize>>,
 ) -> anyhow::Result<usize> {
-    let under_way = match direction {
-        Direction::Taken => &shell.transfers.taking,
-        Direction::Given => &shell.transfers.giving,
+    let in_progress = match direction {
+        Direction::Received => &shell.transfers.receiving,
+        Direction::Sent => &shell.transfers.sending,
     };
-    let begun = shell.now();
-    under_way.set(under_way.get() + 1);
-    let ended: Result<_, Elapsed> = tokio::time::timeout(WHOLE_WITHIN, transfer).await;
-    let ended = ended.unwrap_or_else(|elapsed| Err(elapsed.into()));
-    let at_once = under_way.get();
-    under_way.set(at_once - 1);
-    let detail = ended.as_ref().err().map(ToString::to_string);
+    let started = shell.now();
+    in_progress.set(in_progress.get() + 1);
+    let result: Result<_, Elapsed> = tokio::time::timeout(TRANSFER_TIMEOUT, transfer).await;
+    let result = result.unwrap_or_else(|elapsed| Err(elapsed.into()));
+    let at_once = in_progress.get();
+    in_progress.set(at_once - 1);
+    let detail = result.as_ref().err().map(ToString::to_string);
     let direction = direction.to_string();
-    shell.metrics.transfer(&direction, ended.is_ok());
+    shell.metrics.transfer(&direction, result.is_ok());
     shell.log(&Event::Transfer {
         direction: &direction,
         peer: &peer.to_string(),
-        whole: ended.is_ok(),
+        whole: result.is_ok(),
         detail: detail.as_deref().unwrap_or_default(),
-        bytes: *ended.as_ref().unwrap_or(&0),
-        after_ms: shell.now().since(begun).0 / 1_000,
+        bytes: *result.as_ref().unwrap_or(&0),
+        after_ms: shell.now().since(started).0 / 1_000,
         at_once,
     });
-    ended
+    result
 }
--- /dev/null
+++ b/crates/gateway/src/peers/transfer/serve.rs
@@ -0,0 +1,100 @@
+//! Sends documents to nodes that have older ones. Only a few transfers run at once, so that
+//! each one ends sooner and its receiver can serve other nodes.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::TcpListener;
+use tokio::net::TcpStream;
+use woadstage_dispatch::message::Frame;
+use woadstage_dispatch::wire;
+
+use super::Direction;
+use super::frame;
+use super::run_logged;
+use crate::peers::traffic::Kind;
+use crate::shell::Shell;
+
+/// The maximum number of transfers at once. Three transfers of 100 kB that share 10 Mbit/s take
+/// a quarter of a second.
+const MAX_TRANSFERS: usize = 3;
+
+/// The maximum size, in bytes, of endpoint list changes that are sent while [`MAX_TRANSFERS`] are
+/// in progress. Sixteen changed sections of a list of 3,000 endpoints take 33 kB, or 14 ms at
+/// 20 Mbit/s. Whole lists, of 132 kB, go to a few nodes at a time, which then serve others.
+const MAX_BUSY_ENDPOINTS_BYTES: usize = 33 << 10;
+
+/// The pause after a failed accept. The usual cause is a lack of file descriptors, which other
+/// connections free when they close.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Sends the documents that connecting nodes lack, for as long as the process runs.
+pub async fn serve(shell: Rc<Shell>, listener: TcpListener) {
+    loop {
+        let Ok((stream, SocketAddr::V4(to))) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+            continue;
+        };
+        let shell = shell.clone();
+        tokio::task::spawn_local(async move {
+            if shell.transfers.sending.get() >= MAX_TRANSFERS {
+                shell.metrics.transfer("given", false);
+                // If this fails too, the node tries another one.
+                let _ = decline(&shell, stream).await;
+                return;
+            }
+            // On failure the other node asks again; `run_logged` logs the error.
+            let _ = run_logged(&shell, Direction::Sent, to, send(&shell, stream)).await;
+        });
+    }
+}
+
+/// Sends only the changes of the endpoint list, if they are small, and reports that this node is
+/// busy if that leaves anything out. Endpoint lists must take effect quickly on all nodes:
+/// when they queued behind long configurations, an endpoint received a request 3,022 ms after it
+/// had announced that it was leaving, where 3,000 ms are allowed.
+async fn decline(shell: &Shell, mut stream: TcpStream) -> anyhow::Result<()> {
+    // Closing a connection with unread bytes resets it, and the reply would be lost.
+    let mut reader = frame::Reader::new(&mut stream);
+    let Some(pull) = reader.next(wire::pull_from_bytes).await? else {
+        anyhow::bail!("the peer closed the connection without a request");
+    };
+    let snapshot = shell.query(|dispatcher, _| dispatcher.snapshot(&pull));
+    let mut bytes = Vec::new();
+    frame::put_layout(&mut bytes);
+    let mut busy = snapshot.manifest.is_some();
+    if let Some(endpoints) = snapshot.endpoints {
+        let endpoints = wire::frame_to_bytes(&Frame::Endpoints(endpoints))?;
+        match endpoints.len() <= MAX_BUSY_ENDPOINTS_BYTES {
+            true => {
+                let traffic = &shell.peers.traffic;
+                traffic.record(Kind::Endpoints, endpoints.len());
+                frame::put_message(&mut bytes, &endpoints)?;
+            }
+            false => busy = true,
+        }
+    }
+    if busy {
+        frame::put_message(&mut bytes, &wire::frame_to_bytes(&Frame::Busy)?)?;
+    }
+    frame::write(&mut stream, &bytes).await
+}
+
+async fn send(shell: &Shell, mut stream: TcpStream) -> anyhow::Result<usize> {
+    let mut reader = frame::Reader::new(&mut stream);
+    let Some(pull) = reader.next(wire::pull_from_bytes).await? else {
+        anyhow::bail!("the peer closed the connection without a request");
+    };
+    let snapshot = shell.query(|dispatcher, _| dispatcher.snapshot(&pull));
+    let mut bytes = Vec::new();
+    frame::put_layout(&mut bytes);
+    for frame in snapshot.into_frames() {
+        let encoded = wire::frame_to_bytes(&frame)?;
+        let traffic = &shell.peers.traffic;
+        traffic.record(Kind::from_frame(&frame), encoded.len());
+        frame::put_message(&mut bytes, &encoded)?;
+    }
+    frame::write(&mut stream, &bytes).await?;
+    Ok(bytes.len())
+}
--- a/crates/gateway/src/upstream/connect.rs
+++ b/crates/gateway/src/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Opens connections to endpoints.
+//! Opens TCP connections to endpoints.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,32 +11,32 @@
 
 use super::Connection;
 
-/// How long sent bytes may stay unacknowledged, and a connection at rest
-/// silent, before its other end is taken to be gone.
-const GONE_AFTER: Duration = Duration::from_millis(2_500);
+/// How long sent bytes may stay unacknowledged, or keepalive probes unanswered on an idle
+/// connection, before the host is considered gone.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Time between two signs of life that the system asks for.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// The interval of TCP keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Opens a connection.
+/// Opens an HTTP/1 connection.
 pub async fn open(address: SocketAddrV4) -> anyhow::Result<Connection> {
     let stream = TcpStream::connect(address).await?;
-    tune(&stream)?;
+    set_socket_options(&stream)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::task::spawn_local(async move {
-        // How a connection ended shows in the call that was under way.
+        // An error of the connection is reported by the call in progress.
         let _ = connection.await;
     });
     Ok(Connection { sender, task })
 }
 
-/// Makes a host that is gone show as an error soon.
-fn tune(stream: &TcpStream) -> std::io::Result<()> {
+/// Sets the socket options that make the loss of a host show quickly as an error.
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY);
-    socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(GONE_AFTER))
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive)?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! Endpoints: connections that are kept, and calls over them. Nothing here
-//! sends a request a second time once a byte of it may have been written.
+//! Calls to endpoints over pooled connections. A request is never sent again here once a byte of it
+//! may have been written.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,17 +22,17 @@
 pub mod probe;
 pub mod reuse;
 
-/// A body on its way, in either direction; it stays on its thread.
+/// A streamed body of a request or a response. It is not `Send`.
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = anyhow::Error>>>;
 
-/// Why a call brought no answer.
+/// The reason why a call brought no response.
 #[derive(Debug)]
 pub enum CallError {
     /// No byte of the request was written.
     NotSent(String),
-    /// The request may have been read.
+    /// The endpoint may have read the request.
     Lost(String),
-    /// The request's time ran out before an answer began.
+    /// The time limit of the request passed before a response began.
     Late,
 }
 
@@ -40,14 +40,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CallError::NotSent(detail) | CallError::Lost(detail) => f.write_str(detail),
-            CallError::Late => f.write_str("no answer in time"),
+            CallError::Late => f.write_str("no response in time"),
         }
     }
 }
 
 impl std::error::Error for CallError {}
 
-/// A connection to one endpoint; closed at once when dropped.
+/// A connection to an endpoint, closed immediately when dropped.
 pub struct Connection {
     sender: SendRequest<Body>,
     task: JoinHandle<()>,
@@ -59,40 +59,40 @@
     }
 }
 
-/// The head of an answer, its body to come, and the connection it comes over.
+/// A response whose body is still to be read, and the connection it arrives on.
 pub struct Answer {
-    /// The answer.
+    /// The response.
     pub response: Response<Incoming>,
-    /// Its connection.
+    /// The connection it arrives on.
     pub connection: Connection,
 }
 
-/// A connection at rest.
+/// An idle connection.
 struct Idle {
     connection: Connection,
-    since: Time,
-    until: Time,
+    idle_since: Time,
+    expires_at: Time,
 }
 
-/// All connections at rest, and endpoints that may have ended.
+/// The pool of idle connections, and the endpoints that are being probed.
 #[derive(Default)]
 pub struct Upstream {
     idle: RefCell<HashMap<Instance, Vec<Idle>>>,
-    /// Numbers of endpoints that are looked after.
-    probed: RefCell<HashSet<u32>>,
+    /// The numbers of the endpoints with a probe in progress.
+    probing: RefCell<HashSet<u32>>,
 }
 
-/// How long a connection may take to come up.
-const CONNECT_WITHIN: Duration = Duration::from_millis(400);
+/// The time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Kept connections that are tried before a new one is opened.
-const KEPT_TRIES: usize = 3;
+/// The maximum number of idle connections that are tried before a new one is opened.
+const MAX_REUSE_ATTEMPTS: usize = 3;
 
 impl Upstream {
-    /// Sends a request to an endpoint and waits for the head of its answer.
+    /// Sends a request to an endpoint and waits for the head of its response.
     ///
     /// # Errors
-    /// [`CallError::NotSent`] where it is certain that nothing was written.
+    /// [`CallError::NotSent`] if certainly nothing was written, otherwise [`CallError::Lost`].
     pub async fn call(
         &self,
         now: Time,
@@ -100,17 +100,17 @@
         request: Request<Body>,
     ) -> Result<Answer, CallError> {
         let mut request = request;
-        for _ in 0..KEPT_TRIES {
-            let Some(connection) = self.take(now, &endpoint.to_instance()) else {
+        for _ in 0..MAX_REUSE_ATTEMPTS {
+            let Some(connection) = self.take_idle(now, &endpoint.to_instance()) else {
                 break;
             };
             match send(connection, request).await {
                 Ok(answer) => return Ok(answer),
-                Err(Sending::Unsent(unsent)) => request = *unsent,
-                Err(Sending::Lost(detail)) => return Err(CallError::Lost(detail)),
+                Err(SendError::NotSent(returned)) => request = *returned,
+                Err(SendError::Lost(detail)) => return Err(CallError::Lost(detail)),
             }
         }
-        let opening = tokio::time::timeout(CONNECT_WITHIN, connect::open(endpoint.address));
+        let opening = tokio::time::timeout(CONNECT_TIMEOUT, connect::open(endpoint.address));
         let connection = match opening.await {
             Ok(Ok(connection)) => connection,
             Ok(Err(error)) => return Err(CallError::NotSent(format!("connect: {error}"))),
@@ -118,29 +118,29 @@
         };
         match send(connection, request).await {
             Ok(answer) => Ok(answer),
-            Err(Sending::Unsent(_)) => {
-                Err(CallError::NotSent("closed before anything was sent".into()))
-            }
-            Err(Sending::Lost(detail)) => Err(CallError::Lost(detail)),
+            Err(SendError::NotSent(_)) => Err(CallError::NotSent(
+                "connection closed before the request was sent".into(),
+            )),
+            Err(SendError::Lost(detail)) => Err(CallError::Lost(detail)),
         }
     }
 }
 
-/// Why a request over one connection brought no answer.
-enum Sending {
-    Unsent(Box<Request<Body>>),
+/// The reason why a request on one connection brought no response.
+enum SendError {
+    NotSent(Box<Request<Body>>),
     Lost(String),
 }
 
-async fn send(mut connection: Connection, request: Request<Body>) -> Result<Answer, Sending> {
+async fn send(mut connection: Connection, request: Request<Body>) -> Result<Answer, SendError> {
     match connection.sender.try_send_request(request).await {
         Ok(response) => Ok(Answer {
             response,
             connection,
         }),
         Err(mut error) => Err(match error.take_message() {
-            Some(request) => Sending::Unsent(Box::new(request)),
-            None => Sending::Lost(error.into_error().to_string()),
+            Some(request) => SendError::NotSent(Box::new(request)),
+            None => SendError::Lost(error.into_error().to_string()),
         }),
     }
 }
--- a/crates/gateway/src/upstream/probe.rs
+++ b/crates/gateway/src/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! Tells an endpoint that has ended from one that broke off an answer.
+//! Probes an endpoint whose response broke off, to find out whether its process has ended.
 
 use std::io::ErrorKind;
 use std::net::SocketAddrV4;
@@ -8,54 +8,56 @@
 use tokio::net::TcpStream;
 use woadstage_dispatch::endpoint::Endpoint;
 
-use super::CONNECT_WITHIN;
+use super::CONNECT_TIMEOUT;
 use super::Upstream;
 use crate::shell::Shell;
 
-/// What an attempt at connecting shows.
+/// What a connection attempt shows of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
-    /// Nothing listens at the address: the process has ended.
+pub enum Liveness {
+    /// The connection was refused: nothing listens at the address, so the process has ended.
     Ended,
-    /// Something listens there.
+    /// The connection was accepted.
     Alive,
-    /// Neither: the host says nothing.
-    Nothing,
+    /// Neither, as when the host does not respond.
+    Unknown,
 }
 
-/// Connects, and closes the connection again.
-pub async fn probe(address: SocketAddrV4) -> Sign {
-    match tokio::time::timeout(CONNECT_WITHIN, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Sign::Alive,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Sign::Ended,
-        Ok(Err(_)) | Err(_) => Sign::Nothing,
+/// Opens a connection to an address and closes it again.
+pub async fn probe(address: SocketAddrV4) -> Liveness {
+    match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+        Ok(Ok(_)) => Liveness::Alive,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Liveness::Ended,
+        Ok(Err(_)) | Err(_) => Liveness::Unknown,
     }
 }
 
 impl Upstream {
-    /// True while it is not known of some endpoint whether it has ended.
+    /// Whether a probe of any endpoint is in progress.
     pub fn is_probing(&self) -> bool {
-        !self.probed.borrow().is_empty()
+        !self.probing.borrow().is_empty()
     }
 }
 
-/// Looks after an endpoint that broke off an answer, once for all that break at a
-/// moment. Of a host that says nothing the platform will tell.
+/// Starts a probe of an endpoint whose response broke off, unless one is in progress. If the host
+/// does not respond, this node learns from the platform whether the endpoint has ended.
 pub fn start(shell: &Rc<Shell>, endpoint: &Arc<Endpoint>) {
     let number = endpoint.to_number();
-    if !shell.upstream.probed.borrow_mut().insert(number) {
+    if !shell.upstream.probing.borrow_mut().insert(number) {
         return;
     }
     let (shell, address) = (shell.clone(), endpoint.address);
     tokio::task::spawn_local(async move {
-        let sign = probe(address).await;
-        shell.upstream.probed.borrow_mut().remove(&number);
-        match sign {
-            Sign::Ended => {
+        let liveness = probe(address).await;
+        shell.upstream.probing.borrow_mut().remove(&number);
+        match liveness {
+            Liveness::Ended => {
                 shell.command(|dispatcher, now| dispatcher.note_endpoint_ended(now, number));
             }
-            Sign::Alive => shell.command(|dispatcher, _| dispatcher.note_endpoint_alive(number)),
-            Sign::Nothing => {}
+            Liveness::Alive => {
+                shell.command(|dispatcher, _| dispatcher.note_endpoint_alive(number))
+            }
+            Liveness::Unknown => {}
         }
     });
 }
--- a/crates/gateway/src/upstream/reuse.rs
+++ b/crates/gateway/src/upstream/reuse.rs
@@ -1,6 +1,6 @@
-//! Connections at rest. One that has just answered rests a moment before it is
-//! used again, so that a second answer, which no request asked for, is noticed
-//! by the connection and not taken for the next request's.
+//! Reuse of idle connections. After a response, a connection stays idle for a moment if another one
+//! can be used, so that an unsolicited second response is detected as an error and not mistaken
+//! for the response to the next request.
 
 use std::time::Duration;
 
@@ -14,82 +14,84 @@
 use super::Upstream;
 use crate::clock::to_span;
 
-/// How long a connection rests at the least while there is another.
-const REST: Duration = Duration::from_millis(60);
+/// The minimum idle time before a connection is reused, ignored if no idle connection meets it.
+const REUSE_DELAY: Duration = Duration::from_millis(60);
 
-/// How long a connection is kept whose endpoint does not say.
-const KEEP: Duration = Duration::from_secs(4);
+/// How long a connection is kept if its endpoint announces no keep-alive timeout.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// The part of what an endpoint says that a connection is kept, in percent.
-const KEEP_PERCENT: u32 = 70;
+/// The part of an endpoint's keep-alive timeout for which a connection is kept, in percent.
+const KEEP_ALIVE_PERCENT: u32 = 70;
 
-/// Connections at rest that are kept for one endpoint, however many it takes.
-const KEPT_MOST: usize = 16;
+/// The maximum number of idle connections per endpoint, however many slots it has.
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
-/// How long a connection may take to be ready again after an answer.
-const READY_WITHIN: Duration = Duration::from_millis(500);
+/// The time limit for a connection to become ready again after a response.
+const READY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Upstream {
-    /// Takes the connection to an endpoint that rested longest.
-    pub(super) fn take(&self, now: Time, endpoint: &Instance) -> Option<Connection> {
+    /// Takes the connection to an endpoint that has been idle longest; if none has been idle for
+    /// [`REUSE_DELAY`], the one that became idle last.
+    pub(super) fn take_idle(&self, now: Time, endpoint: &Instance) -> Option<Connection> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(endpoint)?;
-        idle.retain(|one| one.until > now && !one.connection.sender.is_closed());
-        let rested = idle
+        idle.retain(|one| one.expires_at > now && !one.connection.sender.is_closed());
+        let reusable = idle
             .iter()
-            .position(|one| now.since(one.since) >= to_span(REST));
-        let at = rested.or_else(|| idle.len().checked_sub(1))?;
-        Some(idle.remove(at).connection)
+            .position(|one| now.since(one.idle_since) >= to_span(REUSE_DELAY));
+        let index = reusable.or_else(|| idle.len().checked_sub(1))?;
+        Some(idle.remove(index).connection)
     }
 
-    /// Keeps a connection that has [`into_reusable`], for so long at the most, and no more than
-    /// `most` to the same endpoint. The time for which its other end keeps it goes on
-    /// while this host is suspended.
+    /// Adds a connection returned by [`into_reusable`] to the pool for at most `keep_alive`. Closes
+    /// the oldest ones to the same endpoint so that, with this one, at most `max_idle` remain. The
+    /// endpoint's keep-alive timeout goes on while this host is suspended.
     pub fn add_idle(
         &self,
         now: Time,
         endpoint: Instance,
         connection: Connection,
-        keep: Duration,
-        most: usize,
+        keep_alive: Duration,
+        max_idle: usize,
     ) {
         let mut all = self.idle.borrow_mut();
         let idle = all.entry(endpoint).or_default();
-        let kept_before = most.clamp(1, KEPT_MOST) - 1;
-        let over = idle.len().saturating_sub(kept_before);
-        idle.drain(..over);
+        let max_before = max_idle.clamp(1, MAX_IDLE_PER_ENDPOINT) - 1;
+        let excess = idle.len().saturating_sub(max_before);
+        idle.drain(..excess);
         idle.push(Idle {
             connection,
-            since: now,
-            until: now + to_span(keep),
+            idle_since: now,
+            expires_at: now + to_span(keep_alive),
         });
     }
 
-    /// Closes all connections at rest, as after a pause of this process.
+    /// Closes all idle connections, as after a pause of this process.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes connections whose time is over.
+    /// Removes idle connections that have expired or were closed by the endpoint.
     pub fn remove_expired(&self, now: Time) {
         self.idle.borrow_mut().retain(|_, idle| {
-            idle.retain(|one| one.until > now && !one.connection.sender.is_closed());
+            idle.retain(|one| one.expires_at > now && !one.connection.sender.is_closed());
             !idle.is_empty()
         });
     }
 }
 
-/// Waits until a connection whose answer was whole can be used again; nothing where it
-/// cannot, or its endpoint said not to.
-pub async fn into_reusable(mut connection: Connection, keep: Duration) -> Option<Connection> {
-    if keep.is_zero() {
+/// Waits until a connection can be used again after a complete response. Returns `None` if it can't
+/// or if the endpoint closes it.
+pub async fn into_reusable(mut connection: Connection, keep_alive: Duration) -> Option<Connection> {
+    if keep_alive.is_zero() {
         return None;
     }
-    let ready = tokio::time::timeout(READY_WITHIN, connection.sender.ready()).await;
+    let ready = tokio::time::timeout(READY_TIMEOUT, connection.sender.ready()).await;
     matches!(ready, Ok(Ok(()))).then_some(connection)
 }
 
-/// How long a connection may be kept after an answer with this head.
+/// Returns how long a connection may be kept after a response with these headers, zero if the
+/// endpoint closes it.
 pub fn keep_alive_duration(headers: &HeaderMap) -> Duration {
     let values = |name| {
         headers
@@ -97,16 +99,16 @@
             .iter()
             .filter_map(|value| value.to_str().ok())
     };
-    let closes = values(header::CONNECTION)
+    let is_closing = values(header::CONNECTION)
         .flat_map(|value| value.split(','))
         .any(|word| word.trim().eq_ignore_ascii_case("close"));
-    if closes {
+    if is_closing {
         return Duration::ZERO;
     }
-    let said = values(header::HeaderName::from_static("keep-alive"))
+    let timeout_seconds = values(header::HeaderName::from_static("keep-alive"))
         .flat_map(|value| value.split(','))
         .find_map(|word| word.trim().strip_prefix("timeout=")?.parse::<u64>().ok());
-    said.map_or(KEEP, |seconds| {
-        Duration::from_secs(seconds.min(3_600)) * KEEP_PERCENT / 100
+    timeout_seconds.map_or(DEFAULT_KEEP_ALIVE, |seconds| {
+        Duration::from_secs(seconds.min(3_600)) * KEEP_ALIVE_PERCENT / 100
     })
 }
--- a/crates/gateway/tests/gateway/catch_up.rs
+++ b/crates/gateway/tests/gateway/catch_up.rs
@@ -1,4 +1,4 @@
-//! A whole node that is behind takes documents from another.
+//! Tests that a running node fetches newer documents from another node.
 
 use std::future::pending;
 use std::path::PathBuf;
@@ -19,36 +19,36 @@
 use crate::support::dispatcher_options;
 use crate::support::run;
 
-/// Longest wait for what must come; a single transfer takes a tenth of it.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The time limit for an expected event; a single transfer takes a tenth of it.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Routes of a configuration that takes most of a second on the peer's link.
-const MANY_ROUTES: usize = 2_500;
+/// The number of routes in a configuration that takes most of a second on the peer's link.
+const ROUTE_COUNT: usize = 2_500;
 
 const VERSION: u64 = 9;
 
-/// A node that knows a configuration with many routes.
-fn ahead() -> Dispatcher {
-    let usual = configuration(None);
+/// Returns a dispatcher that has a long configuration.
+fn dispatcher_with_long_configuration() -> Dispatcher {
+    let template = configuration(None);
     let route = |at: usize| Route {
         name: format!("route-{at}"),
         prefix: format!("/route-{at}/"),
-        ..usual.routes[0].clone()
+        ..template.routes[0].clone()
     };
-    let long = Configuration {
+    let long_configuration = Configuration {
         version: VERSION,
-        routes: (0..MANY_ROUTES).map(route).collect(),
-        ..usual
+        routes: (0..ROUTE_COUNT).map(route).collect(),
+        ..template
     };
     let options: Options = dispatcher_options();
     let mut dispatcher = Dispatcher::new(options);
-    dispatcher.set_configuration(Time(0), Arc::new(long));
+    dispatcher.set_configuration(Time(0), Arc::new(long_configuration));
     dispatcher
 }
 
-/// The settings of a node that knows this peer only.
+/// Returns the settings of a node whose only seed is the peer.
 fn settings(peer: &Peer) -> String {
-    let (own, port) = (peer.other, peer.other.port());
+    let (address, port) = (peer.node_address, peer.node_address.port());
     let seed = peer.address;
     format!(
         r#"
@@ -61,7 +61,7 @@
 ready = "127.0.0.1:0"
 metrics = "127.0.0.1:0"
 [peers]
-address = "{own}"
+address = "{address}"
 seed_port = {port}
 seeds = ["{seed}"]
 [platform]
@@ -70,47 +70,48 @@
     )
 }
 
-/// Starts a node whose seed is the peer.
+/// Starts a node whose only seed is the peer, and returns the path of its settings file.
 fn start_node(peer: &Rc<Peer>) -> PathBuf {
     let path = std::env::temp_dir().join(format!("woadstage-{}.toml", peer.address.port()));
     std::fs::write(&path, settings(peer)).expect("settings are written");
-    let (file, of) = (path.clone(), Rc::clone(peer));
+    let (file, peer) = (path.clone(), Rc::clone(peer));
     spawn_local(async move {
         let ended = woadstage_gateway::run::run(&file, |_, _| pending()).await;
-        panic!("the node at {} ended: {ended:?}", of.other);
+        panic!("the node at {} ended: {ended:?}", peer.node_address);
     });
     path
 }
 
-/// Waits until something is so; false where it takes too long.
-async fn comes(is_so: impl Fn() -> bool) -> bool {
+/// Waits until a condition holds. Returns false on timeout.
+async fn wait_until(condition: impl Fn() -> bool) -> bool {
     let waiting = async {
-        while !is_so() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.is_ok()
+    tokio::time::timeout(EVENT_TIMEOUT, waiting).await.is_ok()
 }
 
 #[test]
-fn a_long_document_over_a_slow_link_is_taken_once() {
+fn a_long_document_over_a_slow_link_is_fetched_once() {
     run(|| async {
-        let peer = Peer::start(ahead()).await;
+        let peer = Peer::start(dispatcher_with_long_configuration()).await;
         let path = start_node(&peer);
-        let came = comes(|| peer.heard.get() >= VERSION).await;
+        let arrived = wait_until(|| peer.reported_version.get() >= VERSION).await;
         std::fs::remove_file(&path).expect("settings are removed");
-        assert_eq!((came, peer.most_at_once.get()), (true, 1));
+        assert_eq!((arrived, peer.max_in_progress.get()), (true, 1));
     });
 }
 
-/// A list in which an endpoint leaves must not wait for a long configuration.
+/// Guards against an endpoint list that queues behind a long configuration: until the list arrives,
+/// the node sends requests to endpoints that are leaving.
 #[test]
 fn a_list_of_endpoints_does_not_wait_for_a_long_configuration() {
     run(|| async {
-        let peer = Peer::start(ahead()).await;
-        peer.is_endless.set(true);
+        let peer = Peer::start(dispatcher_with_long_configuration()).await;
+        peer.is_stalling.set(true);
         let path = start_node(&peer);
-        assert!(comes(|| peer.configurations.get() > 0).await);
+        assert!(wait_until(|| peer.configuration_transfers.get() > 0).await);
         let list = List {
             revision: 7,
             settled: true,
@@ -119,9 +120,9 @@
         peer.dispatcher
             .borrow_mut()
             .set_endpoints(Time(0), Arc::new(list));
-        let came = comes(|| peer.heard_list.get() == 7).await;
+        let arrived = wait_until(|| peer.reported_revision.get() == 7).await;
         std::fs::remove_file(&path).expect("settings are removed");
-        // The first transfer of the configuration is still under way.
-        assert_eq!((came, peer.configurations.get()), (true, 1));
+        // The first transfer of the configuration is still in progress.
+        assert_eq!((arrived, peer.configuration_transfers.get()), (true, 1));
     });
 }
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other, on the wire.
+//! Tests of the communication between nodes, over real sockets.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 use woadstage_dispatch::wire;
 use woadstage_gateway::log;
 use woadstage_gateway::peers;
-use woadstage_gateway::peers::transfer::Ended;
+use woadstage_gateway::peers::transfer::Outcome;
 use woadstage_gateway::peers::transfer::frame;
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -48,11 +48,11 @@
     Message::Status(Box::new(status))
 }
 
-/// A port for transfers.
+/// Returns a listener for transfers, and its address.
 async fn listen() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await
-        .expect("a port");
+        .expect("a free port");
     let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
         unreachable!("bound to IPv4");
     };
@@ -60,21 +60,21 @@
 }
 
 #[test]
-fn a_status_comes_back_as_it_went() {
+fn a_status_is_decoded_as_it_was_encoded() {
     let status = Status {
         incarnation: 7,
         sequence: 9,
         ..Status::default()
     };
     let message = to_message(status);
-    let bytes = wire::to_datagram(&message).expect("it can be written");
+    let bytes = wire::to_datagram(&message).expect("the message is encoded");
     assert_eq!(wire::try_from_datagram(&bytes), Some(message));
 }
 
 #[test]
-fn another_version_or_nonsense_is_not_read() {
+fn another_version_or_invalid_bytes_are_not_decoded() {
     let message = to_message(Status::default());
-    let mut bytes = wire::to_datagram(&message).expect("it can be written");
+    let mut bytes = wire::to_datagram(&message).expect("the message is encoded");
     bytes[0] += 1;
     assert_eq!(wire::try_from_datagram(&bytes), None);
     assert_eq!(wire::try_from_datagram(&[]), None);
@@ -101,66 +101,71 @@
         members: vec!["10.1.2.3:7600".parse().expect("an address"); 16],
         ..Status::default()
     };
-    let bytes = wire::to_datagram(&to_message(status)).expect("it can be written");
+    let bytes = wire::to_datagram(&to_message(status)).expect("the message is encoded");
     assert!(bytes.len() <= 1_400, "{}", bytes.len());
 }
 
 #[test]
-fn what_one_node_has_read_another_can_take() {
+fn a_node_can_fetch_what_another_has_read() {
     run(|| async {
         let worker = Worker::start("e", vec![Act::Silence]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let (listener, address) = listen().await;
         tokio::task::spawn_local(peers::transfer::serve(gateway.shell.clone(), listener));
         let other = Gateway::empty(log::Options::default()).await;
-        let known = |gateway: &Gateway| gateway.shell.query(|dispatcher, _| dispatcher.versions());
-        assert_ne!(known(&other), known(&gateway));
+        let versions =
+            |gateway: &Gateway| gateway.shell.query(|dispatcher, _| dispatcher.versions());
+        assert_ne!(versions(&other), versions(&gateway));
         for document in [Document::Endpoints, Document::Configuration] {
-            let ended = peers::transfer::take(&other.shell, address, document).await;
-            assert_eq!(ended.expect("it is given"), Ended::Whole);
+            let outcome = peers::transfer::fetch(&other.shell, address, document).await;
+            assert_eq!(outcome.expect("the transfer succeeds"), Outcome::Complete);
         }
-        assert_eq!(known(&other), known(&gateway));
+        assert_eq!(versions(&other), versions(&gateway));
         other.logged(&["\"transfer\"", "\"taken\""]).await;
         gateway.logged(&["\"transfer\"", "\"given\""]).await;
     });
 }
 
 #[test]
-fn a_node_gives_to_a_few_at_once_and_declines_others() {
+fn a_node_serves_a_few_at_once_and_declines_others() {
     run(|| async {
         let gateway = Gateway::start(&[]).await;
         let (listener, address) = listen().await;
         tokio::task::spawn_local(peers::transfer::serve(gateway.shell.clone(), listener));
-        // They connect and ask for nothing.
+        // These clients connect and request nothing.
         let mut stalled = Vec::new();
         for _ in 0..3 {
-            stalled.push(TcpStream::connect(address).await.expect("it listens"));
+            stalled.push(
+                TcpStream::connect(address)
+                    .await
+                    .expect("the node accepts connections"),
+            );
         }
         let other = Gateway::empty(log::Options::default()).await;
-        let take = |document| peers::transfer::take(&other.shell, address, document);
-        let ended = take(Document::Configuration).await;
-        assert_eq!(ended.expect("an answer"), Ended::Declined);
+        let fetch = |document| peers::transfer::fetch(&other.shell, address, document);
+        let outcome = fetch(Document::Configuration).await;
+        assert_eq!(outcome.expect("the transfer succeeds"), Outcome::Declined);
         assert_eq!(other.shell.query(|one, _| one.edition().revision), 0);
-        let ended = take(Document::Endpoints).await;
-        assert_eq!(ended.expect("an answer"), Ended::Whole);
+        let outcome = fetch(Document::Endpoints).await;
+        assert_eq!(outcome.expect("the transfer succeeds"), Outcome::Complete);
         assert_eq!(other.shell.query(|one, _| one.edition().revision), 1);
         drop(stalled);
         gateway.logged(&["\"given\"", "\"whole\":false"]).await;
-        let ended = take(Document::Configuration).await;
-        assert_eq!(ended.expect("an answer"), Ended::Whole);
+        let outcome = fetch(Document::Configuration).await;
+        assert_eq!(outcome.expect("the transfer succeeds"), Outcome::Complete);
     });
 }
 
-/// Gives a part of a configuration every so often, for as long as it is let.
-async fn trickle(listener: TcpListener, from: Dispatcher) -> anyhow::Result<()> {
+/// Serves a configuration slowly, with a pause after each frame, until the client disconnects.
+async fn serve_slowly(listener: TcpListener, from: Dispatcher) -> anyhow::Result<()> {
     let (mut stream, _) = listener.accept().await?;
     let mut reader = frame::Reader::new(&mut stream);
     let pull = reader.next(wire::pull_from_bytes).await?;
-    let snapshot = from.snapshot(&pull.expect("a question"));
+    let snapshot = from.snapshot(&pull.expect("a request"));
     let mut bytes = Vec::new();
-    frame::begin(&mut bytes);
+    frame::put_layout(&mut bytes);
     for frame in snapshot.into_frames() {
-        frame::add(&mut bytes, &wire::frame_to_bytes(&frame)?)?;
+        frame::put_message(&mut bytes, &wire::frame_to_bytes(&frame)?)?;
         frame::write(&mut stream, &bytes).await?;
         bytes.clear();
         tokio::time::sleep(Duration::from_millis(700)).await;
@@ -169,24 +174,25 @@
 }
 
 #[test]
-fn a_transfer_without_end_is_left_and_what_came_is_kept() {
+fn a_transfer_that_is_too_slow_is_aborted_and_received_parts_are_kept() {
     run(|| async {
         let (listener, address) = listen().await;
-        let mut ahead = Dispatcher::new(dispatcher_options());
-        ahead.set_configuration(Time(0), Arc::new(configuration(None)));
+        let mut newer = Dispatcher::new(dispatcher_options());
+        newer.set_configuration(Time(0), Arc::new(configuration(None)));
         let status = Status {
-            configuration: ahead.configuration_version(),
+            configuration: newer.configuration_version(),
             incarnation: 5,
             sequence: 1,
             ..Status::default()
         };
-        tokio::task::spawn_local(trickle(listener, ahead));
+        tokio::task::spawn_local(serve_slowly(listener, newer));
         let gateway = Gateway::empty(log::Options::default()).await;
         gateway
             .shell
             .command(|dispatcher, now| dispatcher.receive_status(now, address, status));
-        let ended = peers::transfer::take(&gateway.shell, address, Document::Configuration).await;
-        assert!(ended.is_err());
+        let outcome =
+            peers::transfer::fetch(&gateway.shell, address, Document::Configuration).await;
+        assert!(outcome.is_err());
         let pull = gateway
             .shell
             .query(|dispatcher, _| dispatcher.pull(address));
@@ -196,21 +202,24 @@
 }
 
 #[test]
-fn nodes_hear_each_other() {
+fn nodes_exchange_statuses() {
     run(|| async {
         let gateway = Gateway::start(&[]).await;
         let bind = || UdpSocket::bind((Ipv4Addr::LOCALHOST, 0));
-        let socket = Rc::new(bind().await.expect("a port"));
-        let other = bind().await.expect("a port");
+        let socket = Rc::new(bind().await.expect("a free port"));
+        let other = bind().await.expect("a free port");
         tokio::task::spawn_local(peers::listen(gateway.shell.clone(), socket.clone()));
         let status = Status {
             incarnation: 5,
             sequence: 1,
             ..Status::default()
         };
-        let bytes = wire::to_datagram(&to_message(status)).expect("it can be written");
+        let bytes = wire::to_datagram(&to_message(status)).expect("the message is encoded");
         let to = socket.local_addr().expect("an address");
-        other.send_to(&bytes, to).await.expect("it can be sent");
+        other
+            .send_to(&bytes, to)
+            .await
+            .expect("the datagram is sent");
         let from = other.local_addr().expect("an address").to_string();
         gateway.logged(&["\"dependency\"", &from]).await;
         assert_eq!(
@@ -227,7 +236,7 @@
     });
 }
 
-fn question(number: u64) -> Reserve {
+fn reserve(number: u64) -> Reserve {
     Reserve {
         number,
         customer: 7,
@@ -237,29 +246,29 @@
     }
 }
 
-/// A socket of another node, and its address.
+/// Returns the socket of another node, and its address.
 async fn other_node() -> (UdpSocket, SocketAddrV4) {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await;
-    let socket = socket.expect("a port");
+    let socket = socket.expect("a free port");
     let Ok(SocketAddr::V4(address)) = socket.local_addr() else {
         unreachable!("bound to IPv4");
     };
     (socket, address)
 }
 
-async fn read(socket: &UdpSocket) -> (Message, SocketAddr) {
+async fn receive(socket: &UdpSocket) -> (Message, SocketAddr) {
     let mut buffer = vec![0; 2_048];
     let (length, from) = socket.recv_from(&mut buffer).await.expect("a message");
     let message = wire::try_from_datagram(&buffer[..length]);
-    (message.expect("of this version"), from)
+    (message.expect("a valid datagram"), from)
 }
 
-/// A gateway whose questions go out through a socket of its own.
-async fn asking_gateway() -> Gateway {
+/// Starts a gateway with a socket for messages to other nodes.
+async fn gateway_with_socket() -> Gateway {
     let gateway = Gateway::start(&[]).await;
     let (socket, _) = other_node().await;
     let socket = Rc::new(socket);
-    // Until then the runtime does not know that it can be written to.
+    // `try_send_to` fails until the runtime has seen that the socket is writable.
     socket.writable().await.expect("a socket");
     gateway.shell.peers.set_socket(socket.clone());
     tokio::task::spawn_local(peers::listen(gateway.shell.clone(), socket));
@@ -267,42 +276,45 @@
 }
 
 #[test]
-fn an_owner_is_asked_and_its_answer_reaches_the_one_who_waits() {
+fn a_reservation_returns_the_verdict_of_the_owner() {
     run(|| async {
-        let gateway = asking_gateway().await;
+        let gateway = gateway_with_socket().await;
         let (owner, address) = other_node().await;
-        let answering = async {
-            let (asked, from) = read(&owner).await;
-            assert_eq!(asked, Message::Reserve(question(3)));
-            // An answer to another question comes first.
+        let owner_task = async {
+            let (message, from) = receive(&owner).await;
+            assert_eq!(message, Message::Reserve(reserve(3)));
+            // A reply to another reservation arrives first.
             for number in [9, 3] {
                 let answer = Message::Reserved(Reserved {
                     number,
                     verdict: Verdict::Granted,
                 });
-                let bytes = wire::to_datagram(&answer).expect("it can be written");
-                owner.send_to(&bytes, from).await.expect("it can be sent");
+                let bytes = wire::to_datagram(&answer).expect("the message is encoded");
+                owner
+                    .send_to(&bytes, from)
+                    .await
+                    .expect("the datagram is sent");
             }
         };
         let shell = &gateway.shell;
-        let asking = shell
+        let exchange = shell
             .reservations
-            .request(&shell.peers, address, question(3));
-        let (verdict, ()) = tokio::join!(asking, answering);
+            .request(&shell.peers, address, reserve(3));
+        let (verdict, ()) = tokio::join!(exchange, owner_task);
         assert_eq!(verdict, Some(Verdict::Granted));
         assert!(gateway.shell.reservations.is_empty());
     });
 }
 
 #[test]
-fn an_owner_that_does_not_answer_is_given_up_and_nothing_stays_open() {
+fn a_reservation_times_out_without_a_reply_and_does_not_stay_pending() {
     run(|| async {
-        let gateway = asking_gateway().await;
+        let gateway = gateway_with_socket().await;
         let (_silent, address) = other_node().await;
         let shell = &gateway.shell;
         let verdict = shell
             .reservations
-            .request(&shell.peers, address, question(3))
+            .request(&shell.peers, address, reserve(3))
             .await;
         assert_eq!(verdict, None);
         assert!(gateway.shell.reservations.is_empty());
@@ -310,29 +322,32 @@
 }
 
 #[test]
-fn a_node_that_is_asked_answers_whoever_asks() {
+fn a_node_answers_reservations_from_unknown_nodes() {
     run(|| async {
         let gateway = Gateway::start(&[]).await;
         let (socket, address) = other_node().await;
         let socket = Rc::new(socket);
         gateway.shell.peers.set_socket(socket.clone());
         tokio::task::spawn_local(peers::listen(gateway.shell.clone(), socket));
-        let (asker, _) = other_node().await;
-        let ask = wire::to_datagram(&Message::Reserve(question(5)));
-        let ask = ask.expect("it can be written");
-        asker.send_to(&ask, address).await.expect("it can be sent");
+        let (requester, _) = other_node().await;
+        let datagram = wire::to_datagram(&Message::Reserve(reserve(5)));
+        let datagram = datagram.expect("the message is encoded");
+        requester
+            .send_to(&datagram, address)
+            .await
+            .expect("the datagram is sent");
         let unknown = Message::Reserved(Reserved {
             number: 5,
             verdict: Verdict::Unknown,
         });
-        assert_eq!(read(&asker).await.0, unknown);
+        assert_eq!(receive(&requester).await.0, unknown);
     });
 }
 
 #[test]
-fn what_was_not_used_is_told_to_the_owner() {
+fn a_release_is_sent_to_the_owner() {
     run(|| async {
-        let gateway = asking_gateway().await;
+        let gateway = gateway_with_socket().await;
         let (owner, address) = other_node().await;
         let release = Release {
             customer: 7,
@@ -342,12 +357,12 @@
             .shell
             .peers
             .send(address, &Message::Release(release));
-        assert_eq!(read(&owner).await.0, Message::Release(release));
+        assert_eq!(receive(&owner).await.0, Message::Release(release));
     });
 }
 
 #[test]
-fn a_slot_is_given_to_the_node_that_asks() {
+fn a_slot_is_granted_to_the_node_that_requests_it() {
     run(|| async {
         let worker = Worker::start("e", vec![]).await;
         let gateway = Gateway::start(&[&worker]).await;
@@ -377,12 +392,15 @@
             tried: Vec::new(),
             avoided: Vec::new(),
         };
-        let (asker, _) = other_node().await;
-        let ask = wire::to_datagram(&Message::Lease(Box::new(request)));
-        let ask = ask.expect("it can be written");
-        asker.send_to(&ask, address).await.expect("it can be sent");
-        let Message::Leased(reply) = read(&asker).await.0 else {
-            panic!("an answer is expected");
+        let (requester, _) = other_node().await;
+        let datagram = wire::to_datagram(&Message::Lease(Box::new(request)));
+        let datagram = datagram.expect("the message is encoded");
+        requester
+            .send_to(&datagram, address)
+            .await
+            .expect("the datagram is sent");
+        let Message::Leased(reply) = receive(&requester).await.0 else {
+            panic!("expected a reply to the lease request");
         };
         let number = to_endpoint(&worker).to_number();
         assert_eq!(reply.number, 11);
--- a/crates/gateway/tests/gateway/support/peer.rs
+++ b/crates/gateway/tests/gateway/support/peer.rs
@@ -1,4 +1,4 @@
-//! Another node that is ahead, behind a link which its transfers share.
+//! A simulated node with newer documents, behind a slow link that its transfers share.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,45 +20,46 @@
 use woadstage_dispatch::wire;
 use woadstage_gateway::peers::transfer::frame;
 
-/// Bytes that go over the link at once.
-const CHUNK: usize = 2 << 10;
+/// The number of bytes that the link carries at a time.
+const CHUNK_BYTES: usize = 2 << 10;
 
-/// How long the link takes for one chunk, whoever it belongs to.
-const CHUNK_TAKES: Duration = Duration::from_millis(10);
+/// How long the link takes for a chunk of any transfer.
+const CHUNK_DURATION: Duration = Duration::from_millis(10);
 
-/// Time between two bytes of a configuration that does not end.
-const BYTE_TAKES: Duration = Duration::from_millis(100);
+/// The interval of bytes while [`Peer::is_stalling`] is set.
+const BYTE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two statuses.
-const STATUS_EVERY: Duration = Duration::from_millis(50);
+/// The interval of statuses.
+const STATUS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The host of the peer, and that of the node under test.
+/// The hosts of the peer and of the node under test.
 const HOSTS: [Ipv4Addr; 2] = [Ipv4Addr::new(127, 0, 0, 2), Ipv4Addr::LOCALHOST];
 
-/// Another node that is ahead.
+/// A node with newer documents than the node under test.
 pub struct Peer {
-    /// Where it is reached by datagram and by stream.
+    /// The address at which it is reached over UDP and TCP.
     pub address: SocketAddrV4,
-    /// The address that the node under test is to have.
-    pub other: SocketAddrV4,
-    /// Transfers that were under way at once, at the most.
-    pub most_at_once: Cell<usize>,
-    /// The version of the configuration that the node last said it had.
-    pub heard: Cell<u64>,
-    /// The revision of the list of endpoints that it last said it had.
-    pub heard_list: Cell<u64>,
-    under_way: Cell<usize>,
-    free_at: Cell<Instant>,
-    /// Transfers of a configuration that have begun.
-    pub configurations: Cell<usize>,
-    /// True where a configuration comes byte by byte and does not end.
-    pub is_endless: Cell<bool>,
-    /// What it knows.
+    /// The address that the node under test must use.
+    pub node_address: SocketAddrV4,
+    /// The maximum number of transfers in progress at once so far.
+    pub max_in_progress: Cell<usize>,
+    /// The configuration version in the last status of the node under test.
+    pub reported_version: Cell<u64>,
+    /// The revision of the endpoint list in that status.
+    pub reported_revision: Cell<u64>,
+    in_progress: Cell<usize>,
+    link_free_at: Cell<Instant>,
+    /// The number of configuration transfers that were started.
+    pub configuration_transfers: Cell<usize>,
+    /// Whether configurations are sent byte by byte, too slowly to complete within the time limit of
+    /// a transfer.
+    pub is_stalling: Cell<bool>,
+    /// The documents that it has.
     pub dispatcher: RefCell<Dispatcher>,
 }
 
 impl Peer {
-    /// Says from now on what `dispatcher` knows, and gives it to who asks.
+    /// Starts a node that announces the documents of `dispatcher` and serves them.
     pub async fn start(dispatcher: Dispatcher) -> Rc<Peer> {
         let (socket, listener) = bind().await;
         let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
@@ -66,43 +67,43 @@
         };
         let peer = Rc::new(Peer {
             address,
-            other: SocketAddrV4::new(HOSTS[1], address.port()),
-            most_at_once: Cell::new(0),
-            heard: Cell::new(0),
-            heard_list: Cell::new(0),
-            under_way: Cell::new(0),
-            free_at: Cell::new(Instant::now()),
-            configurations: Cell::new(0),
-            is_endless: Cell::new(false),
+            node_address: SocketAddrV4::new(HOSTS[1], address.port()),
+            max_in_progress: Cell::new(0),
+            reported_version: Cell::new(0),
+            reported_revision: Cell::new(0),
+            in_progress: Cell::new(0),
+            link_free_at: Cell::new(Instant::now()),
+            configuration_transfers: Cell::new(0),
+            is_stalling: Cell::new(false),
             dispatcher: RefCell::new(dispatcher),
         });
-        spawn_local(peer.clone().talk(socket));
+        spawn_local(peer.clone().exchange_statuses(socket));
         spawn_local(peer.clone().serve(listener));
         peer
     }
 
-    async fn talk(self: Rc<Peer>, socket: UdpSocket) {
+    async fn exchange_statuses(self: Rc<Peer>, socket: UdpSocket) {
         let mut buffer = [0; 8 << 10];
         for sequence in 1.. {
-            let known = self.dispatcher.borrow().versions();
+            let versions = self.dispatcher.borrow().versions();
             let status = Status {
                 incarnation: 1,
                 sequence,
-                configuration: known.configuration,
-                endpoints: known.endpoints,
+                configuration: versions.configuration,
+                endpoints: versions.endpoints,
                 ..Status::default()
             };
             let bytes = wire::to_datagram(&Message::Status(Box::new(status)));
             let bytes = bytes.expect("it can be written");
-            // Nobody listens there before the node has started.
-            let _ = socket.send_to(&bytes, self.other).await;
-            let until = Instant::now() + STATUS_EVERY;
+            // Sending fails until the node under test has started.
+            let _ = socket.send_to(&bytes, self.node_address).await;
+            let until = Instant::now() + STATUS_INTERVAL;
             while let Ok(Ok((length, _))) =
                 tokio::time::timeout_at(until, socket.recv_from(&mut buffer)).await
             {
                 if let Some(Message::Status(status)) = wire::try_from_datagram(&buffer[..length]) {
-                    self.heard.set(status.configuration);
-                    self.heard_list.set(status.endpoints.revision);
+                    self.reported_version.set(status.configuration);
+                    self.reported_revision.set(status.endpoints.revision);
                 }
             }
         }
@@ -112,48 +113,45 @@
         while let Ok((stream, _)) = listener.accept().await {
             let peer = self.clone();
             spawn_local(async move {
-                peer.under_way.set(peer.under_way.get() + 1);
-                let most = peer.most_at_once.get().max(peer.under_way.get());
-                peer.most_at_once.set(most);
-                // The other end breaks off where it has waited enough.
-                let _ = peer.give(stream).await;
-                peer.under_way.set(peer.under_way.get() - 1);
+                peer.in_progress.set(peer.in_progress.get() + 1);
+                let max_in_progress = peer.max_in_progress.get().max(peer.in_progress.get());
+                peer.max_in_progress.set(max_in_progress);
+                // The node under test aborts transfers that take too long.
+                let _ = peer.send_documents(stream).await;
+                peer.in_progress.set(peer.in_progress.get() - 1);
             });
         }
     }
 
-    async fn give(&self, mut stream: TcpStream) -> anyhow::Result<()> {
+    async fn send_documents(&self, mut stream: TcpStream) -> anyhow::Result<()> {
         let mut reader = frame::Reader::new(&mut stream);
         let pull = reader.next(wire::pull_from_bytes).await?;
-        let snapshot = self
-            .dispatcher
-            .borrow()
-            .snapshot(&pull.expect("a question"));
-        let long = snapshot.manifest.is_some();
-        self.configurations
-            .set(self.configurations.get() + usize::from(long));
+        let snapshot = self.dispatcher.borrow().snapshot(&pull.expect("a request"));
+        let has_configuration = snapshot.manifest.is_some();
+        self.configuration_transfers
+            .set(self.configuration_transfers.get() + usize::from(has_configuration));
         let mut bytes = Vec::new();
-        frame::begin(&mut bytes);
+        frame::put_layout(&mut bytes);
         for frame in snapshot.into_frames() {
-            frame::add(&mut bytes, &wire::frame_to_bytes(&frame)?)?;
+            frame::put_message(&mut bytes, &wire::frame_to_bytes(&frame)?)?;
         }
-        if long && self.is_endless.get() {
+        if has_configuration && self.is_stalling.get() {
             for byte in &bytes {
-                tokio::time::sleep(BYTE_TAKES).await;
+                tokio::time::sleep(BYTE_INTERVAL).await;
                 stream.write_all(&[*byte]).await?;
             }
         }
-        for chunk in bytes.chunks(CHUNK) {
-            let free_at = self.free_at.get().max(Instant::now()) + CHUNK_TAKES;
-            self.free_at.set(free_at);
-            tokio::time::sleep_until(free_at).await;
+        for chunk in bytes.chunks(CHUNK_BYTES) {
+            let link_free_at = self.link_free_at.get().max(Instant::now()) + CHUNK_DURATION;
+            self.link_free_at.set(link_free_at);
+            tokio::time::sleep_until(link_free_at).await;
             stream.write_all(chunk).await?;
         }
         Ok(stream.shutdown().await?)
     }
 }
 
-/// One port that is free for datagrams and streams on both hosts.
+/// Binds sockets to a port that is free for UDP and TCP on both hosts.
 async fn bind() -> (UdpSocket, TcpListener) {
     loop {
         let socket = UdpSocket::bind((HOSTS[0], 0)).await.expect("a port");
--- a/crates/gateway/tests/gateway/support/wire.rs
+++ b/crates/gateway/tests/gateway/support/wire.rs
@@ -1,14 +1,14 @@
-//! Heads, bodies and chunks as text.
+//! Reads and writes HTTP/1 heads, bodies and chunks as text.
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Puts the request's id in place of `{id}`.
+/// Replaces `{id}` in a response by the id of the request with this head.
 pub fn insert_request_id(text: &str, head: &str) -> String {
     text.replace("{id}", field(head, "woadstage-request").unwrap_or(""))
 }
 
-/// The value of a head's field.
+/// Returns the value of a header field.
 pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let lines = head
         .split("\r\n")
@@ -19,10 +19,10 @@
     Some(found.1.trim())
 }
 
-/// Reads up to the end of a head; what follows stays in `buffer`.
+/// Reads a head, or returns `None` if the stream ends before. Bytes after the head stay in `buffer`.
 pub async fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
     loop {
-        if let Some(end) = buffer.windows(4).position(|four| four == b"\r\n\r\n") {
+        if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
             let head: Vec<u8> = buffer.drain(..end + 4).collect();
             return String::from_utf8(head).ok();
         }
@@ -32,17 +32,17 @@
     }
 }
 
-/// Reads the body that a head announces.
+/// Reads the body that a head announces, or as much of it as arrives before the stream ends.
 pub async fn read_body(stream: &mut TcpStream, buffer: &mut Vec<u8>, head: &str) -> String {
     let length: usize = field(head, "content-length")
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     let chunked = field(head, "transfer-encoding").is_some();
-    let is_whole = |buffer: &[u8]| match chunked {
+    let is_complete = |buffer: &[u8]| match chunked {
         true => buffer.ends_with(b"0\r\n\r\n"),
         false => buffer.len() >= length,
     };
-    while !is_whole(buffer) {
+    while !is_complete(buffer) {
         if stream.read_buf(buffer).await.unwrap_or(0) == 0 {
             break;
         }
@@ -55,7 +55,7 @@
     String::from_utf8_lossy(&buffer.drain(..end).collect::<Vec<u8>>()).into_owned()
 }
 
-/// An answer with a length.
+/// Returns a response with a `content-length`.
 pub fn answer(status: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -63,14 +63,14 @@
     )
 }
 
-/// The head of an answer in chunks.
+/// Returns the head of a response with a chunked body.
 pub fn chunked_head() -> String {
     "HTTP/1.1 200 OK\r\nwoadstage-request: {id}\r\ncontent-type: text/event-stream\r\n\
      transfer-encoding: chunked\r\n\r\n"
         .into()
 }
 
-/// One chunk.
+/// Encodes one chunk.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
