--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// Returns the page that shows whether the node is ready for callers, which exists at `ready_path`
-/// only.
+/// Returns the page that shows whether the node is ready for callers, or "not found" for any path
+/// but `ready_path`.
 pub fn readiness(shell: &Shell, path: &str, ready_path: &str) -> Page {
     if path != ready_path {
         return (StatusCode::NOT_FOUND, Vec::new());
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -79,7 +79,7 @@
 pub async fn listen(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // Errors here include ICMP reports on datagrams that could not be delivered.
+        // An error may report that a datagram sent earlier could not be delivered.
         let Ok((length, SocketAddr::V4(from))) = socket.recv_from(&mut buffer).await else {
             continue;
         };
