--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -24,50 +24,50 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// Bytes that wait for the reader at the most.
-    pub bytes: usize,
+    pub max_buffered_bytes: usize,
     /// Of them, those that lines which explain no failure may fill.
-    pub routine_bytes: usize,
+    pub max_routine_bytes: usize,
     /// How long lines are gathered before they are written.
-    pub gather: Duration,
+    pub flush_interval: Duration,
 }
 
 impl Default for Options {
     fn default() -> Options {
         Options {
-            bytes: 128 << 10,
-            routine_bytes: 64 << 10,
-            gather: Duration::from_millis(100),
+            max_buffered_bytes: 128 << 10,
+            max_routine_bytes: 64 << 10,
+            flush_interval: Duration::from_millis(100),
         }
     }
 }
 
 /// Lines that wait for the writer.
-struct Outbox {
+struct Buffer {
     prop: SinkProp,
     options: Options,
     lines: Mutex<Vec<u8>>,
-    filled: Condvar,
-    left_out: AtomicU64,
+    non_empty: Condvar,
+    dropped_lines: AtomicU64,
 }
 
-impl GetSinkProp for Outbox {
+impl GetSinkProp for Buffer {
     fn prop(&self) -> &SinkProp {
         &self.prop
     }
 }
 
-impl Sink for Outbox {
+impl Sink for Buffer {
     fn log(&self, record: &Record) -> spdlog::Result<()> {
-        let most = match record.level() {
-            Level::Info => self.options.routine_bytes,
-            _ => self.options.bytes,
+        let limit = match record.level() {
+            Level::Info => self.options.max_routine_bytes,
+            _ => self.options.max_buffered_bytes,
         };
         let at = record.time().duration_since(UNIX_EPOCH).unwrap_or_default();
         let head = format!("{{\"time_ms\":{},", at.as_millis());
         let rest = record.payload().strip_prefix('{').unwrap_or_default();
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() + head.len() + rest.len() + 1 > most {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+        if lines.len() + head.len() + rest.len() + 1 > limit {
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         let was_empty = lines.is_empty();
@@ -75,7 +75,7 @@
         lines.extend_from_slice(rest.as_bytes());
         lines.push(b'\n');
         if was_empty {
-            self.filled.notify_one();
+            self.non_empty.notify_one();
         }
         Ok(())
     }
@@ -85,17 +85,17 @@
     }
 }
 
-impl Outbox {
-    fn take(&self) -> Vec<u8> {
+impl Buffer {
+    fn wait_for_batch(&self) -> Vec<u8> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        let waiting = self.filled.wait_while(lines, |lines| lines.is_empty());
+        let waiting = self.non_empty.wait_while(lines, |lines| lines.is_empty());
         drop(waiting);
-        std::thread::sleep(self.options.gather);
+        std::thread::sleep(self.options.flush_interval);
         std::mem::take(&mut *self.lines.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     fn write(&self, to: &mut impl Write) {
-        let lines = self.take();
+        let lines = self.wait_for_batch();
         // A reader that is gone costs the lines; there is nowhere to tell it.
         let _ = to.write_all(&lines).and_then(|()| to.flush());
     }
@@ -105,7 +105,7 @@
 #[derive(Clone)]
 pub struct Log {
     logger: Arc<Logger>,
-    outbox: Arc<Outbox>,
+    buffer: Arc<Buffer>,
 }
 
 impl Log {
@@ -114,15 +114,15 @@
     /// # Errors
     /// Where the thread or the logger cannot be made.
     pub fn start(options: Options, mut to: impl Write + Send + 'static) -> anyhow::Result<Log> {
-        let outbox = Arc::new(Outbox {
+        let buffer = Arc::new(Buffer {
             prop: SinkProp::default(),
             options,
             lines: Mutex::default(),
-            filled: Condvar::new(),
-            left_out: AtomicU64::new(0),
+            non_empty: Condvar::new(),
+            dropped_lines: AtomicU64::new(0),
         });
-        let logger = Logger::builder().sink(outbox.clone()).build()?;
-        let writer = outbox.clone();
+        let logger = Logger::builder().sink(buffer.clone()).build()?;
+        let writer = buffer.clone();
         let thread = std::thread::Builder::new()
             .name("log".into())
             .stack_size(64 << 10);
@@ -133,7 +133,7 @@
         })?;
         Ok(Log {
             logger: Arc::new(logger),
-            outbox,
+            buffer,
         })
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Lines left out since the start.
-    pub fn left_out(&self) -> u64 {
-        self.outbox.left_out.load(Ordering::Relaxed)
+    pub fn dropped_lines(&self) -> u64 {
+        self.buffer.dropped_lines.load(Ordering::Relaxed)
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,5 +1,5 @@
 //! What is counted. Labels are bounded: routes and services come from the
-//! configuration, of which at most [`ROUTES_MOST`] are told apart.
+//! configuration, of which at most [`MAX_ROUTES`] are told apart.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -20,7 +20,7 @@
 use woadstage_types::unit::Span;
 
 /// Routes that are told apart; requests of others count as `other`.
-pub const ROUTES_MOST: usize = 64;
+pub const MAX_ROUTES: usize = 64;
 
 const SECONDS: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.33, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
@@ -30,46 +30,46 @@
 pub struct Metrics {
     registry: Registry,
     routes: RefCell<HashSet<String>>,
-    answered: HistogramVec,
-    first_event: HistogramVec,
-    waited: HistogramVec,
-    applied: HistogramVec,
+    answer_time: HistogramVec,
+    first_byte_time: HistogramVec,
+    queue_time: HistogramVec,
+    apply_time: HistogramVec,
     answers: IntCounterVec,
     attempts: IntCounterVec,
-    beliefs: IntCounterVec,
+    state_changes: IntCounterVec,
     reservations: IntCounterVec,
-    leases: IntCounterVec,
+    lease_messages: IntCounterVec,
     transfers: IntCounterVec,
-    suspects: IntCounterVec,
+    suspect_changes: IntCounterVec,
     /// Requests held.
-    pub held: IntGauge,
+    pub held_requests: IntGauge,
     /// The version of the configuration in force.
-    pub configuration: IntGauge,
+    pub configuration_version: IntGauge,
     /// For how long it has been in force, in milliseconds.
     pub configuration_age: IntGauge,
     /// How long ago the platform last answered this node, in milliseconds; -1 where it
     /// never did.
-    pub platform_age: IntGauge,
+    pub platform_answer_age: IntGauge,
     /// The revision of the list of endpoints in force.
-    pub endpoints: IntGauge,
+    pub endpoints_revision: IntGauge,
     /// The platform's era in which that list was read.
-    pub era: IntGauge,
+    pub endpoints_era: IntGauge,
     /// Nodes that count, this one among them.
     pub nodes: IntGauge,
     /// Of them, those that are silent.
     pub silent_nodes: IntGauge,
     /// Other nodes that are heard, by the protocol that they speak.
-    pub heard: IntGaugeVec,
+    pub peers_by_protocol: IntGaugeVec,
     /// Messages to other nodes, by kind.
     pub sent_messages: IntGaugeVec,
     /// Their bytes, by kind.
     pub sent_bytes: IntGaugeVec,
     /// Log lines left out.
-    pub lines_left_out: IntGauge,
+    pub dropped_log_lines: IntGauge,
     /// Requests that endpoints ended under since they were last sound, by fingerprint.
-    pub suspected: IntGauge,
+    pub suspect_fingerprints: IntGauge,
     /// Of them, those that are not run any more.
-    pub barred: IntGauge,
+    pub barred_fingerprints: IntGauge,
     /// For each service what waits, runs and may be sent again.
     pub services: IntGaugeVec,
 }
@@ -83,50 +83,51 @@
         let registry = Registry::new();
         let histogram = |name: &str, help: &str, label: &str| {
             let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
-            let made = HistogramVec::new(options, &[label])?;
-            registry.register(Box::new(made.clone()))?;
-            prometheus::Result::Ok(made)
+            let metric = HistogramVec::new(options, &[label])?;
+            registry.register(Box::new(metric.clone()))?;
+            prometheus::Result::Ok(metric)
         };
         let counter = |name: &str, help: &str, labels: &[&str]| {
-            let made = IntCounterVec::new(Opts::new(name, help), labels)?;
-            registry.register(Box::new(made.clone()))?;
-            prometheus::Result::Ok(made)
+            let metric = IntCounterVec::new(Opts::new(name, help), labels)?;
+            registry.register(Box::new(metric.clone()))?;
+            prometheus::Result::Ok(metric)
         };
         let gauge = |name: &str, help: &str| {
-            let made = IntGauge::new(name, help)?;
-            registry.register(Box::new(made.clone()))?;
-            prometheus::Result::Ok(made)
+            let metric = IntGauge::new(name, help)?;
+            registry.register(Box::new(metric.clone()))?;
+            prometheus::Result::Ok(metric)
         };
         let services = Opts::new("woadstage_service", "What each service has, by kind.");
         let services = IntGaugeVec::new(services, &["service", "kind"])?;
         registry.register(Box::new(services.clone()))?;
         let by_kind = |name: &str, help: &str| {
-            let made = IntGaugeVec::new(Opts::new(name, help), &["kind"])?;
-            registry.register(Box::new(made.clone()))?;
-            prometheus::Result::Ok(made)
+            let metric = IntGaugeVec::new(Opts::new(name, help), &["kind"])?;
+            registry.register(Box::new(metric.clone()))?;
+            prometheus::Result::Ok(metric)
         };
         let sent_messages = by_kind("woadstage_sent_messages", "Messages to other nodes.")?;
         let sent_bytes = by_kind("woadstage_sent_bytes", "Bytes sent to other nodes.")?;
-        let heard = Opts::new("woadstage_nodes_heard", "Other nodes heard, by protocol.");
-        let heard = IntGaugeVec::new(heard, &["protocol"])?;
-        registry.register(Box::new(heard.clone()))?;
+        let peers_by_protocol =
+            Opts::new("woadstage_nodes_heard", "Other nodes heard, by protocol.");
+        let peers_by_protocol = IntGaugeVec::new(peers_by_protocol, &["protocol"])?;
+        registry.register(Box::new(peers_by_protocol.clone()))?;
         Ok(Metrics {
-            answered: histogram(
+            answer_time: histogram(
                 "woadstage_answer_seconds",
                 "Time to the whole answer.",
                 "route",
             )?,
-            first_event: histogram(
+            first_byte_time: histogram(
                 "woadstage_first_byte_seconds",
                 "Time to the answer's first byte.",
                 "route",
             )?,
-            waited: histogram(
+            queue_time: histogram(
                 "woadstage_queue_seconds",
                 "Time until a request was sent.",
                 "route",
             )?,
-            applied: histogram(
+            apply_time: histogram(
                 "woadstage_configuration_apply_seconds",
                 "Time from the platform's answer until its configuration is in force, by call.",
                 "call",
@@ -141,7 +142,7 @@
                 "Attempts by how they ended.",
                 &["service", "end"],
             )?,
-            beliefs: counter(
+            state_changes: counter(
                 "woadstage_changes_total",
                 "Changes of what the node believes.",
                 &["what"],
@@ -151,7 +152,7 @@
                 "Questions to owners of quotas, by answer.",
                 &["answer"],
             )?,
-            leases: counter(
+            lease_messages: counter(
                 "woadstage_lease_messages_total",
                 "Messages about slots that were sent, by kind.",
                 &["kind"],
@@ -161,39 +162,42 @@
                 "Transfers of published documents between nodes.",
                 &["direction", "end"],
             )?,
-            suspects: counter(
+            suspect_changes: counter(
                 "woadstage_suspect_changes_total",
                 "What became known of requests that endpoints ended under, by kind.",
                 &["what"],
             )?,
-            suspected: gauge(
+            suspect_fingerprints: gauge(
                 "woadstage_suspects",
                 "Fingerprints of requests that endpoints ended under.",
             )?,
-            barred: gauge(
+            barred_fingerprints: gauge(
                 "woadstage_barred",
                 "Fingerprints of requests that are not run any more.",
             )?,
-            held: gauge("woadstage_held", "Requests held.")?,
-            configuration: gauge("woadstage_configuration_version", "The version in force.")?,
+            held_requests: gauge("woadstage_held", "Requests held.")?,
+            configuration_version: gauge(
+                "woadstage_configuration_version",
+                "The version in force.",
+            )?,
             configuration_age: gauge(
                 "woadstage_configuration_age_milliseconds",
                 "For how long the version in force has been.",
             )?,
-            platform_age: gauge(
+            platform_answer_age: gauge(
                 "woadstage_platform_answer_age_milliseconds",
                 "How long ago the platform last answered this node; -1 if it never did.",
             )?,
-            endpoints: gauge("woadstage_endpoints_revision", "The revision in force.")?,
-            era: gauge(
+            endpoints_revision: gauge("woadstage_endpoints_revision", "The revision in force.")?,
+            endpoints_era: gauge(
                 "woadstage_endpoints_era",
                 "The platform's era in which the list in force was read.",
             )?,
             nodes: gauge("woadstage_nodes", "Nodes that count.")?,
             silent_nodes: gauge("woadstage_silent_nodes", "Nodes that are silent.")?,
-            lines_left_out: gauge("woadstage_log_lines_left_out", "Log lines left out.")?,
+            dropped_log_lines: gauge("woadstage_log_lines_left_out", "Log lines left out.")?,
             services,
-            heard,
+            peers_by_protocol,
             sent_messages,
             sent_bytes,
             routes: RefCell::default(),
@@ -201,12 +205,12 @@
         })
     }
 
-    fn label<'a>(&self, route: &'a str) -> &'a str {
+    fn route_label<'a>(&self, route: &'a str) -> &'a str {
         let mut routes = self.routes.borrow_mut();
         if routes.contains(route) {
             return route;
         }
-        if routes.len() >= ROUTES_MOST {
+        if routes.len() >= MAX_ROUTES {
             return "other";
         }
         routes.insert(route.to_owned());
@@ -214,7 +218,7 @@
     }
 
     /// Counts a message about a slot that is sent.
-    pub fn lease(&self, message: &Message) {
+    pub fn record_lease_message(&self, message: &Message) {
         let kind = match message {
             Message::Lease(request) if request.spare => "asked-spare",
             Message::Lease(_) => "asked",
@@ -228,63 +232,65 @@
             Message::Check(_) => "check",
             _ => return,
         };
-        self.leases.with_label_values(&[kind]).inc();
+        self.lease_messages.with_label_values(&[kind]).inc();
     }
 
     /// Counts a final answer.
-    pub fn answer(&self, route: &str, status: u16, code: &str, after: Span) {
-        let route = self.label(route);
+    pub fn record_answer(&self, route: &str, status: u16, code: &str, after: Span) {
+        let route = self.route_label(route);
         let status = status.to_string();
         self.answers
             .with_label_values(&[route, status.as_str(), code])
             .inc();
-        self.answered
+        self.answer_time
             .with_label_values(&[route])
             .observe(after.as_secs_f64());
     }
 
     /// Counts the first byte of an answer.
-    pub fn first(&self, route: &str, after: Span) {
-        let route = self.label(route);
-        self.first_event
+    pub fn record_first_byte(&self, route: &str, after: Span) {
+        let route = self.route_label(route);
+        self.first_byte_time
             .with_label_values(&[route])
             .observe(after.as_secs_f64());
     }
 
     /// Counts a request that was sent after it had waited.
-    pub fn sent(&self, route: &str, waited: Span) {
-        let route = self.label(route);
-        self.waited
+    pub fn record_queue_time(&self, route: &str, waited: Span) {
+        let route = self.route_label(route);
+        self.queue_time
             .with_label_values(&[route])
             .observe(waited.as_secs_f64());
     }
 
     /// Counts a configuration that came into force, so long after the answer to a call
     /// that held it.
-    pub fn applied(&self, call: &str, after: Span) {
-        self.applied
+    pub fn record_configuration_applied(&self, call: &str, after: Span) {
+        self.apply_time
             .with_label_values(&[call])
             .observe(after.as_secs_f64());
     }
 
     /// Counts an attempt that ended.
-    pub fn attempt(&self, service: &str, end: &str) {
+    pub fn record_attempt(&self, service: &str, end: &str) {
         self.attempts.with_label_values(&[service, end]).inc();
     }
 
     /// Counts what became known of a request that endpoints ended under.
-    pub fn suspect(&self, what: Evidence) {
-        self.suspects.with_label_values(&[what.as_str()]).inc();
+    pub fn record_suspect_change(&self, what: Evidence) {
+        self.suspect_changes
+            .with_label_values(&[what.as_str()])
+            .inc();
     }
 
     /// Counts a change of what the node believes.
-    pub fn change(&self, what: &str) {
-        self.beliefs.with_label_values(&[what]).inc();
+    pub fn record_state_change(&self, what: &str) {
+        self.state_changes.with_label_values(&[what]).inc();
     }
 
     /// Counts a question to the owner of a quota, or none where it was not
     /// answered.
-    pub fn reserved(&self, verdict: Option<&Verdict>) {
+    pub fn record_reservation(&self, verdict: Option<&Verdict>) {
         let answer = match verdict {
             Some(Verdict::Granted) => "granted",
             Some(Verdict::Denied(_)) => "denied",
@@ -295,7 +301,7 @@
     }
 
     /// Counts a transfer of documents that ended.
-    pub fn transfer(&self, direction: &str, whole: bool) {
+    pub fn record_transfer(&self, direction: &str, whole: bool) {
         let end = if whole { "whole" } else { "broken" };
         self.transfers.with_label_values(&[direction, end]).inc();
     }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -68,15 +68,17 @@
     });
     metrics.nodes.set(reach.nodes as i64);
     metrics.silent_nodes.set(reach.silent as i64);
-    metrics.held.set(held as i64);
-    metrics.configuration.set(configuration as i64);
+    metrics.held_requests.set(held as i64);
+    metrics.configuration_version.set(configuration as i64);
     let now = shell.now();
     let age = |since: Option<Time>| since.map_or(-1, |at| (now.since(at).0 / 1_000) as i64);
     let in_force_since = shell.in_force.get().map(|one| one.since);
     metrics.configuration_age.set(age(in_force_since));
-    metrics.platform_age.set(age(shell.platform_heard.get()));
-    metrics.endpoints.set(endpoints.revision as i64);
-    metrics.era.set(endpoints.era.0 as i64);
+    metrics
+        .platform_answer_age
+        .set(age(shell.platform_heard.get()));
+    metrics.endpoints_revision.set(endpoints.revision as i64);
+    metrics.endpoints_era.set(endpoints.era.0 as i64);
     for (kind, count) in shell.peers.traffic.counts() {
         let labels = [kind.as_str()];
         let messages = metrics.sent_messages.with_label_values(&labels);
@@ -84,10 +86,13 @@
         let bytes = metrics.sent_bytes.with_label_values(&labels);
         bytes.set(count.bytes as i64);
     }
-    metrics.heard.reset();
+    metrics.peers_by_protocol.reset();
     for (protocol, nodes) in shell.query(|dispatcher, now| dispatcher.peers_by_protocol(now)) {
         let labels = [protocol.to_string()];
-        metrics.heard.with_label_values(&labels).set(nodes);
+        metrics
+            .peers_by_protocol
+            .with_label_values(&labels)
+            .set(nodes);
     }
     let (suspects, barred) = shell.query(|dispatcher, now| {
         let suspects = dispatcher.quarantine().iter();
@@ -99,9 +104,11 @@
         let barred = barred.filter(|fingerprint| dispatcher.is_barred(now, **fingerprint));
         (suspects.len(), barred.count())
     });
-    metrics.suspected.set(suspects as i64);
-    metrics.barred.set(barred as i64);
-    metrics.lines_left_out.set(shell.log.left_out() as i64);
+    metrics.suspect_fingerprints.set(suspects as i64);
+    metrics.barred_fingerprints.set(barred as i64);
+    metrics
+        .dropped_log_lines
+        .set(shell.log.dropped_lines() as i64);
     for service in services {
         let set = |kind, value: i64| {
             let labels = [service.target.as_str(), kind];
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -123,7 +123,7 @@
 fn hear(shell: &Shell, from: SocketAddrV4, status: Status) {
     let news = shell.command(|dispatcher, now| dispatcher.receive_status(now, from, status));
     if news == Reception::Joined {
-        shell.metrics.change("node-heard");
+        shell.metrics.record_state_change("node-heard");
         shell.log(&Event::Dependency {
             name: "node",
             reached: true,
--- a/crates/gateway/src/peers/transfer/give.rs
+++ b/crates/gateway/src/peers/transfer/give.rs
@@ -39,7 +39,7 @@
         let shell = shell.clone();
         tokio::task::spawn_local(async move {
             if shell.transfers.giving.get() >= AT_ONCE {
-                shell.metrics.transfer("given", false);
+                shell.metrics.record_transfer("given", false);
                 // It asks another where even this does not reach it.
                 let _ = decline(&shell, stream).await;
                 return;
--- a/crates/gateway/src/peers/transfer/mod.rs
+++ b/crates/gateway/src/peers/transfer/mod.rs
@@ -75,7 +75,7 @@
     under_way.set(at_once - 1);
     let detail = ended.as_ref().err().map(ToString::to_string);
     let direction = direction.to_string();
-    shell.metrics.transfer(&direction, ended.is_ok());
+    shell.metrics.record_transfer(&direction, ended.is_ok());
     shell.log(&Event::Transfer {
         direction: &direction,
         peer: &peer.to_string(),
--- a/crates/gateway/src/publish.rs
+++ b/crates/gateway/src/publish.rs
@@ -24,7 +24,9 @@
     let taken = shell.command(|dispatcher, now| dispatcher.set_configuration(now, configuration));
     if taken {
         let after = to_span(answer.received.elapsed());
-        shell.metrics.applied(answer.call.as_str(), after);
+        shell
+            .metrics
+            .record_configuration_applied(answer.call.as_str(), after);
         note_configuration(shell, Origin::Platform(answer), before);
     }
 }
@@ -50,7 +52,7 @@
     let cold = list.endpoints.iter();
     let cold = cold.filter(|one| one.cold_for > Span::ZERO).count();
     let evacuated: Vec<&str> = list.evacuated.iter().map(|one| one.as_str()).collect();
-    shell.metrics.change("endpoints");
+    shell.metrics.record_state_change("endpoints");
     shell.log(&Event::Endpoints {
         era: list.era.0,
         revision: list.revision,
@@ -75,7 +77,7 @@
     };
     shell.in_force.set(Some(in_force));
     let answer = origin.answer_opt();
-    shell.metrics.change("configuration");
+    shell.metrics.record_state_change("configuration");
     shell.log(&Event::Configuration {
         version: in_force.version,
         before,
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -156,7 +156,7 @@
                 publish::set_endpoints(&shell, publish::PLATFORM, list);
             }
             Update::Restored { before, era } => {
-                shell.metrics.change("platform-restored");
+                shell.metrics.record_state_change("platform-restored");
                 shell.log(&Event::Era {
                     era: era.0,
                     before: before.0,
@@ -167,7 +167,7 @@
                 revision,
                 waited_after,
             } => {
-                shell.metrics.change("missed");
+                shell.metrics.record_state_change("missed");
                 shell.log(&Event::Missed {
                     document: document.as_str(),
                     revision,
@@ -186,7 +186,7 @@
 
 fn note_platform(shell: &Shell, reached: bool, detail: &str) {
     shell.command(|dispatcher, _| dispatcher.set_platform_unreachable(!reached));
-    shell.metrics.change(if reached {
+    shell.metrics.record_state_change(if reached {
         "platform-regained"
     } else {
         "platform-lost"
@@ -223,7 +223,7 @@
     loop {
         tokio::time::sleep(SWEEP_EVERY).await;
         shell.upstream.sweep(shell.now());
-        let all = shell.log.left_out();
+        let all = shell.log.dropped_lines();
         if all > left_out {
             shell.log(&Event::LeftOut {
                 lines: all - left_out,
@@ -293,7 +293,7 @@
     wait_until(shell, deadline, is_over).await;
     note("stopped");
     // The log's thread gathers lines for a moment before it writes them.
-    tokio::time::sleep(log::Options::default().gather * 2).await;
+    tokio::time::sleep(log::Options::default().flush_interval * 2).await;
     Ok(())
 }
 
--- a/crates/gateway/src/serve/charge.rs
+++ b/crates/gateway/src/serve/charge.rs
@@ -58,7 +58,7 @@
         charge = match charge {
             Charge::Ask(owner, reserve) => {
                 let verdict = shell.reservations.ask(&shell.peers, owner, reserve).await;
-                shell.metrics.reserved(verdict.as_ref());
+                shell.metrics.record_reservation(verdict.as_ref());
                 charged = match verdict {
                     Some(Verdict::Granted | Verdict::Denied(_)) => Charged::By(owner),
                     Some(Verdict::Unknown) | None => Charged::Here,
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -320,7 +320,7 @@
             .map_or("", |endpoint| endpoint.name.as_str());
         self.shell
             .metrics
-            .attempt(self.admitted.target.as_str(), end.as_str());
+            .record_attempt(self.admitted.target.as_str(), end.as_str());
         self.shell.log(&Event::Attempt {
             request: &self.admitted.request,
             endpoint,
--- a/crates/gateway/src/serve/note.rs
+++ b/crates/gateway/src/serve/note.rs
@@ -51,7 +51,7 @@
     let code = reply.code.to_string();
     shell
         .metrics
-        .answer(route, reply.code.status(), &code, after);
+        .record_answer(route, reply.code.status(), &code, after);
     shell.log(&Event::Answered {
         request,
         status: reply.code.status(),
@@ -129,7 +129,9 @@
     reason: Reason,
     owner: Option<SocketAddrV4>,
 ) {
-    shell.metrics.sent(&admitted.route.name, reason.waited);
+    shell
+        .metrics
+        .record_queue_time(&admitted.route.name, reason.waited);
     let passed_over = passed_over(shell, &admitted.target);
     shell.log(&Event::Sent {
         request: &admitted.request,
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -166,7 +166,7 @@
                 self.first_at = Some(now);
                 let after = now.since(exchange.admitted.arrived);
                 let metrics = &exchange.shell.metrics;
-                metrics.first(&exchange.admitted.route.name, after);
+                metrics.record_first_byte(&exchange.admitted.route.name, after);
             }
         }
         self.last_at = now;
@@ -196,7 +196,7 @@
         exchange
             .shell
             .metrics
-            .answer(&exchange.admitted.route.name, self.status, "", after);
+            .record_answer(&exchange.admitted.route.name, self.status, "", after);
         exchange.shell.log(&Event::Answered {
             request: &exchange.admitted.request,
             status: self.status,
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -240,7 +240,7 @@
         }
         let changes = self.dispatcher.borrow_mut().take_changes();
         for change in changes {
-            self.metrics.suspect(change.what);
+            self.metrics.record_suspect_change(change.what);
             self.log(&Event::Suspect {
                 fingerprint: &change.fingerprint.to_string(),
                 what: change.what.as_str(),
@@ -254,7 +254,7 @@
         }
         let messages = self.dispatcher.borrow_mut().take_messages();
         for (to, message) in messages {
-            self.metrics.lease(&message);
+            self.metrics.record_lease_message(&message);
             self.peers.send(to, &message);
         }
     }
@@ -273,7 +273,7 @@
     /// Logs and counts that something else is believed of an endpoint: by its answer to a
     /// request, or without one.
     pub fn note_change(&self, request: &str, endpoint: &str, change: notice::Change) {
-        self.metrics.change(change.as_str());
+        self.metrics.record_state_change(change.as_str());
         self.log(&Event::Notice {
             request,
             endpoint,
--- a/crates/gateway/tests/gateway/answers.rs
+++ b/crates/gateway/tests/gateway/answers.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::Worker;
@@ -12,7 +12,7 @@
 use crate::support::field;
 use crate::support::run;
 
-async fn with(script: Vec<Act>) -> (Worker, Gateway, Caller) {
+async fn with(script: Vec<Action>) -> (Worker, Gateway, Caller) {
     let worker = Worker::start("e", script).await;
     let gateway = Gateway::start(&[&worker]).await;
     let caller = Caller::connect(&gateway).await;
@@ -24,7 +24,7 @@
     run(|| async {
         let text = "HTTP/1.1 207 Many\r\nwoadstage-request: {id}\r\nx-seal: s-1\r\nconnection: x-hop\r\n\
                     x-hop: no\r\ncontent-length: 4\r\n\r\nbody";
-        let (_worker, _gateway, mut caller) = with(vec![Act::Answer(text.into())]).await;
+        let (_worker, _gateway, mut caller) = with(vec![Action::Answer(text.into())]).await;
         caller.request("id-1", "/once/x", "").await;
         let seen = caller.answer().await;
         assert_eq!((seen.status, seen.body.as_str()), (207, "body"));
@@ -37,7 +37,8 @@
 #[test]
 fn an_answer_of_known_length_is_counted_whole_and_its_connection_kept() {
     run(|| async {
-        let (worker, gateway, mut caller) = with(vec![Act::Answer(answer("200 OK", "fine"))]).await;
+        let (worker, gateway, mut caller) =
+            with(vec![Action::Answer(answer("200 OK", "fine"))]).await;
         for id in ["id-1", "id-2", "id-3"] {
             caller.request(id, "/once/x", "").await;
             assert_eq!(caller.answer().await.status, 200);
@@ -56,7 +57,7 @@
 )]
 fn an_answer_may_be_empty(#[case] text: &str, #[case] status: u16) {
     run(|| async {
-        let (_worker, gateway, mut caller) = with(vec![Act::Answer(text.into())]).await;
+        let (_worker, gateway, mut caller) = with(vec![Action::Answer(text.into())]).await;
         caller.request("id-1", "/once/x", "").await;
         assert_eq!(caller.answer().await.status, status);
         gateway.logged(&["\"answered\"", "id-1"]).await;
@@ -67,10 +68,10 @@
 fn an_answer_may_end_with_its_connection() {
     run(|| async {
         let text = "HTTP/1.1 200 OK\r\nwoadstage-request: {id}\r\n\r\nall of it";
-        let (_worker, _gateway, mut caller) = with(vec![Act::AnswerAndClose(text.into())]).await;
+        let (_worker, _gateway, mut caller) = with(vec![Action::AnswerAndClose(text.into())]).await;
         caller.request("id-1", "/once/x", "").await;
         let seen = caller.answer().await;
-        assert_eq!((seen.body.as_str(), seen.whole), ("all of it", true));
+        assert_eq!((seen.body.as_str(), seen.is_complete), ("all of it", true));
     });
 }
 
@@ -81,14 +82,14 @@
 fn an_answer_that_breaks_off_does_not_look_whole(#[case] text: String, #[case] reset: bool) {
     run(|| async {
         let act = if reset {
-            Act::AnswerAndReset(text)
+            Action::AnswerAndReset(text)
         } else {
-            Act::AnswerAndClose(text)
+            Action::AnswerAndClose(text)
         };
         let (_worker, gateway, mut caller) = with(vec![act]).await;
         caller.request("id-1", "/once/x", "").await;
         let seen = caller.answer().await;
-        assert!(!seen.whole, "{seen:?}");
+        assert!(!seen.is_complete, "{seen:?}");
         gateway.logged(&["\"cut\"", "id-1"]).await;
     });
 }
@@ -101,7 +102,7 @@
 #[case::that_is_none("this is no answer\r\n\r\n")]
 fn an_answer_that_is_not_its_own_is_not_passed_on(#[case] text: &str) {
     run(|| async {
-        let (_worker, _gateway, mut caller) = with(vec![Act::Answer(text.into())]).await;
+        let (_worker, _gateway, mut caller) = with(vec![Action::Answer(text.into())]).await;
         caller.request("id-1", "/once/x", "").await;
         let seen = caller.answer().await;
         assert_eq!(seen.status, 502);
@@ -113,7 +114,10 @@
 fn a_second_answer_is_not_the_next_requests() {
     run(|| async {
         let twice = format!("{}{}", answer("200 OK", "first"), answer("200 OK", "again"));
-        let script = vec![Act::Answer(twice), Act::Answer(answer("200 OK", "second"))];
+        let script = vec![
+            Action::Answer(twice),
+            Action::Answer(answer("200 OK", "second")),
+        ];
         let (worker, _gateway, mut caller) = with(script).await;
         caller.request("id-1", "/once/x", "").await;
         assert_eq!(caller.answer().await.body, "first");
@@ -128,7 +132,7 @@
 fn an_endpoint_that_asks_for_it_gets_a_new_connection() {
     run(|| async {
         let text = "HTTP/1.1 200 OK\r\nwoadstage-request: {id}\r\nconnection: close\r\ncontent-length: 4\r\n\r\nfine";
-        let (worker, gateway, mut caller) = with(vec![Act::Answer(text.into())]).await;
+        let (worker, gateway, mut caller) = with(vec![Action::Answer(text.into())]).await;
         for id in ["id-1", "id-2"] {
             caller.request(id, "/once/x", "").await;
             assert_eq!(caller.answer().await.status, 200);
--- a/crates/gateway/tests/gateway/attempts.rs
+++ b/crates/gateway/tests/gateway/attempts.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::Worker;
@@ -22,7 +22,7 @@
 
 /// Sends a request to a gateway with two endpoints that act the same, so that
 /// either may be first. Gives how many were asked, and the caller's answer.
-async fn two(first: Act, path: &str) -> (usize, crate::support::Seen) {
+async fn two(first: Action, path: &str) -> (usize, crate::support::Response) {
     let one = Worker::start("e", vec![first.clone()]).await;
     let other = Worker::start("f", vec![first]).await;
     let gateway = Gateway::start(&[&one, &other]).await;
@@ -45,7 +45,7 @@
     #[case] status: u16,
 ) {
     run(|| async {
-        let (count, seen) = two(Act::Answer(first.into()), path).await;
+        let (count, seen) = two(Action::Answer(first.into()), path).await;
         assert_eq!((count, seen.status), (asked, status), "{seen:?}");
         let may_return = field(&seen.head, "retry-after").is_some();
         assert_eq!(may_return, status == 503);
@@ -53,10 +53,10 @@
 }
 
 #[rstest]
-#[case::closed_without_an_answer(Act::AnswerAndClose(String::new()), 502)]
-#[case::reset_without_an_answer(Act::AnswerAndReset(String::new()), 502)]
-#[case::a_fault_of_its_own(Act::Answer(answer("500 Internal Server Error", "broken")), 500)]
-fn what_may_have_run_is_not_sent_again(#[case] first: Act, #[case] status: u16) {
+#[case::closed_without_an_answer(Action::AnswerAndClose(String::new()), 502)]
+#[case::reset_without_an_answer(Action::AnswerAndReset(String::new()), 502)]
+#[case::a_fault_of_its_own(Action::Answer(answer("500 Internal Server Error", "broken")), 500)]
+fn what_may_have_run_is_not_sent_again(#[case] first: Action, #[case] status: u16) {
     run(|| async {
         let (asked, seen) = two(first, "/twice/x").await;
         assert_eq!((asked, seen.status), (1, status), "{seen:?}");
@@ -65,9 +65,9 @@
 }
 
 #[rstest]
-#[case::closed_without_an_answer(Act::AnswerAndClose(String::new()), 502)]
-#[case::a_fault_of_its_own(Act::Answer(answer("500 Internal Server Error", "broken")), 500)]
-fn what_may_run_twice_is_sent_to_as_many_as_allowed(#[case] first: Act, #[case] status: u16) {
+#[case::closed_without_an_answer(Action::AnswerAndClose(String::new()), 502)]
+#[case::a_fault_of_its_own(Action::Answer(answer("500 Internal Server Error", "broken")), 500)]
+fn what_may_run_twice_is_sent_to_as_many_as_allowed(#[case] first: Action, #[case] status: u16) {
     run(|| async {
         let (asked, seen) = two(first, "/repeatable/x").await;
         assert_eq!((asked, seen.status), (2, status), "{seen:?}");
@@ -78,7 +78,7 @@
 fn an_endpoints_own_fault_is_passed_with_its_body() {
     run(|| async {
         let fault = answer("500 Internal Server Error", "what went wrong");
-        let (_, seen) = two(Act::Answer(fault), "/once/x").await;
+        let (_, seen) = two(Action::Answer(fault), "/once/x").await;
         assert_eq!((seen.status, seen.body.as_str()), (500, "what went wrong"));
     });
 }
@@ -86,8 +86,8 @@
 #[test]
 fn an_endpoint_that_refuses_connections_is_passed_over() {
     run(|| async {
-        let gone = Worker::start("gone", vec![Act::Silence]).await;
-        let there = Worker::start("there", vec![Act::Answer(answer("200 OK", "fine"))]).await;
+        let gone = Worker::start("gone", vec![Action::NoAnswer]).await;
+        let there = Worker::start("there", vec![Action::Answer(answer("200 OK", "fine"))]).await;
         let mut dead = gone.clone();
         let unused = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let std::net::SocketAddr::V4(address) = unused.local_addr().expect("an address") else {
@@ -108,14 +108,14 @@
 #[test]
 fn a_connection_that_closed_while_it_rested_costs_nothing() {
     run(|| async {
-        let closes = Act::AnswerAndClose(answer("200 OK", "fine"));
+        let closes = Action::AnswerAndClose(answer("200 OK", "fine"));
         let worker = Worker::start("e", vec![closes]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         for id in ["id-1", "id-2", "id-3"] {
             caller.request(id, "/once/x", "").await;
             assert_eq!(caller.answer().await.status, 200);
-            worker.closed.notified().await;
+            worker.connection_closed.notified().await;
         }
         assert_eq!(worker.requests.borrow().len(), 3);
     });
@@ -124,21 +124,21 @@
 #[test]
 fn with_no_answer_in_time_the_caller_is_told_so() {
     run(|| async {
-        let worker = Worker::start("e", vec![Act::Silence]).await;
+        let worker = Worker::start("e", vec![Action::NoAnswer]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/short/x", "").await;
         let seen = caller.answer().await;
         assert_eq!(seen.status, 504);
         // The endpoint is not left to work for nobody.
-        worker.closed.notified().await;
+        worker.connection_closed.notified().await;
     });
 }
 
 #[test]
 fn an_endpoint_that_starts_leaving_gets_nothing_new() {
     run(|| async {
-        let script = vec![Act::Answer(answer("200 OK", "fine"))];
+        let script = vec![Action::Answer(answer("200 OK", "fine"))];
         let one = Worker::start("e", script.clone()).await;
         let other = Worker::start("f", script).await;
         let gateway = Gateway::start(&[&one, &other]).await;
--- a/crates/gateway/tests/gateway/callers.rs
+++ b/crates/gateway/tests/gateway/callers.rs
@@ -8,7 +8,7 @@
 use woadstage_gateway::log;
 use woadstage_types::unit::Time;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::KEY;
@@ -56,7 +56,7 @@
 #[test]
 fn a_node_that_starts_lets_callers_wait_for_its_first_configuration() {
     run(|| async {
-        let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
+        let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
         let gateway = Gateway::with(&[&worker], None, log::Options::default()).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
@@ -80,7 +80,7 @@
     #[case] expected: [u16; 3],
 ) {
     run(|| async {
-        let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
+        let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
         let quota = Quota {
             per_second: 0.01,
             burst: 8.0,
--- a/crates/gateway/tests/gateway/crash.rs
+++ b/crates/gateway/tests/gateway/crash.rs
@@ -7,10 +7,10 @@
 use woadstage_gateway::explain;
 use woadstage_gateway::operators;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
-use crate::support::Seen;
+use crate::support::Response;
 use crate::support::Worker;
 use crate::support::answer;
 use crate::support::field;
@@ -29,7 +29,7 @@
 async fn start() -> (Gateway, Vec<Worker>) {
     let mut workers = Vec::new();
     for name in ["e1", "e2", "e3", "e4", "e5", "e6"] {
-        let act = Act::CrashOn(CRASHING, answer("200 OK", "fine"));
+        let act = Action::CrashOn(CRASHING, answer("200 OK", "fine"));
         workers.push(Worker::start(name, vec![act]).await);
     }
     let all: Vec<&Worker> = workers.iter().collect();
@@ -46,7 +46,7 @@
 }
 
 /// Asks over a new connection.
-async fn ask(gateway: &Gateway, id: &str, body: &str) -> Seen {
+async fn ask(gateway: &Gateway, id: &str, body: &str) -> Response {
     let mut caller = Caller::connect(gateway).await;
     caller.request(id, "/once/x", body).await;
     caller.answer().await
@@ -134,7 +134,7 @@
 #[test]
 fn answers_that_break_off_alone_are_charged_to_nobody() {
     run(|| async {
-        let broken = || Act::AnswerAndClose("HTTP/1.1 200 OK\r\ncontent-le".into());
+        let broken = || Action::AnswerAndClose("HTTP/1.1 200 OK\r\ncontent-le".into());
         let mut workers = Vec::new();
         for name in ["e1", "e2", "e3", "e4"] {
             workers.push(Worker::start(name, vec![broken()]).await);
--- a/crates/gateway/tests/gateway/fingerprint.rs
+++ b/crates/gateway/tests/gateway/fingerprint.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::Worker;
@@ -34,7 +34,7 @@
     #[case] same: bool,
 ) {
     run(move || async move {
-        let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
+        let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let one = fingerprint(&gateway, "first-id", "/once/x", "a body").await;
         let other = fingerprint(&gateway, "second-id", path, body).await;
@@ -46,7 +46,7 @@
 #[test]
 fn a_long_body_is_told_by_its_beginning_and_length() {
     run(|| async {
-        let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
+        let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let long = "a".repeat(400 << 10);
         let longer = "a".repeat((400 << 10) + 1);
--- a/crates/gateway/tests/gateway/keep.rs
+++ b/crates/gateway/tests/gateway/keep.rs
@@ -14,7 +14,7 @@
 use woadstage_dispatch::configuration::Service;
 use woadstage_gateway::log;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::Worker;
@@ -39,7 +39,7 @@
 fn no_more_connections_are_kept_than_all_nodes_may_have() {
     run(|| async {
         let go_on = Rc::new(Notify::new());
-        let act = Act::Stepwise(vec![answer("200 OK", "fine")], go_on.clone());
+        let act = Action::AnswerStepwise(vec![answer("200 OK", "fine")], go_on.clone());
         let worker = Worker::start("e", vec![act]).await;
         let gateway = Gateway::with(&[&worker], Some(taking(2)), log::Options::default()).await;
         let mut callers = Vec::new();
@@ -55,6 +55,6 @@
             go_on.notify_one();
             assert_eq!(caller.answer().await.status, 200);
         }
-        worker.closed.notified().await;
+        worker.connection_closed.notified().await;
     });
 }
--- a/crates/gateway/tests/gateway/log.rs
+++ b/crates/gateway/tests/gateway/log.rs
@@ -11,7 +11,7 @@
 use woadstage_gateway::log::Log;
 use woadstage_gateway::log::Options;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::KEY;
@@ -24,8 +24,11 @@
 #[test]
 fn no_key_and_no_body_is_logged() {
     run(|| async {
-        let worker =
-            Worker::start("e", vec![Act::Answer(answer("200 OK", "the-answer-text"))]).await;
+        let worker = Worker::start(
+            "e",
+            vec![Action::Answer(answer("200 OK", "the-answer-text"))],
+        )
+        .await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller
@@ -134,9 +137,9 @@
 #[test]
 fn a_reader_that_stops_costs_lines_and_routine_ones_first() {
     let options = Options {
-        bytes: 64 << 10,
-        routine_bytes: 32 << 10,
-        gather: Duration::from_millis(1),
+        max_buffered_bytes: 64 << 10,
+        max_routine_bytes: 32 << 10,
+        flush_interval: Duration::from_millis(1),
     };
     let reader = Stuck::default();
     let log = Log::start(options, reader.clone()).expect("a log");
@@ -144,14 +147,14 @@
     for _ in 0..5_000 {
         log.write(&routine());
     }
-    let routine_left_out = log.left_out();
-    assert!(routine_left_out > 0);
+    let routine_dropped = log.dropped_lines();
+    assert!(routine_dropped > 0);
     log.write(&failure());
-    assert_eq!(log.left_out(), routine_left_out);
+    assert_eq!(log.dropped_lines(), routine_dropped);
     for _ in 0..5_000 {
         log.write(&failure());
     }
-    assert!(log.left_out() > routine_left_out);
+    assert!(log.dropped_lines() > routine_dropped);
     let (open, changed) = &*reader.open;
     *open.lock().expect("no panic while locked") = true;
     changed.notify_all();
--- a/crates/gateway/tests/gateway/notice.rs
+++ b/crates/gateway/tests/gateway/notice.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use woadstage_dispatch::endpoint::List;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::Worker;
@@ -18,9 +18,9 @@
 pub const NOT_RUN: &str = "woadstage-not-run: 1";
 
 /// An answer with a status and some fields.
-pub fn saying(status: &str, fields: &[&str]) -> Act {
+pub fn saying(status: &str, fields: &[&str]) -> Action {
     let head = [&[status], fields].concat().join("\r\n");
-    Act::Answer(answer(&head, ""))
+    Action::Answer(answer(&head, ""))
 }
 
 /// Endpoints that leave, and that want rest, as a gateway's gauges count them.
@@ -32,7 +32,7 @@
 }
 
 /// A gateway that has asked one endpoint once, which answers so.
-async fn ask_once(act: Act) -> (Worker, Gateway) {
+async fn ask_once(act: Action) -> (Worker, Gateway) {
     let worker = Worker::start("e", vec![act]).await;
     let gateway = Gateway::start(&[&worker]).await;
     let mut caller = Caller::connect(&gateway).await;
@@ -133,7 +133,7 @@
     run(|| async {
         let text = "HTTP/1.1 503 Full\r\nwoadstage-request: other\r\nwoadstage-not-run: 1\r\n\
                     woadstage-leaving: 1\r\nretry-after: 3\r\ncontent-length: 0\r\n\r\n";
-        let (_worker, gateway) = ask_once(Act::Answer(text.into())).await;
+        let (_worker, gateway) = ask_once(Action::Answer(text.into())).await;
         assert_eq!(believed(&gateway), (0, 0));
     });
 }
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -35,7 +35,7 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Gateway;
 use crate::support::SERVICE;
 use crate::support::Worker;
@@ -108,7 +108,7 @@
 #[test]
 fn what_one_node_has_read_another_can_take() {
     run(|| async {
-        let worker = Worker::start("e", vec![Act::Silence]).await;
+        let worker = Worker::start("e", vec![Action::NoAnswer]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let (listener, address) = listen().await;
         tokio::task::spawn_local(peers::transfer::serve(gateway.shell.clone(), listener));
--- a/crates/gateway/tests/gateway/rate_limit.rs
+++ b/crates/gateway/tests/gateway/rate_limit.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 use woadstage_dispatch::endpoint::List;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::Worker;
@@ -23,14 +23,14 @@
 const MORE: f64 = 2.0;
 
 /// A good answer that names a limit.
-fn limited(limit: &str) -> Act {
+fn limited(limit: &str) -> Action {
     let text = answer("200 OK", "fine");
     let named = format!("200 OK\r\nwoadstage-rate-limit: {limit}");
-    Act::Answer(text.replacen("200 OK", &named, 1))
+    Action::Answer(text.replacen("200 OK", &named, 1))
 }
 
-fn unlimited() -> Act {
-    Act::Answer(answer("200 OK", "fine"))
+fn unlimited() -> Action {
+    Action::Answer(answer("200 OK", "fine"))
 }
 
 /// Sends a number of requests, one after the other.
--- a/crates/gateway/tests/gateway/requests.rs
+++ b/crates/gateway/tests/gateway/requests.rs
@@ -1,6 +1,6 @@
 //! A request reaches its endpoint unchanged but for what the gateway sets.
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::KEY;
@@ -10,7 +10,7 @@
 use crate::support::run;
 
 async fn one() -> (Worker, Gateway) {
-    let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
+    let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
     let gateway = Gateway::start(&[&worker]).await;
     (worker, gateway)
 }
@@ -126,8 +126,8 @@
 fn an_answer_may_come_before_the_body_was_read() {
     run(|| async {
         let go_on = std::rc::Rc::new(tokio::sync::Notify::new());
-        let early = Act::AnswerEarly(answer("200 OK", "early"), go_on.clone());
-        let later = Act::Answer(answer("200 OK", "later"));
+        let early = Action::AnswerEarly(answer("200 OK", "early"), go_on.clone());
+        let later = Action::Answer(answer("200 OK", "later"));
         let worker = Worker::start("e", vec![early, later]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
--- a/crates/gateway/tests/gateway/reserved.rs
+++ b/crates/gateway/tests/gateway/reserved.rs
@@ -3,7 +3,7 @@
 
 use rstest::rstest;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::KEY;
@@ -37,7 +37,7 @@
 }
 
 /// Sends one request with `fields` and gives all requests that endpoints got.
-async fn sent(script: Vec<Act>, path: &str, fields: &str, shape: &str) -> Vec<String> {
+async fn sent(script: Vec<Action>, path: &str, fields: &str, shape: &str) -> Vec<String> {
     let one = Worker::start("e", script.clone()).await;
     let other = Worker::start("f", script).await;
     let gateway = Gateway::start(&[&one, &other]).await;
@@ -79,7 +79,7 @@
 ) {
     run(|| async {
         let fields = format!("x-kept: yes\r\n{fields}");
-        let script = vec![Act::Answer(answer("200 OK", "fine"))];
+        let script = vec![Action::Answer(answer("200 OK", "fine"))];
         let requests = sent(script, "/once/x", &fields, shape).await;
         assert_eq!(requests.len(), 1);
         assert_none_reached(&requests);
@@ -90,7 +90,7 @@
 fn a_callers_order_is_dropped_on_the_second_attempt() {
     run(|| async {
         let fields = "x-kept: yes\r\nx-order: 1\r\norder-from: 2\r\n";
-        let script = vec![Act::Answer(NOT_RUN.into())];
+        let script = vec![Action::Answer(NOT_RUN.into())];
         let requests = sent(script, "/twice/x", fields, "length").await;
         assert_eq!(requests.len(), 2);
         assert_none_reached(&requests);
@@ -102,7 +102,7 @@
     run(|| async {
         let fields = "x-kept: yes\r\nx-order: 1\r\norder-from: 2\r\n";
         let broken = format!("{}{}", chunked_head(), chunk("id: 1\ndata: a\n\n"));
-        let script = vec![Act::AnswerAndClose(broken)];
+        let script = vec![Action::AnswerAndClose(broken)];
         let requests = sent(script, "/resumable/x", fields, "length").await;
         assert_eq!(requests.len(), 2);
         assert!(
--- a/crates/gateway/tests/gateway/stop.rs
+++ b/crates/gateway/tests/gateway/stop.rs
@@ -10,10 +10,10 @@
 use woadstage_gateway::shell::Phase;
 use woadstage_types::unit::Span;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
-use crate::support::Seen;
+use crate::support::Response;
 use crate::support::Worker;
 use crate::support::answer;
 use crate::support::chunk;
@@ -62,7 +62,7 @@
             format!("{}{}", chunked_head(), chunk("id: 1\n\n")),
             format!("{}0\r\n\r\n", chunk("id: 2\n\n")),
         ];
-        let worker = Worker::start("e", vec![Act::Stepwise(steps, go_on.clone())]).await;
+        let worker = Worker::start("e", vec![Action::AnswerStepwise(steps, go_on.clone())]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut under_way = Caller::connect(&gateway).await;
         let mut at_rest = Caller::connect(&gateway).await;
@@ -81,8 +81,8 @@
 }
 
 /// What a new caller gets from a node that closes and has so long left.
-async fn asks_while_closing(path: &str, left: Span) -> (Seen, usize) {
-    let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
+async fn asks_while_closing(path: &str, left: Span) -> (Response, usize) {
+    let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
     let gateway = Gateway::start(&[&worker]).await;
     gateway.shell.close_within(left);
     let mut caller = Caller::connect(&gateway).await;
@@ -123,7 +123,7 @@
 #[test]
 fn what_a_closing_node_serves_is_over_before_it_ends() {
     run(|| async {
-        let worker = Worker::start("e", vec![Act::Silence]).await;
+        let worker = Worker::start("e", vec![Action::NoAnswer]).await;
         let gateway = Gateway::start(&[&worker]).await;
         gateway.shell.close_within(Span::from_millis(900));
         let mut caller = Caller::connect(&gateway).await;
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::Notify;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::Worker;
@@ -30,7 +30,7 @@
             format!("{}{}", chunked_head(), chunk(&event(1))),
             format!("{}0\r\n\r\n", chunk(&event(2))),
         ];
-        let worker = Worker::start("e", vec![Act::Stepwise(steps, go_on.clone())]).await;
+        let worker = Worker::start("e", vec![Action::AnswerStepwise(steps, go_on.clone())]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/stream/x", "").await;
@@ -47,13 +47,13 @@
 fn a_stream_that_may_not_go_on_breaks_off() {
     run(|| async {
         let part = format!("{}{}", chunked_head(), chunk(&event(1)));
-        let one = Worker::start("e", vec![Act::AnswerAndClose(part.clone())]).await;
-        let other = Worker::start("f", vec![Act::AnswerAndClose(part)]).await;
+        let one = Worker::start("e", vec![Action::AnswerAndClose(part.clone())]).await;
+        let other = Worker::start("f", vec![Action::AnswerAndClose(part)]).await;
         let gateway = Gateway::start(&[&one, &other]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/stream/x", "").await;
         let seen = caller.answer().await;
-        assert!(!seen.whole);
+        assert!(!seen.is_complete);
         assert_eq!(
             one.requests.borrow().len() + other.requests.borrow().len(),
             1
@@ -71,10 +71,10 @@
             "\r\nwoadstage-request",
             "\r\nx-seal: first\r\nwoadstage-request",
         );
-        let script = vec![Act::AnswerAndClose(broken), Act::Answer(whole(3..5))];
+        let script = vec![Action::AnswerAndClose(broken), Action::Answer(whole(3..5))];
         let one = Worker::start("e", script.clone()).await;
         let gateway = Gateway::start(&[&one]).await;
-        let other = Worker::start("f", vec![Act::Answer(whole(3..5))]).await;
+        let other = Worker::start("f", vec![Action::Answer(whole(3..5))]).await;
         let mut caller = Caller::connect(&gateway).await;
         let list = woadstage_dispatch::endpoint::List {
             settled: true,
@@ -120,13 +120,13 @@
 fn a_resumable_stream_whose_second_endpoint_fails_breaks_off() {
     run(|| async {
         let part = format!("{}{}", chunked_head(), chunk(&event(1)));
-        let one = Worker::start("e", vec![Act::AnswerAndClose(part.clone())]).await;
-        let other = Worker::start("f", vec![Act::AnswerAndClose(part)]).await;
+        let one = Worker::start("e", vec![Action::AnswerAndClose(part.clone())]).await;
+        let other = Worker::start("f", vec![Action::AnswerAndClose(part)]).await;
         let gateway = Gateway::start(&[&one, &other]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/resumable/x", "").await;
         let seen = caller.answer().await;
-        assert!(!seen.whole);
+        assert!(!seen.is_complete);
         assert_eq!(
             one.requests.borrow().len() + other.requests.borrow().len(),
             2
@@ -142,14 +142,14 @@
             format!("{}{}", chunked_head(), chunk(&event(1))),
             chunk(&event(2)),
         ];
-        let worker = Worker::start("e", vec![Act::Stepwise(steps, go_on.clone())]).await;
+        let worker = Worker::start("e", vec![Action::AnswerStepwise(steps, go_on.clone())]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/stream/x", "").await;
         go_on.notify_one();
         caller.read_until("piece 1").await;
         drop(caller);
-        worker.closed.notified().await;
+        worker.connection_closed.notified().await;
         gateway.logged(&["\"left\"", "id-1"]).await;
         assert_eq!(gateway.shell.query(|dispatcher, _| dispatcher.held()), 0);
     });
@@ -158,13 +158,13 @@
 #[test]
 fn a_caller_that_leaves_before_the_answer_ends_the_endpoints_work() {
     run(|| async {
-        let worker = Worker::start("e", vec![Act::Silence]).await;
+        let worker = Worker::start("e", vec![Action::NoAnswer]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/stream/x", "").await;
         gateway.logged(&["\"sent\"", "id-1"]).await;
         drop(caller);
-        worker.closed.notified().await;
+        worker.connection_closed.notified().await;
         gateway.logged(&["\"left\"", "id-1"]).await;
     });
 }
--- a/crates/gateway/tests/gateway/support/caller.rs
+++ b/crates/gateway/tests/gateway/support/caller.rs
@@ -18,7 +18,7 @@
 
 /// An answer as a caller sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct Response {
     /// The status.
     pub status: u16,
     /// The head.
@@ -26,7 +26,7 @@
     /// The body, chunks put together.
     pub body: String,
     /// False where the connection ended first.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Caller {
@@ -78,35 +78,35 @@
     }
 
     /// Reads an answer.
-    pub async fn answer(&mut self) -> Seen {
+    pub async fn answer(&mut self) -> Response {
         let head = self.head().await.expect("an answer");
         let status = head[9..12].parse().expect("a status");
-        let (body, whole) = match field(&head, "transfer-encoding") {
-            Some(_) => self.chunks().await,
+        let (body, is_complete) = match field(&head, "transfer-encoding") {
+            Some(_) => self.read_chunked_body().await,
             None => {
                 let length: usize = field(&head, "content-length")
                     .map_or(0, |text| text.parse().expect("a length"));
                 let body = read_body(&mut self.stream, &mut self.buffer, &head).await;
-                let whole = body.len() == length;
-                (body, whole)
+                let is_complete = body.len() == length;
+                (body, is_complete)
             }
         };
-        Seen {
+        Response {
             status,
             head,
             body,
-            whole,
+            is_complete,
         }
     }
 
-    async fn chunks(&mut self) -> (String, bool) {
+    async fn read_chunked_body(&mut self) -> (String, bool) {
         let mut body = String::new();
         loop {
-            let Some(line) = self.line().await else {
+            let Some(line) = self.read_line().await else {
                 return (body, false);
             };
             let length = usize::from_str_radix(line.trim(), 16).expect("a chunk's length");
-            let Some(data) = self.take(length + 2).await else {
+            let Some(data) = self.read_exact(length + 2).await else {
                 return (body, false);
             };
             if length == 0 {
@@ -116,7 +116,7 @@
         }
     }
 
-    async fn line(&mut self) -> Option<String> {
+    async fn read_line(&mut self) -> Option<String> {
         let end = loop {
             if let Some(end) = self.buffer.windows(2).position(|two| two == b"\r\n") {
                 break end;
@@ -125,10 +125,10 @@
                 return None;
             }
         };
-        self.take(end + 2).await
+        self.read_exact(end + 2).await
     }
 
-    async fn take(&mut self, length: usize) -> Option<String> {
+    async fn read_exact(&mut self, length: usize) -> Option<String> {
         while self.buffer.len() < length {
             if self.stream.read_buf(&mut self.buffer).await.unwrap_or(0) == 0 {
                 return None;
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -12,7 +12,7 @@
 mod worker;
 
 pub use caller::Caller;
-pub use caller::Seen;
+pub use caller::Response;
 pub use gateway::Gateway;
 pub use gateway::Lines;
 pub use gateway::RESERVED;
@@ -24,7 +24,7 @@
 pub use wire::chunk;
 pub use wire::chunked_head;
 pub use wire::field;
-pub use worker::Act;
+pub use worker::Action;
 pub use worker::Worker;
 
 /// The service that all routes lead to.
@@ -50,7 +50,7 @@
 
 /// An endpoint that answers all requests well, a gateway that knows it, and a caller.
 pub async fn serving() -> (Worker, Gateway, Caller) {
-    let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
+    let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
     let gateway = Gateway::start(&[&worker]).await;
     let caller = Caller::connect(&gateway).await;
     (worker, gateway, caller)
--- a/crates/gateway/tests/gateway/support/worker.rs
+++ b/crates/gateway/tests/gateway/support/worker.rs
@@ -23,7 +23,7 @@
 
 /// What a stand-in does with one request.
 #[derive(Clone)]
-pub enum Act {
+pub enum Action {
     /// Writes these bytes and keeps the connection.
     Answer(String),
     /// Writes these bytes and closes the connection.
@@ -31,11 +31,11 @@
     /// Writes these bytes and resets the connection.
     AnswerAndReset(String),
     /// Writes bytes one after the other, waiting to be told before each.
-    Stepwise(Vec<String>, Rc<Notify>),
+    AnswerStepwise(Vec<String>, Rc<Notify>),
     /// Answers once the head is there, and reads the body only when told.
     AnswerEarly(String, Rc<Notify>),
     /// Says nothing until the other end closes.
-    Silence,
+    NoAnswer,
     /// Ends the stand-in with all its connections where the body is this text, or
     /// else writes these bytes and keeps the connection.
     CrashOn(&'static str, String),
@@ -53,16 +53,16 @@
     /// Connections that were opened.
     pub connections: Rc<Cell<usize>>,
     /// Told when a connection has ended.
-    pub closed: Rc<Notify>,
-    script: Rc<RefCell<VecDeque<Act>>>,
-    /// True once it has ended.
-    ended: Rc<watch::Sender<bool>>,
+    pub connection_closed: Rc<Notify>,
+    script: Rc<RefCell<VecDeque<Action>>>,
+    /// True once it has crashed.
+    crashed: Rc<watch::Sender<bool>>,
 }
 
 impl Worker {
     /// Starts a stand-in that acts as `script` says, request by request; the
     /// last act is repeated.
-    pub async fn start(name: &'static str, script: Vec<Act>) -> Worker {
+    pub async fn start(name: &'static str, script: Vec<Action>) -> Worker {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
             .expect("a port");
@@ -74,41 +74,44 @@
             address,
             requests: Rc::default(),
             connections: Rc::default(),
-            closed: Rc::default(),
+            connection_closed: Rc::default(),
             script: Rc::new(RefCell::new(script.into())),
-            ended: Rc::new(watch::Sender::new(false)),
+            crashed: Rc::new(watch::Sender::new(false)),
         };
-        let serving = worker.clone();
+        let stub = worker.clone();
         spawn_local(async move {
             loop {
                 let accepted = tokio::select! {
                     accepted = listener.accept() => accepted,
-                    () = serving.end() => return,
+                    () = stub.wait_until_crashed() => return,
                 };
                 let Ok((stream, _)) = accepted else {
                     return;
                 };
-                serving.connections.set(serving.connections.get() + 1);
-                let one = serving.clone();
+                stub.connections.set(stub.connections.get() + 1);
+                let handler = stub.clone();
                 spawn_local(async move {
                     tokio::select! {
-                        () = one.serve(stream) => {}
-                        () = one.end() => {}
+                        () = handler.serve(stream) => {}
+                        () = handler.wait_until_crashed() => {}
                     }
-                    one.closed.notify_one();
+                    handler.connection_closed.notify_one();
                 });
             }
         });
         worker
     }
 
-    /// Waits until it has ended.
-    async fn end(&self) {
-        let mut ended = self.ended.subscribe();
-        ended.wait_for(|ended| *ended).await.expect("it is held");
+    /// Waits until it has crashed.
+    async fn wait_until_crashed(&self) {
+        let mut crashed = self.crashed.subscribe();
+        crashed
+            .wait_for(|crashed| *crashed)
+            .await
+            .expect("it is held");
     }
 
-    fn next(&self) -> Act {
+    fn next_action(&self) -> Action {
         let mut script = self.script.borrow_mut();
         match script.len() {
             1 => script[0].clone(),
@@ -119,42 +122,42 @@
     async fn serve(&self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         while let Some(head) = read_head(&mut stream, &mut buffer).await {
-            let act = self.next();
-            if let Act::AnswerEarly(text, go_on) = &act {
+            let action = self.next_action();
+            if let Action::AnswerEarly(text, go_on) = &action {
                 let _ = stream.write_all(echo(text, &head).as_bytes()).await;
                 go_on.notified().await;
             }
             let body = read_body(&mut stream, &mut buffer, &head).await;
             self.requests.borrow_mut().push(format!("{head}{body}"));
-            if matches!(act, Act::CrashOn(text, _) if text == body) {
-                self.ended.send_replace(true);
+            if matches!(action, Action::CrashOn(text, _) if text == body) {
+                self.crashed.send_replace(true);
                 return;
             }
-            if !self.act(&mut stream, act, &head).await {
+            if !self.perform(&mut stream, action, &head).await {
                 return;
             }
         }
     }
 
     /// Does one act; true where the connection goes on.
-    async fn act(&self, stream: &mut TcpStream, act: Act, head: &str) -> bool {
-        match act {
-            Act::Answer(text) | Act::CrashOn(_, text) => {
+    async fn perform(&self, stream: &mut TcpStream, action: Action, head: &str) -> bool {
+        match action {
+            Action::Answer(text) | Action::CrashOn(_, text) => {
                 stream.write_all(echo(&text, head).as_bytes()).await.is_ok()
             }
-            Act::AnswerEarly(..) => true,
-            Act::AnswerAndClose(text) => {
+            Action::AnswerEarly(..) => true,
+            Action::AnswerAndClose(text) => {
                 let _ = stream.write_all(echo(&text, head).as_bytes()).await;
                 false
             }
-            Act::AnswerAndReset(text) => {
+            Action::AnswerAndReset(text) => {
                 let _ = stream.write_all(echo(&text, head).as_bytes()).await;
                 // What was written is on its way before the reset follows.
                 tokio::time::sleep(Duration::from_millis(30)).await;
                 let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 false
             }
-            Act::Stepwise(texts, go_on) => {
+            Action::AnswerStepwise(texts, go_on) => {
                 for text in texts {
                     tokio::select! {
                         () = go_on.notified() => {}
@@ -170,7 +173,7 @@
                 }
                 true
             }
-            Act::Silence => {
+            Action::NoAnswer => {
                 let mut byte = [0];
                 let _ = stream.read(&mut byte).await;
                 false
--- a/crates/gateway/tests/gateway/suspend.rs
+++ b/crates/gateway/tests/gateway/suspend.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::KEY;
@@ -24,7 +24,7 @@
 #[test]
 fn a_caller_whose_time_ran_out_meanwhile_is_answered_at_once() {
     run(|| async {
-        let worker = Worker::start("e", vec![Act::Silence]).await;
+        let worker = Worker::start("e", vec![Action::NoAnswer]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
