--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -1,260 +1,268 @@
-//! What is logged: one typed event for each decision that touches a request or
-//! changes what the process believes. `docs/EVENTS.md` lists them. No event
-//! holds a key, a prompt or a body.
+//! Typed log events: one for each decision about a request and each change in the node's
+//! knowledge. `docs/EVENTS.md` lists them. No event contains a key, a prompt or a body.
 
 use serde::Serialize;
 
-/// One line of the log.
+/// A log line, tagged with its event name.
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event<'a> {
-    /// The process runs.
+    /// The process has started.
     Started {
-        /// The entry host.
+        /// The name of the entry host.
         host: &'a str,
-        /// This life of the node.
+        /// The incarnation of the node, which changes with each start.
         incarnation: u64,
         /// The version of the program.
         version: &'a str,
     },
-    /// A planned stop began, or ended with requests still held.
+    /// A planned stop entered its next phase, possibly with requests still held.
     Stopping {
-        /// Requests held.
+        /// The number of requests held.
         held: usize,
-        /// What the stop has come to.
+        /// The phase: `leaving`, `closing` or `stopped`.
         phase: &'a str,
     },
-    /// Settings were read again.
+    /// The settings were read again.
     Reloaded {
-        /// Whether they are in force, or what is wrong with them.
+        /// Whether the settings are in force, or what is wrong with them.
         outcome: &'a str,
     },
-    /// The process seems to have been paused.
+    /// The process seems to have been suspended.
     Woke {
-        /// For how long, in milliseconds.
+        /// The duration of the suspension in milliseconds.
         after_ms: u64,
     },
     /// A configuration came into force.
     Configuration {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// The version before.
+        /// The previous version.
         before: u64,
-        /// Names its content.
+        /// A digest of the content.
         digest: &'a str,
-        /// Its routes.
+        /// The number of routes.
         routes: usize,
-        /// From where it came: `platform` or the address of a node.
+        /// The source: `platform` or the address of a node.
         from: &'a str,
-        /// The way it came: `read`, `watch` or `transfer`.
+        /// How the configuration was received: `read`, `watch` or `transfer`.
         way: &'a str,
-        /// The platform's revision at which it was written; 0 for a transfer.
+        /// The platform's revision at which the configuration was written; 0 for a
+        /// transfer.
         revision: u64,
-        /// The platform's revision as the answer says it that held it; 0 for a transfer.
+        /// The platform's revision given in the response that held the configuration; 0 for
+        /// a transfer.
         at: u64,
     },
     /// A list of endpoints came into force.
     Endpoints {
-        /// The platform's era in which it was read; 0 where the platform counts none.
+        /// The platform's era in which the list was read; 0 if the platform has no eras.
         era: u64,
-        /// Its revision, which tells its place within its era alone.
+        /// The revision of the list, comparable only within its era.
         revision: u64,
-        /// Endpoints that take work.
+        /// The number of endpoints that accept requests.
         ready: usize,
-        /// Endpoints that are leaving.
+        /// The number of endpoints that are leaving.
         leaving: usize,
-        /// Endpoints that say they are cold.
+        /// The number of endpoints that report to be cold.
         cold: usize,
-        /// Data centres that are evacuated, with commas between.
+        /// The evacuated data centres, separated by commas.
         evacuated: &'a str,
-        /// From where it came.
+        /// The source: `platform` or the address of a node.
         from: &'a str,
     },
-    /// The platform came back with an older copy of what it had acknowledged: all is
-    /// read anew, and what was written since is awaited.
+    /// The platform was restored from an older copy of data it had acknowledged. The node
+    /// reads everything again and waits for the writes that are missing from the copy.
     Era {
-        /// The platform's era now.
+        /// The platform's current era.
         era: u64,
-        /// The era before.
+        /// The previous era.
         before: u64,
     },
-    /// Something this node depends on was lost or regained.
+    /// A dependency of this node became unreachable or reachable again.
     Dependency {
-        /// What it is.
+        /// The name of the dependency.
         name: &'a str,
-        /// True where it is there.
+        /// Whether the dependency is reachable.
         reached: bool,
-        /// What was seen.
+        /// What was observed.
         detail: &'a str,
     },
     /// A transfer of published documents between nodes ended.
     Transfer {
-        /// `taken` by this node or `given` by it.
+        /// The direction: `taken` by this node or `given` by it.
         direction: &'a str,
-        /// The other node.
+        /// The address of the other node.
         peer: &'a str,
-        /// True where all of it went over.
+        /// Whether the transfer was completed.
         whole: bool,
-        /// What was seen where it broke off.
+        /// Why the transfer broke off.
         detail: &'a str,
-        /// Bytes of the documents; 0 where it broke off.
+        /// The size of the documents in bytes; 0 if the transfer broke off.
         bytes: usize,
-        /// Milliseconds since it began.
+        /// The duration of the transfer in milliseconds.
         after_ms: u64,
-        /// Transfers in this direction that were under way on this node as it
-        /// ended, this one among them.
+        /// The number of transfers in this direction that were in progress on this node
+        /// when this one ended, including this one.
         at_once: usize,
     },
-    /// A change was missed that the platform should have told of: a read anew brought it.
+    /// A full read found a change of which the platform had not notified this node.
     Missed {
-        /// Of which document.
+        /// The document that changed.
         document: &'a str,
         /// The platform's revision of the change.
         revision: u64,
         /// The revision after which the node had waited for changes.
         waited_after: u64,
     },
-    /// Something that was published could not be understood.
+    /// A published document could not be parsed.
     Unreadable {
-        /// Which document.
+        /// The document.
         document: &'a str,
-        /// What is wrong.
+        /// The error.
         detail: &'a str,
     },
-    /// A request was let in and is to be run.
+    /// A request was admitted and will be run.
     Accepted {
-        /// The caller's id of it.
+        /// The caller's id of the request.
         request: &'a str,
-        /// What it asks for: the same for each attempt, on every node.
+        /// A fingerprint of what the request asks for: the same for each attempt, on every
+        /// node.
         fingerprint: &'a str,
-        /// Its route.
+        /// The route.
         route: &'a str,
-        /// Its service.
+        /// The service.
         service: &'a str,
-        /// Its customer, if any.
+        /// The customer; empty if there is none.
         customer: &'a str,
-        /// Its customer's priority, or its route's.
+        /// The priority of the customer, or else of the route.
         priority: u8,
-        /// Its route's priority.
+        /// The priority of the route.
         urgency: u8,
-        /// Milliseconds left.
+        /// The time left until the deadline, in milliseconds.
         left_ms: u64,
-        /// Within how many milliseconds the answer, or its first event, is in time.
+        /// The time limit in milliseconds within which the response, or its first event,
+        /// meets the objective.
         objective_ms: u64,
-        /// The longest pause between events that is in time; 0 for no bound.
+        /// The longest pause between events, in milliseconds, that meets the objective; 0
+        /// if unlimited.
         pause_limit_ms: u64,
-        /// True where its caller seems to have been refused before.
+        /// Whether the caller appears to retry a refused request.
         returning: bool,
-        /// Prompt tokens, as the caller says.
+        /// The number of prompt tokens, as given by the caller.
         prompt: u64,
-        /// The most tokens of the answer, as the caller says.
+        /// The maximum number of output tokens, as given by the caller.
         output: u64,
-        /// Who charged its customer's quota: none, here, or the owner's address.
+        /// Who charged the customer's quota: `none`, `here` or the owner's address.
         quota: &'a str,
-        /// The version of the configuration that decided it.
+        /// The version of the configuration used for the decision.
         configuration: u64,
     },
-    /// A request has no route, or no customer holds its key.
+    /// A request matched no route, or its key belongs to no customer.
     Unmatched {
-        /// The caller's id of it.
+        /// The caller's id of the request.
         request: &'a str,
         /// What is missing: `route` or `customer`.
         what: &'a str,
-        /// The version of the configuration by which it was judged.
+        /// The version of the configuration used for the decision.
         configuration: u64,
-        /// Names the content of that.
+        /// The digest of that configuration.
         digest: &'a str,
-        /// For how long it has been in force, in milliseconds.
+        /// How long that configuration has been in force, in milliseconds.
         in_force_ms: u64,
-        /// From where it came, and the way, as in `configuration`.
+        /// The source of that configuration, as in `configuration`.
         from: &'a str,
-        /// The way.
+        /// How that configuration was received, as in `configuration`.
         way: &'a str,
-        /// The platform's revisions, as in `configuration`.
+        /// The platform's revision at which the configuration was written, as in
+        /// `configuration`.
         revision: u64,
-        /// The one that the answer says.
+        /// The platform's revision given in the response, as in `configuration`.
         at: u64,
-        /// How long ago the platform last answered this node, in milliseconds; none where
-        /// it never did.
+        /// The time since the platform last answered this node, in milliseconds; none if it
+        /// never did.
         platform_ms: Option<u64>,
-        /// The nodes heard and their versions of the configuration, the newest first,
-        /// with commas between.
+        /// The nodes heard and their versions of the configuration, newest first, separated
+        /// by commas.
         heard: &'a str,
     },
-    /// A customer is over its limit.
+    /// A customer exceeded its limit.
     OverLimit {
         /// The caller's id of the request.
         request: &'a str,
-        /// Its route.
+        /// The route.
         route: &'a str,
         /// The customer.
         customer: &'a str,
-        /// Units asked for.
+        /// The number of units requested.
         asked: u64,
-        /// Units in the bucket.
+        /// The number of units in the bucket.
         level: i64,
-        /// Units in a full bucket.
+        /// The capacity of the bucket in units.
         most: u64,
-        /// Units of it that are kept for more protected requests.
+        /// The number of units reserved for more protected requests.
         kept: u64,
-        /// Whose bucket it is: here, or the owner's address.
+        /// Where the bucket is kept: `here` or the owner's address.
         quota: &'a str,
-        /// Nodes that share the limit.
+        /// The number of nodes that share the limit.
         nodes: usize,
-        /// Of them, those whose use is not known now.
+        /// The number of these nodes whose usage is currently unknown.
         silent: usize,
     },
     /// A request was sent to an endpoint.
     Sent {
-        /// The caller's id of it.
+        /// The caller's id of the request.
         request: &'a str,
         /// The endpoint.
         endpoint: &'a str,
-        /// Milliseconds it had waited.
+        /// The time in milliseconds that the request had waited.
         waited_ms: u64,
-        /// Requests of this node in progress there.
+        /// The number of requests of this node in progress at the endpoint.
         running: u32,
-        /// Requests of other nodes in progress there, as last heard.
+        /// The number of requests of other nodes in progress at the endpoint, as last
+        /// reported.
         others: u32,
-        /// The age of the oldest word of another node, in milliseconds.
+        /// The age in milliseconds of the oldest status of another node.
         oldest_ms: u64,
-        /// Prompt tokens it was taken to have to read.
+        /// The estimated number of prompt tokens that the endpoint has to read.
         uncached: u64,
-        /// Prompt tokens that it was taken to have to read before.
+        /// The estimated number of prompt tokens that the endpoint has to process before
+        /// this request.
         unread: u64,
-        /// Its pace, as a multiple of the usual.
+        /// The pace of the endpoint, as a multiple of the typical pace.
         pace: f64,
-        /// Who gave the slot, and knew all of the above: here, or the owner's
-        /// address.
+        /// Who assigned the slot and knew the values above: `here` or the owner's address.
         owner: &'a str,
-        /// Endpoints that were passed over as they said that they leave, with commas
-        /// between.
+        /// The endpoints skipped because they announced that they are leaving, separated by
+        /// commas.
         #[serde(skip_serializing_if = "str::is_empty")]
         passed_leaving: &'a str,
-        /// Endpoints that were passed over as they rest for this node.
+        /// The endpoints skipped because they asked for a rest, separated by commas.
         #[serde(skip_serializing_if = "str::is_empty")]
         passed_resting: &'a str,
     },
-    /// Something became known of a request that endpoints ended under.
+    /// The record of a request during which endpoints crashed has changed.
     Suspect {
-        /// What it asks for.
+        /// The fingerprint of the request.
         fingerprint: &'a str,
-        /// What became known: `charged`, `heard`, `cleared` or `trial`.
+        /// What changed the record: `charged`, `heard`, `cleared` or `trial`.
         what: &'a str,
-        /// Endpoints that ended under it since it was last sound.
+        /// The number of endpoints that crashed while running the request since it was last
+        /// cleared.
         ends: usize,
-        /// True where it is not run any more.
+        /// Whether the request is no longer run.
         barred: bool,
     },
-    /// A request is not run, as endpoints ended under what it asks for.
+    /// A request was refused because endpoints crashed while running the same request.
     Barred {
-        /// The caller's id of it.
+        /// The caller's id of the request.
         request: &'a str,
-        /// What it asks for.
+        /// The fingerprint of the request.
         fingerprint: &'a str,
-        /// Endpoints that ended under it since it was last sound.
+        /// The number of endpoints that crashed while running the request since it was last
+        /// cleared.
         ends: usize,
-        /// How often it was tried again since.
+        /// The number of trials since then.
         trials: u8,
     },
     /// An attempt ended.
@@ -263,87 +271,92 @@
         request: &'a str,
         /// The endpoint.
         endpoint: &'a str,
-        /// How it ended.
+        /// How the attempt ended.
         end: &'a str,
-        /// What follows.
+        /// What happens next.
         next: &'a str,
-        /// What was seen: a status or a fault of the connection.
+        /// The status or the connection error.
         detail: &'a str,
-        /// Milliseconds since it was sent.
+        /// The time in milliseconds since the request was sent.
         after_ms: u64,
     },
-    /// Something else is believed of an endpoint, by what it says of itself.
+    /// The known condition of an endpoint, which it announces in its responses, has
+    /// changed.
     Notice {
-        /// The caller's id of the request whose answer said so; empty where no answer did.
+        /// The caller's id of the request whose response announced the change; empty if it
+        /// has another cause.
         request: &'a str,
         /// The endpoint.
         endpoint: &'a str,
-        /// What it is about: `cold`, `rate-limit`, `leaving` or `rest`.
+        /// The condition: `cold`, `rate-limit`, `leaving` or `rest`.
         what: &'a str,
-        /// What is believed now: a time, requests a second, or `none`.
+        /// The current value: a duration, requests per second, `yes`, `over` or `none`.
         now: &'a str,
-        /// The same before.
+        /// The previous value.
         before: &'a str,
     },
-    /// A request has its final answer.
+    /// A request got its final answer.
     Answered {
-        /// The caller's id of it.
+        /// The caller's id of the request.
         request: &'a str,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The numbered result code, or nothing for an endpoint's own answer.
+        /// The numbered result code; empty for an endpoint's own response.
         code: &'a str,
-        /// What the caller may believe: ran, not-run or unknown.
+        /// Whether the request has run, as told to the caller: `ran`, `not-run` or
+        /// `unknown`.
         outcome: &'a str,
-        /// Milliseconds since it came.
+        /// The time in milliseconds since the request arrived.
         after_ms: u64,
-        /// When the caller may come back, in milliseconds.
+        /// When the caller may retry, in milliseconds.
         retry_after_ms: u64,
-        /// The wait that was expected, where that decided it, in milliseconds.
+        /// The expected wait in milliseconds, if it decided the answer.
         wait_ms: u64,
-        /// Who refused it: here, or the address of the node that owns the slots; empty
-        /// for an endpoint's answer.
+        /// Who refused the request: `here` or the address of the node that owns the slots;
+        /// empty for an endpoint's response.
         owner: &'a str,
-        /// Events of a stream that were passed on.
+        /// The number of events of a stream passed on to the caller.
         events: u32,
-        /// Milliseconds from its arrival to its first event; 0 where none came.
+        /// The time in milliseconds from arrival to the first event; 0 if there was none.
         first_ms: u64,
-        /// The longest pause between two events, in milliseconds.
+        /// The longest pause between two events in milliseconds.
         pause_ms: u64,
-        /// The version of the configuration that decided it; 0 for none.
+        /// The version of the configuration used for the decision; 0 if there was none.
         configuration: u64,
-        /// Endpoints that were passed over where this node refused it, as in `sent`.
+        /// The endpoints skipped because they announced that they are leaving, if this node
+        /// refused the request.
         #[serde(skip_serializing_if = "str::is_empty")]
         passed_leaving: &'a str,
-        /// The same of those that rest.
+        /// The endpoints skipped because they asked for a rest, if this node refused the
+        /// request.
         #[serde(skip_serializing_if = "str::is_empty")]
         passed_resting: &'a str,
     },
-    /// A caller left before its answer was whole.
+    /// A caller disconnected before its answer was complete.
     Left {
         /// The caller's id of the request.
         request: &'a str,
-        /// Milliseconds since it came.
+        /// The time in milliseconds since the request arrived.
         after_ms: u64,
     },
-    /// An answer broke off after its head had gone out.
+    /// An answer broke off after its head had been sent.
     Cut {
         /// The caller's id of the request.
         request: &'a str,
-        /// Why.
+        /// The cause.
         detail: &'a str,
-        /// Milliseconds since it came.
+        /// The time in milliseconds since the request arrived.
         after_ms: u64,
     },
-    /// Lines were left out to keep the volume bounded.
+    /// Log lines were dropped to limit the volume.
     LeftOut {
-        /// How many since the last such line.
+        /// The number of lines dropped since the last such event.
         lines: u64,
     },
 }
 
 impl Event<'_> {
-    /// True for what explains a failure; such lines are left out last.
+    /// Whether the event explains a failure; such lines are dropped last.
     pub fn is_failure(&self) -> bool {
         match self {
             Event::Accepted { .. } | Event::Sent { .. } => false,
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,5 +1,5 @@
-//! Log lines on standard output: JSON, one a line, bounded in volume, never
-//! waited for. A reader that stops reading costs lines, not requests.
+//! Writes log lines to standard output, one JSON object per line. The volume is bounded and
+//! requests never wait for the log: if the reader stalls, lines are dropped.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -20,14 +20,14 @@
 
 use crate::event::Event;
 
-/// Bounds of the log.
+/// Limits of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// Bytes that wait for the reader at the most.
+    /// The maximum number of bytes that wait for the reader.
     pub max_buffered_bytes: usize,
-    /// Of them, those that lines which explain no failure may fill.
+    /// The part of these bytes that lines about anything but failures may use.
     pub max_routine_bytes: usize,
-    /// How long lines are gathered before they are written.
+    /// How long lines are collected before they are written.
     pub flush_interval: Duration,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Lines that wait for the writer.
+/// A sink that holds lines until the writer thread takes them.
 struct Buffer {
     prop: SinkProp,
     options: Options,
@@ -96,7 +96,7 @@
 
     fn write(&self, to: &mut impl Write) {
         let lines = self.wait_for_batch();
-        // A reader that is gone costs the lines; there is nowhere to tell it.
+        // If the reader is gone, the lines are lost: the error cannot be reported anywhere.
         let _ = to.write_all(&lines).and_then(|()| to.flush());
     }
 }
@@ -109,10 +109,10 @@
 }
 
 impl Log {
-    /// A log that a thread of its own writes to `to`.
+    /// Starts a thread that writes the log to `to`.
     ///
     /// # Errors
-    /// Where the thread or the logger cannot be made.
+    /// Fails if the thread or the logger cannot be created.
     pub fn start(options: Options, mut to: impl Write + Send + 'static) -> anyhow::Result<Log> {
         let buffer = Arc::new(Buffer {
             prop: SinkProp::default(),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Lines left out since the start.
+    /// Returns the number of lines dropped since the start.
     pub fn dropped_lines(&self) -> u64 {
         self.buffer.dropped_lines.load(Ordering::Relaxed)
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,5 +1,5 @@
-//! What is counted. Labels are bounded: routes and services come from the
-//! configuration, of which at most [`MAX_ROUTES`] are told apart.
+//! Metrics of a node. Label values are bounded: routes and services come from the
+//! configuration, and at most [`MAX_ROUTES`] routes are distinguished.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -19,14 +19,15 @@
 use woadstage_dispatch::message::Verdict;
 use woadstage_types::unit::Span;
 
-/// Routes that are told apart; requests of others count as `other`.
+/// The maximum number of routes that get a label of their own; all others share the label
+/// `other`.
 pub const MAX_ROUTES: usize = 64;
 
-const SECONDS: &[f64] = &[
+const BUCKETS_SECONDS: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.33, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// What is counted.
+/// The metrics of a node.
 pub struct Metrics {
     registry: Registry,
     routes: RefCell<HashSet<String>>,
@@ -41,48 +42,50 @@
     lease_messages: IntCounterVec,
     transfers: IntCounterVec,
     suspect_changes: IntCounterVec,
-    /// Requests held.
+    /// The number of requests held.
     pub held_requests: IntGauge,
     /// The version of the configuration in force.
     pub configuration_version: IntGauge,
-    /// For how long it has been in force, in milliseconds.
+    /// How long that configuration has been in force, in milliseconds.
     pub configuration_age: IntGauge,
-    /// How long ago the platform last answered this node, in milliseconds; -1 where it
-    /// never did.
+    /// The time since the platform last answered this node, in milliseconds; -1 if it never
+    /// did.
     pub platform_answer_age: IntGauge,
     /// The revision of the list of endpoints in force.
     pub endpoints_revision: IntGauge,
     /// The platform's era in which that list was read.
     pub endpoints_era: IntGauge,
-    /// Nodes that count, this one among them.
+    /// The number of nodes that share fleet-wide limits, including this one.
     pub nodes: IntGauge,
-    /// Of them, those that are silent.
+    /// The number of these nodes that are silent.
     pub silent_nodes: IntGauge,
-    /// Other nodes that are heard, by the protocol that they speak.
+    /// The number of other nodes heard, by protocol.
     pub peers_by_protocol: IntGaugeVec,
-    /// Messages to other nodes, by kind.
+    /// The number of messages sent to other nodes, by kind.
     pub sent_messages: IntGaugeVec,
-    /// Their bytes, by kind.
+    /// The number of bytes sent to other nodes, by kind.
     pub sent_bytes: IntGaugeVec,
-    /// Log lines left out.
+    /// The number of log lines dropped.
     pub dropped_log_lines: IntGauge,
-    /// Requests that endpoints ended under since they were last sound, by fingerprint.
+    /// The number of fingerprints of requests during which endpoints crashed since the
+    /// request was last cleared.
     pub suspect_fingerprints: IntGauge,
-    /// Of them, those that are not run any more.
+    /// The number of these fingerprints that are barred.
     pub barred_fingerprints: IntGauge,
-    /// For each service what waits, runs and may be sent again.
+    /// The state of each service, by kind: for example the number of waiting and running
+    /// requests and the remaining retries.
     pub services: IntGaugeVec,
 }
 
 impl Metrics {
-    /// Nothing counted yet.
+    /// Registers all metrics, starting from zero.
     ///
     /// # Errors
-    /// Only if two names were the same.
+    /// Fails if two metrics have the same name.
     pub fn new() -> prometheus::Result<Metrics> {
         let registry = Registry::new();
         let histogram = |name: &str, help: &str, label: &str| {
-            let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(BUCKETS_SECONDS.to_vec());
             let metric = HistogramVec::new(options, &[label])?;
             registry.register(Box::new(metric.clone()))?;
             prometheus::Result::Ok(metric)
@@ -217,7 +220,7 @@
         route
     }
 
-    /// Counts a message about a slot that is sent.
+    /// Counts a lease message that is sent.
     pub fn record_lease_message(&self, message: &Message) {
         let kind = match message {
             Message::Lease(request) if request.spare => "asked-spare",
@@ -235,7 +238,7 @@
         self.lease_messages.with_label_values(&[kind]).inc();
     }
 
-    /// Counts a final answer.
+    /// Records a final answer and the time until it was complete.
     pub fn record_answer(&self, route: &str, status: u16, code: &str, after: Span) {
         let route = self.route_label(route);
         let status = status.to_string();
@@ -247,7 +250,7 @@
             .observe(after.as_secs_f64());
     }
 
-    /// Counts the first byte of an answer.
+    /// Records the time to the first byte of an answer.
     pub fn record_first_byte(&self, route: &str, after: Span) {
         let route = self.route_label(route);
         self.first_byte_time
@@ -255,7 +258,7 @@
             .observe(after.as_secs_f64());
     }
 
-    /// Counts a request that was sent after it had waited.
+    /// Records how long a request waited before it was sent.
     pub fn record_queue_time(&self, route: &str, waited: Span) {
         let route = self.route_label(route);
         self.queue_time
@@ -263,8 +266,8 @@
             .observe(waited.as_secs_f64());
     }
 
-    /// Counts a configuration that came into force, so long after the answer to a call
-    /// that held it.
+    /// Records the time from the platform's response to `call` until the configuration in
+    /// it was in force.
     pub fn record_configuration_applied(&self, call: &str, after: Span) {
         self.apply_time
             .with_label_values(&[call])
@@ -276,20 +279,20 @@
         self.attempts.with_label_values(&[service, end]).inc();
     }
 
-    /// Counts what became known of a request that endpoints ended under.
+    /// Counts a change in the record of a request during which endpoints crashed.
     pub fn record_suspect_change(&self, what: Evidence) {
         self.suspect_changes
             .with_label_values(&[what.as_str()])
             .inc();
     }
 
-    /// Counts a change of what the node believes.
+    /// Counts a change in the node's knowledge.
     pub fn record_state_change(&self, what: &str) {
         self.state_changes.with_label_values(&[what]).inc();
     }
 
-    /// Counts a question to the owner of a quota, or none where it was not
-    /// answered.
+    /// Counts a request to the owner of a quota; `verdict` is none if the owner did not
+    /// answer.
     pub fn record_reservation(&self, verdict: Option<&Verdict>) {
         let answer = match verdict {
             Some(Verdict::Granted) => "granted",
@@ -306,11 +309,10 @@
         self.transfers.with_label_values(&[direction, end]).inc();
     }
 
-    /// All figures, in the text form of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     pub fn to_text(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to memory does not fail; a figure that cannot be written is
-        // left out.
+        // Writing to memory does not fail; a metric that cannot be encoded is left out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
