--- a/crates/gateway/tests/gateway/callers.rs
+++ b/crates/gateway/tests/gateway/callers.rs
@@ -1,4 +1,4 @@
-//! Who is turned away, and with which answer.
+//! Tests for which callers are refused, and with which answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,17 @@
 use crate::support::serving;
 
 #[rstest]
-#[case::a_known_key("/once/x", "host.example", KEY, 200)]
-#[case::an_unknown_key("/once/x", "host.example", "other", 401)]
-#[case::no_key_is_asked_for("/open/x", "host.example", "", 200)]
-#[case::no_such_path("/none/x", "host.example", KEY, 404)]
-#[case::no_such_host("/once/x", "none.example", KEY, 404)]
-fn who_may(#[case] path: &str, #[case] host: &str, #[case] key: &str, #[case] status: u16) {
+#[case::known_key("/once/x", "host.example", KEY, 200)]
+#[case::unknown_key("/once/x", "host.example", "other", 401)]
+#[case::no_key_required("/open/x", "host.example", "", 200)]
+#[case::unknown_path("/none/x", "host.example", KEY, 404)]
+#[case::unknown_host("/once/x", "none.example", KEY, 404)]
+fn only_known_keys_and_routes_are_admitted(
+    #[case] path: &str,
+    #[case] host: &str,
+    #[case] key: &str,
+    #[case] status: u16,
+) {
     run(|| async {
         let (worker, _gateway, mut caller) = serving().await;
         caller
@@ -33,28 +38,28 @@
                 "GET {path} HTTP/1.1\r\nhost: {host}\r\nauthorization: Bearer {key}\r\nwoadstage-request: i\r\n\r\n"
             ))
             .await;
-        let seen = caller.answer().await;
-        assert_eq!(seen.status, status, "{seen:?}");
+        let response = caller.answer().await;
+        assert_eq!(response.status, status, "{response:?}");
         assert_eq!(worker.requests.borrow().len(), usize::from(status == 200));
-        assert_eq!(field(&seen.head, "retry-after"), None);
+        assert_eq!(field(&response.head, "retry-after"), None);
     });
 }
 
 #[test]
-fn without_a_configuration_callers_are_to_come_back() {
+fn without_a_configuration_callers_are_told_to_retry() {
     run(|| async {
         let gateway = Gateway::with(&[], None, log::Options::default()).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
-        let seen = caller.answer().await;
-        assert_eq!(seen.status, 503);
-        assert!(field(&seen.head, "retry-after").is_some());
-        assert!(seen.body.contains("not-run"));
+        let response = caller.answer().await;
+        assert_eq!(response.status, 503);
+        assert!(field(&response.head, "retry-after").is_some());
+        assert!(response.body.contains("not-run"));
     });
 }
 
 #[test]
-fn a_node_that_starts_lets_callers_wait_for_its_first_configuration() {
+fn a_starting_node_holds_requests_until_its_first_configuration() {
     run(|| async {
         let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
         let gateway = Gateway::with(&[&worker], None, log::Options::default()).await;
@@ -62,21 +67,21 @@
         caller.request("id-1", "/once/x", "").await;
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert!(worker.requests.borrow().is_empty());
-        let comes = Arc::new(configuration(None));
+        let first_configuration = Arc::new(configuration(None));
         gateway
             .shell
-            .command(|dispatcher, now| dispatcher.set_configuration(now, comes));
+            .command(|dispatcher, now| dispatcher.set_configuration(now, first_configuration));
         assert_eq!(caller.answer().await.status, 200);
     });
 }
 
-/// A node that heard no other gives out a quarter of the burst, of which a node
-/// that has just started has nothing yet.
+/// A node that hears no other node grants a quarter of the burst, and none of it just after
+/// its start.
 #[rstest]
-#[case::of_a_node_that_started_long_ago(true, [200, 200, 429])]
-#[case::of_a_node_that_has_just_started(false, [429, 429, 429])]
-fn a_customer_over_its_limit_is_told_when_to_come_back(
-    #[case] long_ago: bool,
+#[case::node_started_long_ago(true, [200, 200, 429])]
+#[case::node_just_started(false, [429, 429, 429])]
+fn a_customer_over_its_limit_is_told_when_to_retry(
+    #[case] started_long_ago: bool,
     #[case] expected: [u16; 3],
 ) {
     run(|| async {
@@ -92,7 +97,7 @@
             log::Options::default(),
         )
         .await;
-        if long_ago {
+        if started_long_ago {
             let beginning = Time(1);
             gateway
                 .shell
@@ -102,12 +107,12 @@
         let mut statuses = Vec::new();
         for id in ["id-1", "id-2", "id-3"] {
             caller.request(id, "/once/x", "").await;
-            let seen = caller.answer().await;
+            let response = caller.answer().await;
             assert_eq!(
-                field(&seen.head, "retry-after").is_some(),
-                seen.status == 429
+                field(&response.head, "retry-after").is_some(),
+                response.status == 429
             );
-            statuses.push(seen.status);
+            statuses.push(response.status);
         }
         assert_eq!(statuses, expected);
         let line = gateway.logged(&["\"over-limit\"", "id-3"]).await;
@@ -130,7 +135,7 @@
 }
 
 #[test]
-fn several_requests_follow_on_one_connection() {
+fn one_connection_serves_several_requests() {
     run(|| async {
         let (_worker, _gateway, mut caller) = serving().await;
         for status in [200, 404, 200] {
--- a/crates/gateway/tests/gateway/crash.rs
+++ b/crates/gateway/tests/gateway/crash.rs
@@ -1,5 +1,5 @@
-//! A request that crashes the endpoints that run it, over sockets: `fleet/crash.rs` of the
-//! decisions' tests tells the story.
+//! Requests that crash the endpoints that run them, over sockets. The module docs of
+//! `fleet/crash.rs` in the tests of `woadstage-dispatch` describe the failure.
 
 use std::io::Cursor;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 /// A body that crashes endpoints.
 const CRASHING: &str = "crash";
 
-/// Endpoints that a request may crash.
-const CRASHES_MOST: usize = 3;
+/// The maximum number of endpoints that a request may crash.
+const MAX_CRASHES: usize = 3;
 
-/// The least time after which a caller may come back whose request is not run.
-const COMES_BACK_AFTER: f64 = 5.0;
+/// The minimum time after which the caller of a barred request may retry.
+const MIN_RETRY_AFTER_SECONDS: f64 = 5.0;
 
-/// A gateway before endpoints that such a body crashes.
+/// Starts a gateway with six endpoints that crash on that body.
 async fn start() -> (Gateway, Vec<Worker>) {
     let mut workers = Vec::new();
     for name in ["e1", "e2", "e3", "e4", "e5", "e6"] {
@@ -37,16 +37,16 @@
     (gateway, workers)
 }
 
-/// How many requests with a body reached endpoints.
-fn reached(workers: &[Worker], body: &str) -> usize {
+/// Returns the number of requests with the given body that reached endpoints.
+fn count_requests(workers: &[Worker], body: &str) -> usize {
     let requests = workers
         .iter()
         .flat_map(|worker| worker.requests.borrow().clone());
     requests.filter(|request| request.ends_with(body)).count()
 }
 
-/// Asks over a new connection.
-async fn ask(gateway: &Gateway, id: &str, body: &str) -> Response {
+/// Sends a request on a new connection.
+async fn send(gateway: &Gateway, id: &str, body: &str) -> Response {
     let mut caller = Caller::connect(gateway).await;
     caller.request(id, "/once/x", body).await;
     caller.answer().await
@@ -57,31 +57,31 @@
     run(|| async {
         let (gateway, workers) = start().await;
         for number in 0..6 {
-            ask(&gateway, &format!("id-{number}"), CRASHING).await;
+            send(&gateway, &format!("id-{number}"), CRASHING).await;
         }
-        let last = ask(&gateway, "id-last", CRASHING).await;
-        assert!(reached(&workers, CRASHING) <= CRASHES_MOST);
+        let last = send(&gateway, "id-last", CRASHING).await;
+        assert!(count_requests(&workers, CRASHING) <= MAX_CRASHES);
         assert_eq!(last.status, 503);
-        let retry_after = field(&last.head, "retry-after").expect("when to come back");
-        assert!(retry_after.parse::<f64>().expect("seconds") >= COMES_BACK_AFTER);
-        assert_eq!(ask(&gateway, "id-other", "another").await.status, 200);
+        let retry_after = field(&last.head, "retry-after").expect("a retry-after field");
+        assert!(retry_after.parse::<f64>().expect("seconds") >= MIN_RETRY_AFTER_SECONDS);
+        assert_eq!(send(&gateway, "id-other", "another").await.status, 200);
     });
 }
 
-/// Only what certainly has not run is said not to have run.
+/// A caller must be told that its request has not run only if that is certain.
 #[test]
-fn whose_endpoint_ended_is_told_that_nobody_knows_and_who_is_refused_that_it_has_not_run() {
+fn callers_of_crashed_attempts_get_unknown_and_refused_callers_get_not_run() {
     run(|| async {
         let (gateway, workers) = start().await;
         let mut outcomes = Vec::new();
         for number in 0..4 {
             let id = format!("id-{number}");
-            let answer = ask(&gateway, &id, CRASHING).await;
+            let answer = send(&gateway, &id, CRASHING).await;
             let line = gateway.logged(&["\"answered\"", &id]).await;
             let line: serde_json::Value = serde_json::from_str(&line).expect("a line");
             let outcome = line["outcome"].as_str().expect("an outcome").to_owned();
             outcomes.push((answer.status, outcome));
-            // The look after the endpoint may come after the answer.
+            // The gateway may detect the crash only after it has answered.
             if number < 2 {
                 let ends = format!("\"ends\":{}", number + 1);
                 gateway.logged(&["\"charged\"", &ends]).await;
@@ -95,30 +95,30 @@
         ];
         let expected = expected.map(|(status, outcome)| (status, outcome.to_owned()));
         assert_eq!(outcomes, expected);
-        assert_eq!(reached(&workers, CRASHING), 2);
+        assert_eq!(count_requests(&workers, CRASHING), 2);
     });
 }
 
 #[test]
-fn logs_metrics_and_an_explanation_tell_of_it() {
+fn logs_metrics_and_explanations_report_a_barred_request() {
     run(|| async {
         let (gateway, _workers) = start().await;
         for number in 0..2 {
-            ask(&gateway, &format!("id-{number}"), CRASHING).await;
+            send(&gateway, &format!("id-{number}"), CRASHING).await;
             let ends = format!("\"ends\":{}", number + 1);
             gateway.logged(&["\"charged\"", &ends]).await;
         }
-        ask(&gateway, "id-last", CRASHING).await;
+        send(&gateway, "id-last", CRASHING).await;
         gateway.logged(&["\"answered\"", "id-last"]).await;
         let log = Cursor::new(gateway.lines.text());
-        let lines = explain::find(&mut [Box::new(log)], "id-last").expect("it can be read");
-        let said = explain::cause(&lines);
+        let lines = explain::find(&mut [Box::new(log)], "id-last").expect("the log is readable");
+        let explanation = explain::cause(&lines);
         assert!(
-            said.contains("2 endpoints ended while they ran what it asks for"),
-            "{said}"
+            explanation.contains("2 endpoints ended while they ran what it asks for"),
+            "{explanation}"
         );
         let (_, text) = operators::metrics(&gateway.shell);
-        let text = String::from_utf8(text).expect("it is text");
+        let text = String::from_utf8(text).expect("valid UTF-8");
         for line in [
             "woadstage_suspects 1",
             "woadstage_barred 1",
@@ -130,9 +130,10 @@
     });
 }
 
-/// Endpoints that break off an answer and live on say nothing against the request.
+/// An endpoint that breaks off an answer but keeps running is no evidence against the
+/// request.
 #[test]
-fn answers_that_break_off_alone_are_charged_to_nobody() {
+fn a_broken_answer_without_a_crash_charges_no_request() {
     run(|| async {
         let broken = || Action::AnswerAndClose("HTTP/1.1 200 OK\r\ncontent-le".into());
         let mut workers = Vec::new();
@@ -142,13 +143,13 @@
         let all: Vec<&Worker> = workers.iter().collect();
         let gateway = Gateway::start(&all).await;
         for number in 0..4 {
-            let answer = ask(&gateway, &format!("id-{number}"), "a body").await;
+            let answer = send(&gateway, &format!("id-{number}"), "a body").await;
             assert_eq!(answer.status, 502);
             while gateway.shell.upstream.is_looking_after_any() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         }
-        assert_eq!(reached(&workers, "a body"), 4);
+        assert_eq!(count_requests(&workers, "a body"), 4);
         assert!(!gateway.lines.text().contains("\"suspect\""));
     });
 }
--- a/crates/gateway/tests/gateway/explain.rs
+++ b/crates/gateway/tests/gateway/explain.rs
@@ -1,4 +1,4 @@
-//! Explaining a request from logs.
+//! Tests for explaining a request from log lines.
 
 use std::io::BufRead;
 use std::io::Cursor;
@@ -12,7 +12,7 @@
 }
 
 fn cause(text: &str) -> String {
-    let lines = explain::find(&mut files(&[text]), "r").expect("it can be read");
+    let lines = explain::find(&mut files(&[text]), "r").expect("the log is readable");
     explain::cause(&lines)
 }
 
@@ -20,11 +20,11 @@
 const SENT: &str = r#"{"time_ms":2,"event":"sent","request":"r","endpoint":"e"}"#;
 
 #[rstest]
-#[case::whole(
+#[case::answered(
     r#"{"time_ms":9,"event":"answered","request":"r","status":200,"code":"","after_ms":812}"#,
     "An endpoint answered 200; the answer was whole after 812 ms."
 )]
-#[case::left_while_it_ran(
+#[case::caller_left(
     r#"{"time_ms":9,"event":"left","request":"r","after_ms":3200}"#,
     "The caller left after 3200 ms, while an endpoint worked on it."
 )]
@@ -32,7 +32,7 @@
     r#"{"time_ms":9,"event":"cut","request":"r","detail":"connection reset"}"#,
     "The answer broke off after it had begun: connection reset."
 )]
-#[case::nothing_more(
+#[case::no_further_line(
     "",
     "There is no final answer in these lines: the process ended, or lines were left out."
 )]
@@ -44,25 +44,28 @@
 fn a_request_whose_outcome_is_unknown_names_every_attempt() {
     let attempt = r#"{"time_ms":5,"event":"attempt","request":"r","endpoint":"e","end":"lost","detail":"reset","next":"may-have-run"}"#;
     let answered = r#"{"time_ms":6,"event":"answered","request":"r","status":502,"code":"W3003","outcome":"unknown","configuration":7}"#;
-    let said = cause(&format!("{ACCEPTED}\n{SENT}\n{attempt}\n{answered}\n"));
-    assert!(said.contains("502 W3003 (unknown)"), "{said}");
-    assert!(said.contains("under configuration 7"), "{said}");
+    let explanation = cause(&format!("{ACCEPTED}\n{SENT}\n{attempt}\n{answered}\n"));
+    assert!(explanation.contains("502 W3003 (unknown)"), "{explanation}");
     assert!(
-        said.contains("e (lost: reset; then may-have-run)"),
-        "{said}"
+        explanation.contains("under configuration 7"),
+        "{explanation}"
+    );
+    assert!(
+        explanation.contains("e (lost: reset; then may-have-run)"),
+        "{explanation}"
     );
 }
 
 #[test]
-fn a_refusal_by_quota_tells_what_decided_it() {
+fn a_refusal_by_quota_names_the_numbers_behind_it() {
     let limit = r#"{"time_ms":1,"event":"over-limit","request":"r","customer":"c","asked":900,"level":12,"most":500,"kept":90,"nodes":9,"silent":1}"#;
     let answered = r#"{"time_ms":2,"event":"answered","request":"r","status":429,"code":"W2003"}"#;
-    let said = cause(&format!("{limit}\n{answered}\n"));
+    let explanation = cause(&format!("{limit}\n{answered}\n"));
     assert!(
-        said.contains(
+        explanation.contains(
             "customer c was over its limit: it asked for 900 with 12 of 500 left, 90 of them kept"
         ),
-        "{said}"
+        "{explanation}"
     );
 }
 
@@ -74,7 +77,7 @@
         12.1 node-1 {"time_ms":100,"event":"left","request":"r","after_ms":5}
         12.1 node-1 {"time_ms":950,"event":"left","request":"other","after_ms":5}"#;
     let other = r#"{"time_ms":500,"event":"accepted","request":"r"}"#;
-    let lines = explain::find(&mut files(&[one, other]), "r").expect("it can be read");
+    let lines = explain::find(&mut files(&[one, other]), "r").expect("the log is readable");
     let order: Vec<(usize, &str)> = lines
         .iter()
         .map(|line| (line.file, line.event["event"].as_str().expect("a name")))
@@ -83,7 +86,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_speaks_of() {
+fn a_request_without_log_lines() {
     assert_eq!(
         cause(ACCEPTED.replace("\"r\"", "\"x\"").as_str()),
         "No line speaks of this request."
@@ -121,22 +124,22 @@
 }
 
 #[test]
-fn a_refusal_names_the_endpoints_that_were_passed_over() {
+fn a_refusal_names_the_skipped_endpoints() {
     let answered = r#"{"time_ms":6,"event":"answered","request":"r","status":503,"code":"W2001","outcome":"not-run","configuration":7,"passed_leaving":"e","passed_resting":"f, g"}"#;
-    let said = cause(&format!("{ACCEPTED}\n{answered}\n"));
+    let explanation = cause(&format!("{ACCEPTED}\n{answered}\n"));
     assert!(
-        said.ends_with("Passed over, as they said that they leave: e. Passed over, as they had asked for rest: f, g."),
-        "{said}"
+        explanation.ends_with("Passed over, as they said that they leave: e. Passed over, as they had asked for rest: f, g."),
+        "{explanation}"
     );
 }
 
 #[test]
-fn a_refusal_without_a_route_names_the_configuration_and_how_it_came() {
+fn a_refusal_without_a_route_names_the_configuration_and_its_origin() {
     let unmatched = r#"{"time_ms":5,"event":"unmatched","request":"r","what":"route","configuration":7,"digest":"0a","in_force_ms":8900,"from":"platform","way":"read","revision":40,"at":44,"platform_ms":120,"heard":"10.0.0.2:1=7"}"#;
     let answered = r#"{"time_ms":6,"event":"answered","request":"r","status":404,"code":"W1014","outcome":"not-run","configuration":7}"#;
-    let said = cause(&format!("{unmatched}\n{answered}\n"));
+    let explanation = cause(&format!("{unmatched}\n{answered}\n"));
     assert_eq!(
-        said,
+        explanation,
         "Refused: no route matches it under configuration 7 (0a), in force for 8900 ms, which came by a read of the platform, written at revision 40 and answered at 44; the platform had last answered 120 ms before; nodes heard, with their versions: 10.0.0.2:1=7."
     );
 }
--- a/crates/gateway/tests/gateway/fingerprint.rs
+++ b/crates/gateway/tests/gateway/fingerprint.rs
@@ -1,4 +1,5 @@
-//! What a request asks for is named alike for each attempt, and otherwise for another.
+//! Tests that attempts at the same request share a fingerprint and different requests do
+//! not.
 
 use rstest::rstest;
 
@@ -9,7 +10,7 @@
 use crate::support::answer;
 use crate::support::run;
 
-/// The fingerprint under which a request was let in.
+/// Sends a request and returns the fingerprint logged when it was admitted.
 async fn fingerprint(gateway: &Gateway, id: &str, path: &str, body: &str) -> String {
     let mut caller = Caller::connect(gateway).await;
     caller.request(id, path, body).await;
@@ -23,12 +24,12 @@
 }
 
 #[rstest]
-#[case::the_same("/once/x", "a body", true)]
+#[case::same_request("/once/x", "a body", true)]
 #[case::another_path("/once/y", "a body", false)]
 #[case::another_query("/once/x?a=1", "a body", false)]
 #[case::another_body("/once/x", "a longer body", false)]
 #[case::no_body("/once/x", "", false)]
-fn each_attempt_at_the_same_has_one_fingerprint(
+fn attempts_at_the_same_request_share_a_fingerprint(
     #[case] path: &'static str,
     #[case] body: &'static str,
     #[case] same: bool,
@@ -42,9 +43,10 @@
     });
 }
 
-/// Of a body that is too long to be held, what follows its beginning is not looked at.
+/// Only the beginning of a body that is too long to be buffered goes into the fingerprint,
+/// with the length.
 #[test]
-fn a_long_body_is_told_by_its_beginning_and_length() {
+fn a_long_body_is_fingerprinted_by_its_beginning_and_length() {
     run(|| async {
         let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
         let gateway = Gateway::start(&[&worker]).await;
--- a/crates/gateway/tests/gateway/log.rs
+++ b/crates/gateway/tests/gateway/log.rs
@@ -1,4 +1,4 @@
-//! Log lines: bounded, never waited for, and without what is nobody's business.
+//! Tests that the log is bounded, never blocks requests and contains nothing confidential.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_requests_lines_tell_its_way() {
+fn log_lines_trace_a_request() {
     run(|| async {
         let (_worker, gateway, mut caller) = serving().await;
         caller.request("id-1", "/once/x", "").await;
@@ -66,12 +66,12 @@
     });
 }
 
-/// The route's timeout is 20 s.
+/// The timeout of the route is 20 s.
 #[rstest]
-#[case::who_has_it_all_is_on_its_first_try(20_000, false)]
-#[case::a_little_was_lost_on_the_way(19_900, false)]
-#[case::who_has_less_has_tried_before(18_000, true)]
-fn who_comes_back_is_told_by_the_time_left(#[case] left_ms: u64, #[case] returning: bool) {
+#[case::full_time_left(20_000, false)]
+#[case::little_time_lost_in_transit(19_900, false)]
+#[case::much_time_used_before(18_000, true)]
+fn a_retry_is_detected_by_the_time_left(#[case] left_ms: u64, #[case] returning: bool) {
     run(move || async move {
         let (_worker, gateway, mut caller) = serving().await;
         let head = format!(
@@ -85,14 +85,14 @@
     });
 }
 
-/// A reader that does not read until it is told.
+/// A reader that blocks until it is opened.
 #[derive(Clone, Default)]
-struct Stuck {
+struct StalledReader {
     open: Arc<(Mutex<bool>, Condvar)>,
     lines: Lines,
 }
 
-impl Write for Stuck {
+impl Write for StalledReader {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let (open, changed) = &*self.open;
         let guard = open.lock().expect("no panic while locked");
@@ -109,7 +109,7 @@
     }
 }
 
-fn routine() -> Event<'static> {
+fn routine_event() -> Event<'static> {
     Event::Sent {
         request: "routine",
         endpoint: "e",
@@ -126,7 +126,7 @@
     }
 }
 
-fn failure() -> Event<'static> {
+fn failure_event() -> Event<'static> {
     Event::Cut {
         request: "failure",
         detail: "reset",
@@ -135,24 +135,24 @@
 }
 
 #[test]
-fn a_reader_that_stops_costs_lines_and_routine_ones_first() {
+fn a_stalled_reader_costs_routine_lines_first() {
     let options = Options {
         max_buffered_bytes: 64 << 10,
         max_routine_bytes: 32 << 10,
         flush_interval: Duration::from_millis(1),
     };
-    let reader = Stuck::default();
+    let reader = StalledReader::default();
     let log = Log::start(options, reader.clone()).expect("a log");
-    // Nobody reads, and none of these waits.
+    // Nobody reads yet, and none of these calls blocks.
     for _ in 0..5_000 {
-        log.write(&routine());
+        log.write(&routine_event());
     }
     let routine_dropped = log.dropped_lines();
     assert!(routine_dropped > 0);
-    log.write(&failure());
+    log.write(&failure_event());
     assert_eq!(log.dropped_lines(), routine_dropped);
     for _ in 0..5_000 {
-        log.write(&failure());
+        log.write(&failure_event());
     }
     assert!(log.dropped_lines() > routine_dropped);
     let (open, changed) = &*reader.open;
--- a/crates/gateway/tests/gateway/notice.rs
+++ b/crates/gateway/tests/gateway/notice.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in the heads of answers, over sockets.
+//! Conditions that endpoints announce in the heads of their answers, over sockets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,26 +14,26 @@
 use crate::support::run;
 use crate::support::to_endpoint;
 
-/// How a refusal says that the request has not run.
+/// The field by which a rejection says that the request has not run.
 pub const NOT_RUN: &str = "woadstage-not-run: 1";
 
-/// An answer with a status and some fields.
-pub fn saying(status: &str, fields: &[&str]) -> Action {
+/// Returns an answer with the given status and fields.
+pub fn answer_with(status: &str, fields: &[&str]) -> Action {
     let head = [&[status], fields].concat().join("\r\n");
     Action::Answer(answer(&head, ""))
 }
 
-/// Endpoints that leave, and that want rest, as a gateway's gauges count them.
-pub fn believed(gateway: &Gateway) -> (usize, usize) {
+/// Returns the numbers of leaving and of resting endpoints that the gateway reports.
+pub fn count_leaving_and_resting(gateway: &Gateway) -> (usize, usize) {
     let summaries = gateway.shell.query(|one, now| one.summaries(now));
     let leaving = summaries.iter().map(|one| one.leaving).sum();
     let resting = summaries.iter().map(|one| one.resting).sum();
     (leaving, resting)
 }
 
-/// A gateway that has asked one endpoint once, which answers so.
-async fn ask_once(act: Action) -> (Worker, Gateway) {
-    let worker = Worker::start("e", vec![act]).await;
+/// Starts a gateway with one endpoint that answers with `action`, and sends one request.
+async fn send_once(action: Action) -> (Worker, Gateway) {
+    let worker = Worker::start("e", vec![action]).await;
     let gateway = Gateway::start(&[&worker]).await;
     let mut caller = Caller::connect(&gateway).await;
     caller.request("id-1", "/once/x", "").await;
@@ -45,23 +45,23 @@
 
 #[rstest]
 #[case::good("200 OK", &["woadstage-leaving: 1"], 1)]
-#[case::blanks("200 OK", &["woadstage-leaving:  1 "], 1)]
-#[case::twice("200 OK", &["woadstage-leaving: 1", "woadstage-leaving: 1"], 1)]
-#[case::refused("503 Full", &["woadstage-leaving: 1", NOT_RUN], 1)]
+#[case::surrounding_spaces("200 OK", &["woadstage-leaving:  1 "], 1)]
+#[case::repeated("200 OK", &["woadstage-leaving: 1", "woadstage-leaving: 1"], 1)]
+#[case::rejected("503 Full", &["woadstage-leaving: 1", NOT_RUN], 1)]
 #[case::failed("500 Broken", &["woadstage-leaving: 1"], 1)]
 #[case::not_found("404 Not Found", &["woadstage-leaving: 1"], 1)]
-#[case::of_another_endpoint(MISDIRECTED, &["woadstage-leaving: 1"], 0)]
+#[case::misdirected(MISDIRECTED, &["woadstage-leaving: 1"], 0)]
 #[case::zero("200 OK", &["woadstage-leaving: 0"], 0)]
 #[case::word("200 OK", &["woadstage-leaving: yes"], 0)]
 #[case::empty("200 OK", &["woadstage-leaving:"], 0)]
-fn an_endpoint_leaves_by_its_answer(
+fn an_answer_announces_that_the_endpoint_is_leaving(
     #[case] status: &str,
     #[case] fields: &[&str],
     #[case] leaving: usize,
 ) {
     run(|| async {
-        let (_worker, gateway) = ask_once(saying(status, fields)).await;
-        assert_eq!(believed(&gateway).0, leaving);
+        let (_worker, gateway) = send_once(answer_with(status, fields)).await;
+        assert_eq!(count_leaving_and_resting(&gateway).0, leaving);
         match (leaving, status) {
             (0, MISDIRECTED) => {}
             (0, _) => drop(gateway.logged(&["\"unreadable\"", "\"leaving\""]).await),
@@ -73,19 +73,19 @@
 #[rstest]
 #[case::whole("3", 1)]
 #[case::fraction("0.4", 1)]
-#[case::more_than_can_be_held("1e300", 1)]
-#[case::twice_the_longest_counts("0\r\nretry-after: 5", 1)]
+#[case::out_of_range("1e300", 1)]
+#[case::repeated_and_the_longest_counts("0\r\nretry-after: 5", 1)]
 #[case::one_of_two_is_readable("soon\r\nretry-after: 5", 1)]
 #[case::zero("0", 0)]
 #[case::negative("-1", 0)]
 #[case::date("Wed, 21 Oct 2026 07:28:00 GMT", 0)]
 #[case::empty("", 0)]
 #[case::word("soon", 0)]
-fn an_endpoint_asks_for_rest_by_its_refusal(#[case] value: &str, #[case] resting: usize) {
+fn a_rejection_asks_for_a_rest(#[case] value: &str, #[case] resting: usize) {
     run(|| async {
         let field = format!("retry-after: {value}");
-        let (_worker, gateway) = ask_once(saying("503 Full", &[NOT_RUN, &field])).await;
-        assert_eq!(believed(&gateway).1, resting);
+        let (_worker, gateway) = send_once(answer_with("503 Full", &[NOT_RUN, &field])).await;
+        assert_eq!(count_leaving_and_resting(&gateway).1, resting);
         match (resting, value) {
             (0, "0") => drop(gateway.logged(&["\"attempt\"", "503, rest 0"]).await),
             (0, _) => drop(gateway.logged(&["\"unreadable\"", "\"rest\""]).await),
@@ -95,14 +95,14 @@
 }
 
 #[rstest]
-#[case::for_a_while("600", 1)]
-#[case::not_any_more("0", 0)]
+#[case::duration("600", 1)]
+#[case::no_longer("0", 0)]
 #[case::word("soon", 0)]
 #[case::fraction("0.5", 0)]
-fn an_endpoint_is_cold_by_its_answer(#[case] value: &str, #[case] cold: usize) {
+fn an_answer_announces_that_the_endpoint_is_cold(#[case] value: &str, #[case] cold: usize) {
     run(|| async {
         let field = format!("woadstage-cold-ms: {value}");
-        let (_worker, gateway) = ask_once(saying("200 OK", &[&field])).await;
+        let (_worker, gateway) = send_once(answer_with("200 OK", &[&field])).await;
         let summaries = gateway.shell.query(|one, now| one.summaries(now));
         let found: usize = summaries.iter().map(|one| one.cold).sum();
         assert_eq!(found, cold);
@@ -114,36 +114,36 @@
     });
 }
 
-/// Others than refusals tell callers when to come back, not nodes.
+/// In other answers than rejections, the field `retry-after` is meant for callers.
 #[rstest]
 #[case::too_many("429 Too Many Requests")]
 #[case::good("200 OK")]
 #[case::moved("301 Moved")]
-#[case::of_another_endpoint(MISDIRECTED)]
-fn what_is_no_refusal_asks_for_no_rest(#[case] status: &str) {
+#[case::misdirected(MISDIRECTED)]
+fn only_a_rejection_asks_for_a_rest(#[case] status: &str) {
     run(|| async {
-        let (_worker, gateway) = ask_once(saying(status, &["retry-after: 3", NOT_RUN])).await;
-        assert_eq!(believed(&gateway).1, 0);
+        let (_worker, gateway) = send_once(answer_with(status, &["retry-after: 3", NOT_RUN])).await;
+        assert_eq!(count_leaving_and_resting(&gateway).1, 0);
     });
 }
 
-/// An answer to an earlier request stands where that to another is due.
+/// The answer to an earlier request arrives where the answer to another is expected.
 #[test]
-fn an_answer_to_another_request_says_nothing() {
+fn an_answer_to_another_request_is_ignored() {
     run(|| async {
         let text = "HTTP/1.1 503 Full\r\nwoadstage-request: other\r\nwoadstage-not-run: 1\r\n\
                     woadstage-leaving: 1\r\nretry-after: 3\r\ncontent-length: 0\r\n\r\n";
-        let (_worker, gateway) = ask_once(Action::Answer(text.into())).await;
-        assert_eq!(believed(&gateway), (0, 0));
+        let (_worker, gateway) = send_once(Action::Answer(text.into())).await;
+        assert_eq!(count_leaving_and_resting(&gateway), (0, 0));
     });
 }
 
 #[test]
-fn the_end_of_a_rest_is_told() {
+fn the_end_of_a_rest_is_logged() {
     run(|| async {
-        let act = saying("503 Full", &[NOT_RUN, "retry-after: 0.2"]);
-        let (_worker, gateway) = ask_once(act).await;
-        assert_eq!(believed(&gateway).1, 1);
+        let action = answer_with("503 Full", &[NOT_RUN, "retry-after: 0.2"]);
+        let (_worker, gateway) = send_once(action).await;
+        assert_eq!(count_leaving_and_resting(&gateway).1, 1);
         loop {
             gateway
                 .shell
@@ -153,12 +153,12 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert_eq!(believed(&gateway).1, 0);
+        assert_eq!(count_leaving_and_resting(&gateway).1, 0);
     });
 }
 
-/// A gateway that knows another endpoint as well from now on.
-fn list_also(gateway: &Gateway, workers: &[&Worker]) {
+/// Replaces the gateway's list of endpoints.
+fn set_endpoints_to(gateway: &Gateway, workers: &[&Worker]) {
     let list = Arc::new(List {
         settled: true,
         revision: 2,
@@ -169,7 +169,7 @@
     shell.command(|dispatcher, now| dispatcher.set_endpoints(now, list));
 }
 
-async fn ask(gateway: &Gateway, count: usize) {
+async fn send_requests(gateway: &Gateway, count: usize) {
     let mut caller = Caller::connect(gateway).await;
     for number in 0..count {
         caller.request(&format!("id-{number}"), "/once/x", "").await;
@@ -177,29 +177,30 @@
     }
 }
 
-/// A list that still says that it is ready changes nothing.
+/// The list of endpoints still has the leaving endpoint as ready and must not override its
+/// answer.
 #[test]
-fn an_endpoint_that_says_it_leaves_is_sent_nothing_more() {
+fn a_leaving_endpoint_is_sent_no_more_requests() {
     run(|| async {
-        let act = saying("200 OK", &["woadstage-leaving: 1"]);
-        let (leaving, gateway) = ask_once(act).await;
-        let other = Worker::start("other", vec![saying("200 OK", &[])]).await;
-        list_also(&gateway, &[&leaving, &other]);
-        ask(&gateway, 60).await;
+        let action = answer_with("200 OK", &["woadstage-leaving: 1"]);
+        let (leaving, gateway) = send_once(action).await;
+        let other = Worker::start("other", vec![answer_with("200 OK", &[])]).await;
+        set_endpoints_to(&gateway, &[&leaving, &other]);
+        send_requests(&gateway, 60).await;
         assert_eq!(leaving.requests.borrow().len(), 1);
     });
 }
 
 #[test]
-fn an_endpoint_that_asks_for_rest_gets_it() {
+fn a_resting_endpoint_is_sent_no_requests() {
     run(|| async {
-        let act = saying("503 Full", &[NOT_RUN, "retry-after: 60"]);
-        let (resting, gateway) = ask_once(act).await;
-        let other = Worker::start("other", vec![saying("200 OK", &[])]).await;
-        list_also(&gateway, &[&resting, &other]);
-        // Longer than a full endpoint without a word of rest is left alone.
+        let action = answer_with("503 Full", &[NOT_RUN, "retry-after: 60"]);
+        let (resting, gateway) = send_once(action).await;
+        let other = Worker::start("other", vec![answer_with("200 OK", &[])]).await;
+        set_endpoints_to(&gateway, &[&resting, &other]);
+        // Longer than the backoff of a full endpoint that did not ask for a rest.
         tokio::time::sleep(Duration::from_millis(200)).await;
-        ask(&gateway, 60).await;
+        send_requests(&gateway, 60).await;
         assert_eq!(resting.requests.borrow().len(), 1);
     });
 }
--- a/crates/gateway/tests/gateway/rate_limit.rs
+++ b/crates/gateway/tests/gateway/rate_limit.rs
@@ -1,5 +1,5 @@
-//! An endpoint that names a rate limit in its answers, over sockets:
-//! `fleet/rate_limited.rs` of the decisions' tests tells the story.
+//! Endpoints that announce a rate limit in their answers, over sockets. The module docs of
+//! `fleet/rate_limited.rs` in the tests of `woadstage-dispatch` describe the failure.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,25 +16,26 @@
 use crate::support::run;
 use crate::support::to_endpoint;
 
-/// Requests a second that the endpoint in need says it takes.
-const LIMIT: f64 = 2.0;
+/// The rate limit that the endpoint announces, in requests per second.
+const LIMIT_PER_SECOND: f64 = 2.0;
 
-/// Requests that reach it before its limit is known, or by chance of where seconds begin.
-const MORE: f64 = 2.0;
+/// Requests beyond the limit that may reach the endpoint: those sent before the limit is
+/// known, and those that depend on where a second begins.
+const EXTRA_REQUESTS: f64 = 2.0;
 
-/// A good answer that names a limit.
-fn limited(limit: &str) -> Action {
+/// Returns a successful answer that announces a rate limit.
+fn answer_with_limit(limit: &str) -> Action {
     let text = answer("200 OK", "fine");
     let named = format!("200 OK\r\nwoadstage-rate-limit: {limit}");
     Action::Answer(text.replacen("200 OK", &named, 1))
 }
 
-fn unlimited() -> Action {
+fn answer_without_limit() -> Action {
     Action::Answer(answer("200 OK", "fine"))
 }
 
-/// Sends a number of requests, one after the other.
-async fn ask(gateway: &Gateway, from: usize, count: usize) {
+/// Sends requests one after the other.
+async fn send_requests(gateway: &Gateway, from: usize, count: usize) {
     let mut caller = Caller::connect(gateway).await;
     for number in from..from + count {
         caller.request(&format!("id-{number}"), "/once/x", "").await;
@@ -42,8 +43,9 @@
     }
 }
 
-/// Lets the gateway look at what waits, as its process does.
-fn tick(gateway: &Gateway) {
+/// Calls the dispatcher's tick periodically, as the gateway process does, so that waiting
+/// requests are sent.
+fn spawn_ticks(gateway: &Gateway) {
     let shell = gateway.shell.clone();
     spawn_local(async move {
         loop {
@@ -53,66 +55,70 @@
     });
 }
 
-fn rate_limited(gateway: &Gateway) -> usize {
+fn count_rate_limited(gateway: &Gateway) -> usize {
     let summaries = gateway.shell.query(|one, now| one.summaries(now));
     summaries.iter().map(|service| service.rate_limited).sum()
 }
 
-/// The endpoint in need is the only one at first, so that it is sure to be sent the first
-/// request, whichever of two would cost less.
+/// The limited endpoint is the only one at first, so that it certainly gets the first
+/// request, whichever of two endpoints would cost less.
 #[test]
-fn an_endpoint_is_sent_no_more_than_it_says_it_takes() {
+fn an_endpoint_is_sent_no_more_than_its_rate_limit() {
     run(|| async {
-        let needy = Worker::start("needy", vec![limited("2")]).await;
-        let other = Worker::start("other", vec![unlimited()]).await;
-        let gateway = Gateway::start(&[&needy]).await;
-        let began = Instant::now();
-        ask(&gateway, 0, 1).await;
+        let limited = Worker::start("needy", vec![answer_with_limit("2")]).await;
+        let other = Worker::start("other", vec![answer_without_limit()]).await;
+        let gateway = Gateway::start(&[&limited]).await;
+        let started = Instant::now();
+        send_requests(&gateway, 0, 1).await;
         gateway
             .logged(&["\"rate-limit\"", "needy", "\"now\":\"2\""])
             .await;
         let list = Arc::new(List {
             settled: true,
             revision: 2,
-            endpoints: vec![to_endpoint(&needy), to_endpoint(&other)],
+            endpoints: vec![to_endpoint(&limited), to_endpoint(&other)],
             ..List::default()
         });
         let shell = &gateway.shell;
         shell.command(|dispatcher, now| dispatcher.set_endpoints(now, list));
-        ask(&gateway, 1, 60).await;
-        let allowed = LIMIT * began.elapsed().as_secs_f64() + MORE;
-        let got = needy.requests.borrow().len();
-        assert!(got as f64 <= allowed, "{got} of {allowed}");
-        assert_eq!(rate_limited(&gateway), 1);
+        send_requests(&gateway, 1, 60).await;
+        let allowed = LIMIT_PER_SECOND * started.elapsed().as_secs_f64() + EXTRA_REQUESTS;
+        let received = limited.requests.borrow().len();
+        assert!(received as f64 <= allowed, "{received} of {allowed}");
+        assert_eq!(count_rate_limited(&gateway), 1);
     });
 }
 
 #[test]
-fn a_limit_ends_with_the_first_answer_that_names_none() {
+fn a_limit_ends_with_the_first_answer_without_one() {
     run(|| async {
-        let script = vec![limited("4"), limited("4"), unlimited()];
-        let needy = Worker::start("needy", script).await;
-        let gateway = Gateway::start(&[&needy]).await;
-        tick(&gateway);
-        ask(&gateway, 0, 2).await;
-        assert_eq!(rate_limited(&gateway), 1);
-        ask(&gateway, 2, 1).await;
+        let script = vec![
+            answer_with_limit("4"),
+            answer_with_limit("4"),
+            answer_without_limit(),
+        ];
+        let limited = Worker::start("needy", script).await;
+        let gateway = Gateway::start(&[&limited]).await;
+        spawn_ticks(&gateway);
+        send_requests(&gateway, 0, 2).await;
+        assert_eq!(count_rate_limited(&gateway), 1);
+        send_requests(&gateway, 2, 1).await;
         gateway
             .logged(&["\"rate-limit\"", "\"now\":\"none\"", "needy"])
             .await;
-        assert_eq!(rate_limited(&gateway), 0);
-        ask(&gateway, 3, 60).await;
-        assert_eq!(needy.requests.borrow().len(), 63);
+        assert_eq!(count_rate_limited(&gateway), 0);
+        send_requests(&gateway, 3, 60).await;
+        assert_eq!(limited.requests.borrow().len(), 63);
     });
 }
 
 #[test]
-fn what_is_no_limit_changes_nothing() {
+fn an_invalid_limit_changes_nothing() {
     run(|| async {
-        let needy = Worker::start("needy", vec![limited("-3")]).await;
-        let gateway = Gateway::start(&[&needy]).await;
-        ask(&gateway, 0, 20).await;
-        assert_eq!(needy.requests.borrow().len(), 20);
+        let limited = Worker::start("needy", vec![answer_with_limit("-3")]).await;
+        let gateway = Gateway::start(&[&limited]).await;
+        send_requests(&gateway, 0, 20).await;
+        assert_eq!(limited.requests.borrow().len(), 20);
         gateway.logged(&["unreadable", "rate-limit", "-3"]).await;
     });
 }
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: events as they come, and their way on after a break.
+//! Tests for streams: events are passed on as they arrive, and resumable streams continue
+//! after a break.
 
 use std::rc::Rc;
 
@@ -17,26 +18,26 @@
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-fn whole(ids: std::ops::Range<u32>) -> String {
+fn complete_stream(ids: std::ops::Range<u32>) -> String {
     let events: String = ids.map(|id| chunk(&event(id))).collect();
     format!("{}{events}0\r\n\r\n", chunked_head())
 }
 
 #[test]
-fn events_pass_as_they_come() {
+fn events_are_passed_on_as_they_arrive() {
     run(|| async {
-        let go_on = Rc::new(Notify::new());
+        let proceed = Rc::new(Notify::new());
         let steps = vec![
             format!("{}{}", chunked_head(), chunk(&event(1))),
             format!("{}0\r\n\r\n", chunk(&event(2))),
         ];
-        let worker = Worker::start("e", vec![Action::AnswerStepwise(steps, go_on.clone())]).await;
+        let worker = Worker::start("e", vec![Action::AnswerStepwise(steps, proceed.clone())]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/stream/x", "").await;
-        go_on.notify_one();
+        proceed.notify_one();
         caller.read_until("piece 1").await;
-        go_on.notify_one();
+        proceed.notify_one();
         caller.read_until("0\r\n\r\n").await;
         let line = gateway.logged(&["\"answered\"", "id-1"]).await;
         assert!(line.contains("\"events\":2"), "{line}");
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_stream_that_may_not_go_on_breaks_off() {
+fn a_stream_that_is_not_resumable_breaks_off() {
     run(|| async {
         let part = format!("{}{}", chunked_head(), chunk(&event(1)));
         let one = Worker::start("e", vec![Action::AnswerAndClose(part.clone())]).await;
@@ -52,8 +53,8 @@
         let gateway = Gateway::start(&[&one, &other]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/stream/x", "").await;
-        let seen = caller.answer().await;
-        assert!(!seen.is_complete);
+        let response = caller.answer().await;
+        assert!(!response.is_complete);
         assert_eq!(
             one.requests.borrow().len() + other.requests.borrow().len(),
             1
@@ -62,19 +63,23 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_after_the_last_whole_event() {
+fn a_resumable_stream_continues_after_the_last_complete_event() {
     run(|| async {
-        // Both break off within the third event, or go on from the second.
+        // The endpoint breaks off within the third event. Further requests continue after
+        // the second.
         let broken = format!("{}{}{}", chunked_head(), chunk(&event(1)), chunk(&event(2)));
         let broken = format!("{broken}{}", chunk("id: 3\ndata: pie"));
         let broken = broken.replace(
             "\r\nwoadstage-request",
             "\r\nx-seal: first\r\nwoadstage-request",
         );
-        let script = vec![Action::AnswerAndClose(broken), Action::Answer(whole(3..5))];
+        let script = vec![
+            Action::AnswerAndClose(broken),
+            Action::Answer(complete_stream(3..5)),
+        ];
         let one = Worker::start("e", script.clone()).await;
         let gateway = Gateway::start(&[&one]).await;
-        let other = Worker::start("f", vec![Action::Answer(whole(3..5))]).await;
+        let other = Worker::start("f", vec![Action::Answer(complete_stream(3..5))]).await;
         let mut caller = Caller::connect(&gateway).await;
         let list = woadstage_dispatch::endpoint::List {
             settled: true,
@@ -88,7 +93,7 @@
         caller.request("id-1", "/resumable/x", "prompt").await;
         let head = caller.head().await.expect("an answer");
         assert_eq!(field(&head, "x-seal"), Some("first"));
-        // The second endpoint comes while the first has broken off.
+        // The second endpoint is added after the first has started its answer.
         let list = woadstage_dispatch::endpoint::List {
             settled: true,
             revision: 3,
@@ -125,8 +130,8 @@
         let gateway = Gateway::start(&[&one, &other]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/resumable/x", "").await;
-        let seen = caller.answer().await;
-        assert!(!seen.is_complete);
+        let response = caller.answer().await;
+        assert!(!response.is_complete);
         assert_eq!(
             one.requests.borrow().len() + other.requests.borrow().len(),
             2
@@ -135,18 +140,18 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_endpoints_work() {
+fn a_caller_that_disconnects_cancels_the_endpoints_work() {
     run(|| async {
-        let go_on = Rc::new(Notify::new());
+        let proceed = Rc::new(Notify::new());
         let steps = vec![
             format!("{}{}", chunked_head(), chunk(&event(1))),
             chunk(&event(2)),
         ];
-        let worker = Worker::start("e", vec![Action::AnswerStepwise(steps, go_on.clone())]).await;
+        let worker = Worker::start("e", vec![Action::AnswerStepwise(steps, proceed.clone())]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/stream/x", "").await;
-        go_on.notify_one();
+        proceed.notify_one();
         caller.read_until("piece 1").await;
         drop(caller);
         worker.connection_closed.notified().await;
@@ -156,7 +161,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_answer_ends_the_endpoints_work() {
+fn a_caller_that_disconnects_before_the_answer_cancels_the_endpoints_work() {
     run(|| async {
         let worker = Worker::start("e", vec![Action::NoAnswer]).await;
         let gateway = Gateway::start(&[&worker]).await;
--- a/crates/gateway/tests/gateway/support/caller.rs
+++ b/crates/gateway/tests/gateway/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that sees every byte.
+//! A caller that works on raw bytes.
 
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
@@ -16,16 +16,16 @@
     buffer: Vec<u8>,
 }
 
-/// An answer as a caller sees it.
+/// A response as the caller received it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
     /// The status.
     pub status: u16,
     /// The head.
     pub head: String,
-    /// The body, chunks put together.
+    /// The body, with chunks joined.
     pub body: String,
-    /// False where the connection ended first.
+    /// Whether the body was complete before the connection ended.
     pub is_complete: bool,
 }
 
@@ -34,22 +34,22 @@
     pub async fn connect(gateway: &Gateway) -> Caller {
         let stream = TcpStream::connect(gateway.address)
             .await
-            .expect("the gateway listens");
+            .expect("the gateway accepts connections");
         Caller {
             stream,
             buffer: Vec::new(),
         }
     }
 
-    /// Sends bytes.
+    /// Sends raw text.
     pub async fn send(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
             .await
-            .expect("the gateway reads");
+            .expect("the gateway accepts data");
     }
 
-    /// Sends a request with a key and an id.
+    /// Sends a request with a valid key and an id.
     pub async fn request(&mut self, id: &str, path: &str, body: &str) {
         let length = body.len();
         self.send(&format!(
@@ -59,12 +59,12 @@
         .await;
     }
 
-    /// Reads a head.
+    /// Reads a head; none if the connection ends first.
     pub async fn head(&mut self) -> Option<String> {
         read_head(&mut self.stream, &mut self.buffer).await
     }
 
-    /// Reads until the bytes so far hold a text.
+    /// Reads until the received text contains `text`, and returns and clears that text.
     pub async fn read_until(&mut self, text: &str) -> String {
         loop {
             let all = String::from_utf8_lossy(&self.buffer).into_owned();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Reads an answer.
+    /// Reads a response.
     pub async fn answer(&mut self) -> Response {
         let head = self.head().await.expect("an answer");
         let status = head[9..12].parse().expect("a status");
@@ -85,7 +85,7 @@
             Some(_) => self.read_chunked_body().await,
             None => {
                 let length: usize = field(&head, "content-length")
-                    .map_or(0, |text| text.parse().expect("a length"));
+                    .map_or(0, |text| text.parse().expect("a numeric length"));
                 let body = read_body(&mut self.stream, &mut self.buffer, &head).await;
                 let is_complete = body.len() == length;
                 (body, is_complete)
@@ -105,7 +105,7 @@
             let Some(line) = self.read_line().await else {
                 return (body, false);
             };
-            let length = usize::from_str_radix(line.trim(), 16).expect("a chunk's length");
+            let length = usize::from_str_radix(line.trim(), 16).expect("a chunk length");
             let Some(data) = self.read_exact(length + 2).await else {
                 return (body, false);
             };
@@ -139,7 +139,7 @@
         )
     }
 
-    /// True where the gateway has closed the connection.
+    /// Waits for more data. Returns true if the gateway has closed the connection.
     pub async fn is_closed(&mut self) -> bool {
         self.stream.read_buf(&mut self.buffer).await.unwrap_or(0) == 0
     }
--- a/crates/gateway/tests/gateway/support/worker.rs
+++ b/crates/gateway/tests/gateway/support/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an endpoint that does as a script says.
+//! A stand-in for an endpoint that follows a script.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,51 +21,51 @@
 use super::wire::read_body;
 use super::wire::read_head;
 
-/// What a stand-in does with one request.
+/// What a stand-in does with a request.
 #[derive(Clone)]
 pub enum Action {
-    /// Writes these bytes and keeps the connection.
+    /// Writes the text and keeps the connection open.
     Answer(String),
-    /// Writes these bytes and closes the connection.
+    /// Writes the text and closes the connection.
     AnswerAndClose(String),
-    /// Writes these bytes and resets the connection.
+    /// Writes the text and resets the connection.
     AnswerAndReset(String),
-    /// Writes bytes one after the other, waiting to be told before each.
+    /// Writes the texts one by one, waiting for a notification before each.
     AnswerStepwise(Vec<String>, Rc<Notify>),
-    /// Answers once the head is there, and reads the body only when told.
+    /// Writes the text once the head has arrived, and reads the body after a notification.
     AnswerEarly(String, Rc<Notify>),
-    /// Says nothing until the other end closes.
+    /// Writes nothing until the gateway closes the connection.
     NoAnswer,
-    /// Ends the stand-in with all its connections where the body is this text, or
-    /// else writes these bytes and keeps the connection.
+    /// Stops the stand-in and all its connections if the body is the first text; otherwise
+    /// writes the second and keeps the connection open.
     CrashOn(&'static str, String),
 }
 
-/// A stand-in of an endpoint.
+/// A stand-in for an endpoint.
 #[derive(Clone)]
 pub struct Worker {
-    /// Its name.
+    /// The name of the endpoint.
     pub name: &'static str,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddrV4,
-    /// Requests as they came, heads and bodies.
+    /// The requests received, each with its head and body.
     pub requests: Rc<RefCell<Vec<String>>>,
-    /// Connections that were opened.
+    /// The number of connections accepted.
     pub connections: Rc<Cell<usize>>,
-    /// Told when a connection has ended.
+    /// Notified when a connection has ended.
     pub connection_closed: Rc<Notify>,
     script: Rc<RefCell<VecDeque<Action>>>,
-    /// True once it has crashed.
+    /// Whether the stand-in has crashed.
     crashed: Rc<watch::Sender<bool>>,
 }
 
 impl Worker {
-    /// Starts a stand-in that acts as `script` says, request by request; the
-    /// last act is repeated.
+    /// Starts a stand-in that takes one action of `script` for each request; the last is
+    /// repeated.
     pub async fn start(name: &'static str, script: Vec<Action>) -> Worker {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
-            .expect("a port");
+            .expect("a free port");
         let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
             unreachable!("bound to IPv4");
         };
@@ -102,20 +102,22 @@
         worker
     }
 
-    /// Waits until it has crashed.
+    /// Waits until the stand-in crashes.
     async fn wait_until_crashed(&self) {
         let mut crashed = self.crashed.subscribe();
         crashed
             .wait_for(|crashed| *crashed)
             .await
-            .expect("it is held");
+            .expect("the worker holds the sender");
     }
 
     fn next_action(&self) -> Action {
         let mut script = self.script.borrow_mut();
         match script.len() {
             1 => script[0].clone(),
-            _ => script.pop_front().expect("a script has an act"),
+            _ => script
+                .pop_front()
+                .expect("a script has at least one action"),
         }
     }
 
@@ -123,9 +125,9 @@
         let mut buffer = Vec::new();
         while let Some(head) = read_head(&mut stream, &mut buffer).await {
             let action = self.next_action();
-            if let Action::AnswerEarly(text, go_on) = &action {
+            if let Action::AnswerEarly(text, proceed) = &action {
                 let _ = stream.write_all(echo(text, &head).as_bytes()).await;
-                go_on.notified().await;
+                proceed.notified().await;
             }
             let body = read_body(&mut stream, &mut buffer, &head).await;
             self.requests.borrow_mut().push(format!("{head}{body}"));
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Does one act; true where the connection goes on.
+    /// Takes one action. Returns whether the connection stays open.
     async fn perform(&self, stream: &mut TcpStream, action: Action, head: &str) -> bool {
         match action {
             Action::Answer(text) | Action::CrashOn(_, text) => {
@@ -152,15 +154,15 @@
             }
             Action::AnswerAndReset(text) => {
                 let _ = stream.write_all(echo(&text, head).as_bytes()).await;
-                // What was written is on its way before the reset follows.
+                // Lets the written data arrive before the reset.
                 tokio::time::sleep(Duration::from_millis(30)).await;
                 let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 false
             }
-            Action::AnswerStepwise(texts, go_on) => {
+            Action::AnswerStepwise(texts, proceed) => {
                 for text in texts {
                     tokio::select! {
-                        () = go_on.notified() => {}
+                        () = proceed.notified() => {}
                         _ = stream.readable() => return false,
                     }
                     if stream
