--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -16,9 +16,9 @@
         /// The version of the program.
         version: &'a str,
     },
-    /// A planned stop entered its next phase, possibly with requests still held.
+    /// A planned stop entered a phase.
     Stopping {
-        /// The number of requests held.
+        /// The number of requests still held.
         held: usize,
         /// The phase: `leaving`, `closing` or `stopped`.
         phase: &'a str,
@@ -64,7 +64,7 @@
         ready: usize,
         /// The number of endpoints that are leaving.
         leaving: usize,
-        /// The number of endpoints that report to be cold.
+        /// The number of endpoints that report that they are cold.
         cold: usize,
         /// The evacuated data centres, separated by commas.
         evacuated: &'a str,
@@ -81,11 +81,11 @@
     },
     /// A dependency of this node became unreachable or reachable again.
     Dependency {
-        /// The name of the dependency.
+        /// The dependency: `platform` or `node`.
         name: &'a str,
         /// Whether the dependency is reachable.
         reached: bool,
-        /// What was observed.
+        /// What was observed, or the address of the node.
         detail: &'a str,
     },
     /// A transfer of published documents between nodes ended.
@@ -115,9 +115,9 @@
         /// The revision after which the node had waited for changes.
         waited_after: u64,
     },
-    /// A published document could not be parsed.
+    /// A published document, or a field of an endpoint's answer, could not be parsed.
     Unreadable {
-        /// The document.
+        /// The document or the field.
         document: &'a str,
         /// The error.
         detail: &'a str,
@@ -226,18 +226,18 @@
         oldest_ms: u64,
         /// The estimated number of prompt tokens that the endpoint has to read.
         uncached: u64,
-        /// The estimated number of prompt tokens that the endpoint has to process before
-        /// this request.
+        /// The estimated number of prompt tokens of other requests that it has to read first.
         unread: u64,
-        /// The pace of the endpoint, as a multiple of the typical pace.
+        /// The endpoint's time for a call, or an engine's for a step, as a multiple of the
+        /// typical one.
         pace: f64,
         /// Who assigned the slot and knew the values above: `here` or the owner's address.
         owner: &'a str,
-        /// The endpoints skipped because they announced that they are leaving, separated by
+        /// The endpoints passed over because they announced that they are leaving, separated by
         /// commas.
         #[serde(skip_serializing_if = "str::is_empty")]
         passed_leaving: &'a str,
-        /// The endpoints skipped because they asked for a rest, separated by commas.
+        /// The endpoints passed over because they asked for a rest, separated by commas.
         #[serde(skip_serializing_if = "str::is_empty")]
         passed_resting: &'a str,
     },
@@ -323,11 +323,11 @@
         pause_ms: u64,
         /// The version of the configuration used for the decision; 0 if there was none.
         configuration: u64,
-        /// The endpoints skipped because they announced that they are leaving, if this node
+        /// The endpoints passed over because they announced that they are leaving, if this node
         /// refused the request.
         #[serde(skip_serializing_if = "str::is_empty")]
         passed_leaving: &'a str,
-        /// The endpoints skipped because they asked for a rest, if this node refused the
+        /// The endpoints passed over because they asked for a rest, if this node refused the
         /// request.
         #[serde(skip_serializing_if = "str::is_empty")]
         passed_resting: &'a str,
--- a/crates/gateway/src/explain.rs
+++ b/crates/gateway/src/explain.rs
@@ -172,17 +172,17 @@
         Some(wait) if wait > 0 => format!(" A wait of {wait} ms was expected."),
         _ => String::new(),
     };
-    let leaving = skipped_endpoints(answered, "passed_leaving", "said that they leave");
-    let resting = skipped_endpoints(answered, "passed_resting", "had asked for rest");
+    let leaving = passed_over(answered, "passed_leaving", "said that they leave");
+    let resting = passed_over(answered, "passed_resting", "had asked for rest");
     format!(
         "This node answered {status} {code} ({}), under configuration {version}; it had tried {tried}.{wait}{leaving}{resting}",
         str_field(answered, "outcome"),
     )
 }
 
-/// Returns a sentence that names the skipped endpoints and the reason, or an empty string
+/// Returns a sentence that names the endpoints passed over and the reason, or an empty string
 /// if there were none.
-fn skipped_endpoints(answered: &Value, field: &str, why: &str) -> String {
+fn passed_over(answered: &Value, field: &str, why: &str) -> String {
     match str_field(answered, field) {
         "" => String::new(),
         names => format!(" Passed over, as they {why}: {names}."),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -67,13 +67,13 @@
     pub sent_bytes: IntGaugeVec,
     /// The number of log lines dropped.
     pub dropped_log_lines: IntGauge,
-    /// The number of fingerprints of requests during which endpoints crashed since the
-    /// request was last cleared.
+    /// The number of requests, by fingerprint, during which endpoints crashed since they were
+    /// last cleared.
     pub suspect_fingerprints: IntGauge,
-    /// The number of these fingerprints that are barred.
+    /// The number of these requests that are barred.
     pub barred_fingerprints: IntGauge,
-    /// The state of each service, by kind: for example the number of waiting and running
-    /// requests and the remaining retries.
+    /// The counts of each service, such as waiting and running requests, usable endpoints and
+    /// remaining retries, by kind.
     pub services: IntGaugeVec,
 }
 
--- a/crates/gateway/tests/gateway/explain.rs
+++ b/crates/gateway/tests/gateway/explain.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_refusal_names_the_skipped_endpoints() {
+fn a_refusal_names_the_endpoints_that_were_passed_over() {
     let answered = r#"{"time_ms":6,"event":"answered","request":"r","status":503,"code":"W2001","outcome":"not-run","configuration":7,"passed_leaving":"e","passed_resting":"f, g"}"#;
     let explanation = cause(&format!("{ACCEPTED}\n{answered}\n"));
     assert!(
--- a/crates/gateway/tests/gateway/notice.rs
+++ b/crates/gateway/tests/gateway/notice.rs
@@ -114,7 +114,7 @@
     });
 }
 
-/// In other answers than rejections, the field `retry-after` is meant for callers.
+/// In answers other than rejections, `retry-after` is meant for callers, not for nodes.
 #[rstest]
 #[case::too_many("429 Too Many Requests")]
 #[case::good("200 OK")]
--- a/crates/gateway/tests/gateway/rate_limit.rs
+++ b/crates/gateway/tests/gateway/rate_limit.rs
@@ -19,8 +19,8 @@
 /// The rate limit that the endpoint announces, in requests per second.
 const LIMIT_PER_SECOND: f64 = 2.0;
 
-/// Requests beyond the limit that may reach the endpoint: those sent before the limit is
-/// known, and those that depend on where a second begins.
+/// Requests beyond the limit that may reach the endpoint: before the limit is known, and
+/// depending on when the seconds of the limit begin.
 const EXTRA_REQUESTS: f64 = 2.0;
 
 /// Returns a successful answer that announces a rate limit.
