--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -126,7 +126,7 @@
 fn receive_status(shell: &Shell, from: SocketAddrV4, status: Status) {
     let reception = shell.command(|dispatcher, now| dispatcher.receive_status(now, from, status));
     if reception == Reception::Joined {
-        shell.metrics.change("node-heard");
+        shell.metrics.record_state_change("node-heard");
         shell.log(&Event::Dependency {
             name: "node",
             reached: true,
--- a/crates/gateway/src/peers/transfer/mod.rs
+++ b/crates/gateway/src/peers/transfer/mod.rs
@@ -75,7 +75,7 @@
     in_progress.set(at_once - 1);
     let detail = result.as_ref().err().map(ToString::to_string);
     let direction = direction.to_string();
-    shell.metrics.transfer(&direction, result.is_ok());
+    shell.metrics.record_transfer(&direction, result.is_ok());
     shell.log(&Event::Transfer {
         direction: &direction,
         peer: &peer.to_string(),
--- a/crates/gateway/src/peers/transfer/serve.rs
+++ b/crates/gateway/src/peers/transfer/serve.rs
@@ -39,7 +39,7 @@
         let shell = shell.clone();
         tokio::task::spawn_local(async move {
             if shell.transfers.sending.get() >= MAX_TRANSFERS {
-                shell.metrics.transfer("given", false);
+                shell.metrics.record_transfer("given", false);
                 // If this fails too, the node tries another one.
                 let _ = decline(&shell, stream).await;
                 return;
--- a/crates/gateway/src/serve/charge.rs
+++ b/crates/gateway/src/serve/charge.rs
@@ -61,7 +61,7 @@
                     .reservations
                     .request(&shell.peers, owner, reserve)
                     .await;
-                shell.metrics.reserved(verdict.as_ref());
+                shell.metrics.record_reservation(verdict.as_ref());
                 charged_by = match verdict {
                     Some(Verdict::Granted | Verdict::Denied(_)) => ChargedBy::Remote(owner),
                     Some(Verdict::Unknown) | None => ChargedBy::Local,
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -51,7 +51,7 @@
     let code = reply.code.to_string();
     shell
         .metrics
-        .answer(route, reply.code.status(), &code, elapsed);
+        .record_answer(route, reply.code.status(), &code, elapsed);
     shell.log(&Event::Answered {
         request: request_id,
         status: reply.code.status(),
@@ -129,7 +129,9 @@
     reason: Reason,
     owner: Option<SocketAddrV4>,
 ) {
-    shell.metrics.sent(&admitted.route.name, reason.waited);
+    shell
+        .metrics
+        .record_queue_time(&admitted.route.name, reason.waited);
     let passed_over = passed_over(shell, &admitted.target);
     shell.log(&Event::Sent {
         request: &admitted.request_id,
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -166,7 +166,7 @@
                 self.first_data_at = Some(now);
                 let elapsed = now.since(exchange.admitted.arrived);
                 let metrics = &exchange.shell.metrics;
-                metrics.first(&exchange.admitted.route.name, elapsed);
+                metrics.record_first_byte(&exchange.admitted.route.name, elapsed);
             }
         }
         self.last_data_at = now;
@@ -196,10 +196,12 @@
         self.keep_connection();
         let exchange = &self.exchange;
         let elapsed = exchange.shell.now().since(exchange.admitted.arrived);
-        exchange
-            .shell
-            .metrics
-            .answer(&exchange.admitted.route.name, self.status, "", elapsed);
+        exchange.shell.metrics.record_answer(
+            &exchange.admitted.route.name,
+            self.status,
+            "",
+            elapsed,
+        );
         exchange.shell.log(&Event::Answered {
             request: &exchange.admitted.request_id,
             status: self.status,
--- a/crates/gateway/tests/gateway/support/worker.rs
+++ b/crates/gateway/tests/gateway/support/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an endpoint that does as a script says.
+//! A stand-in for an endpoint that follows a script.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,51 +21,51 @@
 use super::wire::read_body;
 use super::wire::read_head;
 
-/// What a stand-in does with one request.
+/// What a stand-in does with a request.
 #[derive(Clone)]
-pub enum Act {
-    /// Writes these bytes and keeps the connection.
+pub enum Action {
+    /// Writes the text and keeps the connection open.
     Answer(String),
-    /// Writes these bytes and closes the connection.
+    /// Writes the text and closes the connection.
     AnswerAndClose(String),
-    /// Writes these bytes and resets the connection.
+    /// Writes the text and resets the connection.
     AnswerAndReset(String),
-    /// Writes bytes one after the other, waiting to be told before each.
-    Stepwise(Vec<String>, Rc<Notify>),
-    /// Answers once the head is there, and reads the body only when told.
+    /// Writes the texts one by one, waiting for a notification before each.
+    AnswerStepwise(Vec<String>, Rc<Notify>),
+    /// Writes the text once the head has arrived, and reads the body after a notification.
     AnswerEarly(String, Rc<Notify>),
-    /// Says nothing until the other end closes.
-    Silence,
-    /// Ends the stand-in with all its connections where the body is this text, or
-    /// else writes these bytes and keeps the connection.
+    /// Writes nothing until the gateway closes the connection.
+    NoAnswer,
+    /// Stops the stand-in and all its connections if the body is the first text; otherwise
+    /// writes the second and keeps the connection open.
     CrashOn(&'static str, String),
 }
 
-/// A stand-in of an endpoint.
+/// A stand-in for an endpoint.
 #[derive(Clone)]
 pub struct Worker {
-    /// Its name.
+    /// The name of the endpoint.
     pub name: &'static str,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddrV4,
-    /// Requests as they came, heads and bodies.
+    /// The requests received, each with its head and body.
     pub requests: Rc<RefCell<Vec<String>>>,
-    /// Connections that were opened.
+    /// The number of connections accepted.
     pub connections: Rc<Cell<usize>>,
-    /// Told when a connection has ended.
-    pub closed: Rc<Notify>,
-    script: Rc<RefCell<VecDeque<Act>>>,
-    /// True once it has ended.
-    ended: Rc<watch::Sender<bool>>,
+    /// Notified when a connection has ended.
+    pub connection_closed: Rc<Notify>,
+    script: Rc<RefCell<VecDeque<Action>>>,
+    /// Whether the stand-in has crashed.
+    crashed: Rc<watch::Sender<bool>>,
 }
 
 impl Worker {
-    /// Starts a stand-in that acts as `script` says, request by request; the
-    /// last act is repeated.
-    pub async fn start(name: &'static str, script: Vec<Act>) -> Worker {
+    /// Starts a stand-in that takes one action of `script` for each request; the last is
+    /// repeated.
+    pub async fn start(name: &'static str, script: Vec<Action>) -> Worker {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
-            .expect("a port");
+            .expect("a free port");
         let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
             unreachable!("bound to IPv4");
         };
@@ -74,97 +74,102 @@
             address,
             requests: Rc::default(),
             connections: Rc::default(),
-            closed: Rc::default(),
+            connection_closed: Rc::default(),
             script: Rc::new(RefCell::new(script.into())),
-            ended: Rc::new(watch::Sender::new(false)),
+            crashed: Rc::new(watch::Sender::new(false)),
         };
-        let serving = worker.clone();
+        let stub = worker.clone();
         spawn_local(async move {
             loop {
                 let accepted = tokio::select! {
                     accepted = listener.accept() => accepted,
-                    () = serving.end() => return,
+                    () = stub.wait_until_crashed() => return,
                 };
                 let Ok((stream, _)) = accepted else {
                     return;
                 };
-                serving.connections.set(serving.connections.get() + 1);
-                let one = serving.clone();
+                stub.connections.set(stub.connections.get() + 1);
+                let handler = stub.clone();
                 spawn_local(async move {
                     tokio::select! {
-                        () = one.serve(stream) => {}
-                        () = one.end() => {}
+                        () = handler.serve(stream) => {}
+                        () = handler.wait_until_crashed() => {}
                     }
-                    one.closed.notify_one();
+                    handler.connection_closed.notify_one();
                 });
             }
         });
         worker
     }
 
-    /// Waits until it has ended.
-    async fn end(&self) {
-        let mut ended = self.ended.subscribe();
-        ended.wait_for(|ended| *ended).await.expect("it is held");
+    /// Waits until the stand-in crashes.
+    async fn wait_until_crashed(&self) {
+        let mut crashed = self.crashed.subscribe();
+        crashed
+            .wait_for(|crashed| *crashed)
+            .await
+            .expect("the worker holds the sender");
     }
 
-    fn next(&self) -> Act {
+    fn next_action(&self) -> Action {
         let mut script = self.script.borrow_mut();
         match script.len() {
             1 => script[0].clone(),
-            _ => script.pop_front().expect("a script has an act"),
+            _ => script
+                .pop_front()
+                .expect("a script has at least one action"),
         }
     }
 
     async fn serve(&self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         while let Some(head) = read_head(&mut stream, &mut buffer).await {
-            let act = self.next();
-            if let Act::AnswerEarly(text, go_on) = &act {
+            let action = self.next_action();
+            if let Action::AnswerEarly(text, proceed) = &action {
                 let _ = stream
                     .write_all(insert_request_id(text, &head).as_bytes())
                     .await;
-                go_on.notified().await;
+                proceed.notified().await;
             }
             let body = read_body(&mut stream, &mut buffer, &head).await;
             self.requests.borrow_mut().push(format!("{head}{body}"));
-            if matches!(act, Act::CrashOn(text, _) if text == body) {
-                self.ended.send_replace(true);
+            if matches!(action, Action::CrashOn(text, _) if text == body) {
+                self.crashed.send_replace(true);
                 return;
             }
-            if !self.act(&mut stream, act, &head).await {
+            if !self.perform(&mut stream, action, &head).await {
                 return;
             }
         }
     }
 
-    /// Does one act; true where the connection goes on.
-    async fn act(&self, stream: &mut TcpStream, act: Act, head: &str) -> bool {
-        match act {
-            Act::Answer(text) | Act::CrashOn(_, text) => stream
+    /// Takes one action. Returns whether the connection stays open.
+    async fn perform(&self, stream: &mut TcpStream, action: Action, head: &str) -> bool {
+        match action {
+            Action::Answer(text) | Action::CrashOn(_, text) => stream
                 .write_all(insert_request_id(&text, head).as_bytes())
                 .await
                 .is_ok(),
-            Act::AnswerEarly(..) => true,
-            Act::AnswerAndClose(text) => {
+            Action::AnswerEarly(..) => true,
+            Action::AnswerAndClose(text) => {
                 let _ = stream
                     .write_all(insert_request_id(&text, head).as_bytes())
                     .await;
                 false
             }
-            Act::AnswerAndReset(text) => {
+            Action::AnswerAndReset(text) => {
                 let _ = stream
                     .write_all(insert_request_id(&text, head).as_bytes())
                     .await;
-                // What was written is on its way before the reset follows.
+                // Lets the written data arrive before the reset.
                 tokio::time::sleep(Duration::from_millis(30)).await;
                 let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 false
             }
-            Act::Stepwise(texts, go_on) => {
+            Action::AnswerStepwise(texts, proceed) => {
                 for text in texts {
                     tokio::select! {
-                        () = go_on.notified() => {}
+                        () = proceed.notified() => {}
                         _ = stream.readable() => return false,
                     }
                     if stream
@@ -177,7 +182,7 @@
                 }
                 true
             }
-            Act::Silence => {
+            Action::NoAnswer => {
                 let mut byte = [0];
                 let _ = stream.read(&mut byte).await;
                 false
