--- a/crates/gateway/src/in_force.rs
+++ b/crates/gateway/src/active_configuration.rs
@@ -19,23 +19,23 @@
     /// The platform, in an answer to this node.
     Platform(Answer),
     /// Another node.
-    Node(SocketAddrV4),
+    Peer(SocketAddrV4),
 }
 
 impl Origin {
     /// Who gave it, for logs: `platform` or the address of a node.
-    pub fn to_giver(self) -> String {
+    pub fn to_source_name(self) -> String {
         match self {
             Origin::Platform(_) => PLATFORM.to_owned(),
-            Origin::Node(address) => address.to_string(),
+            Origin::Peer(address) => address.to_string(),
         }
     }
 
     /// The way it came, for logs: a call to the platform, or a transfer.
-    pub fn way(self) -> &'static str {
+    pub fn method(self) -> &'static str {
         match self {
             Origin::Platform(answer) => answer.call.as_str(),
-            Origin::Node(_) => TRANSFER,
+            Origin::Peer(_) => TRANSFER,
         }
     }
 
@@ -43,14 +43,14 @@
     pub fn answer_opt(self) -> Option<Answer> {
         match self {
             Origin::Platform(answer) => Some(answer),
-            Origin::Node(_) => None,
+            Origin::Peer(_) => None,
         }
     }
 }
 
 /// The configuration in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// Its version.
     pub version: u64,
     /// Names its content.
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -30,11 +30,11 @@
 
     /// The time now.
     pub fn now(&self) -> Time {
-        START + self.running_for()
+        START + self.uptime()
     }
 
     /// The time since this clock started.
-    pub fn running_for(&self) -> Span {
+    pub fn uptime(&self) -> Span {
         to_span(self.clock.elapsed())
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! * [`headers`]: the names under which callers and endpoints speak of requests.
 //! * [`run`]: the whole process, from settings to a planned stop.
 //! * [`source`]: how what the platform publishes reaches the node.
-//! * [`publish`], [`in_force`]: what comes into force, and how it came.
+//! * [`publish`], [`active_configuration`]: what comes into force, and how it came.
 //! * [`shell`]: the decisions, and who waits for them.
 //! * [`serve`] answers callers.
 //! * [`upstream`] calls endpoints.
@@ -15,12 +15,12 @@
 //! * [`event`], [`log`], [`metrics`], [`explain`]: what can be known afterwards.
 //! * [`clock`]: the time, which never steps.
 
+pub mod active_configuration;
 pub mod check;
 pub mod clock;
 pub mod event;
 pub mod explain;
 pub mod headers;
-pub mod in_force;
 pub mod log;
 pub mod metrics;
 pub mod operators;
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -72,9 +72,11 @@
     metrics.configuration.set(configuration as i64);
     let now = shell.now();
     let age = |since: Option<Time>| since.map_or(-1, |at| (now.since(at).0 / 1_000) as i64);
-    let in_force_since = shell.in_force.get().map(|one| one.since);
+    let in_force_since = shell.active_configuration.get().map(|one| one.since);
     metrics.configuration_age.set(age(in_force_since));
-    metrics.platform_age.set(age(shell.platform_heard.get()));
+    metrics
+        .platform_age
+        .set(age(shell.platform_answered_at.get()));
     metrics.endpoints.set(endpoints.revision as i64);
     metrics.era.set(endpoints.era.0 as i64);
     for (kind, count) in shell.peers.traffic.counts() {
--- a/crates/gateway/src/peers/transfer/take.rs
+++ b/crates/gateway/src/peers/transfer/take.rs
@@ -77,7 +77,7 @@
         }
     }
     if let Some(head) = head {
-        publish::take_head(shell, from, &head);
+        publish::receive_manifest(shell, from, &head);
     }
     Ok(reader.total)
 }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -10,18 +10,18 @@
     Policy {
         queue_limit: reader.take_or("queue_limit", usual.queue_limit),
         ahead: reader.take_or("ahead", usual.ahead),
-        reread: number(reader, "reread", usual.reread),
-        decode: number(reader, "decode", usual.decode),
-        failing: number(reader, "failing", usual.failing),
-        crossing: number(reader, "crossing", usual.crossing),
+        reread: take_number(reader, "reread", usual.reread),
+        decode: take_number(reader, "decode", usual.decode),
+        failing: take_number(reader, "failing", usual.failing),
+        crossing: take_number(reader, "crossing", usual.crossing),
         look_ahead: reader.take_or("look_ahead", usual.look_ahead),
         waiting_fresh: reader.take_or("waiting_fresh", usual.waiting_fresh),
-        refuse_beyond: number(reader, "refuse_beyond", usual.refuse_beyond),
-        pause_part: number(reader, "pause_part", usual.pause_part),
+        refuse_beyond: take_number(reader, "refuse_beyond", usual.refuse_beyond),
+        pause_part: take_number(reader, "pause_part", usual.pause_part),
         wait_for_objective: reader.take_or("wait_for_objective", usual.wait_for_objective),
-        pressed_from: number(reader, "pressed_from", usual.pressed_from),
+        pressed_from: take_number(reader, "pressed_from", usual.pressed_from),
         late_last: reader.take_or("late_last", usual.late_last),
-        come_back_within: number(reader, "come_back_within", usual.come_back_within),
+        come_back_within: take_number(reader, "come_back_within", usual.come_back_within),
         rate_window: reader.take_or("rate_window", usual.rate_window),
         own_cell_for: reader.take_or("own_cell_for", usual.own_cell_for),
         connects: reader.take_or("connects", usual.connects),
@@ -30,7 +30,7 @@
 }
 
 /// A number that may be written whole or with a point, and is not negative.
-pub fn number(reader: &mut Reader, field: &str, usual: f64) -> f64 {
+pub fn take_number(reader: &mut Reader, field: &str, usual: f64) -> f64 {
     let Some(value) = reader.take_opt::<toml::Value>(field) else {
         return usual;
     };
--- a/crates/gateway/src/publish.rs
+++ b/crates/gateway/src/publish.rs
@@ -8,10 +8,10 @@
 use woadstage_dispatch::parts::Manifest;
 use woadstage_types::unit::Span;
 
+use crate::active_configuration::ActiveConfiguration;
+use crate::active_configuration::Origin;
 use crate::clock::to_span;
 use crate::event::Event;
-use crate::in_force::InForce;
-use crate::in_force::Origin;
 use crate::shell::Shell;
 use crate::source::Answer;
 
@@ -23,7 +23,7 @@
     let before = shell.query(|dispatcher, _| dispatcher.configuration_version());
     let taken = shell.command(|dispatcher, now| dispatcher.set_configuration(now, configuration));
     if taken {
-        let after = to_span(answer.received.elapsed());
+        let after = to_span(answer.received_at.elapsed());
         shell.metrics.applied(answer.call.as_str(), after);
         note_configuration(shell, Origin::Platform(answer), before);
     }
@@ -31,10 +31,10 @@
 
 /// Takes a configuration of which another node gave the parts that were
 /// missing, where it is newer and all of it is there.
-pub fn take_head(shell: &Shell, from: SocketAddrV4, head: &Manifest) {
+pub fn receive_manifest(shell: &Shell, from: SocketAddrV4, head: &Manifest) {
     let before = shell.query(|dispatcher, _| dispatcher.configuration_version());
     if shell.command(|dispatcher, now| dispatcher.receive_manifest(now, head)) {
-        note_configuration(shell, Origin::Node(from), before);
+        note_configuration(shell, Origin::Peer(from), before);
     }
 }
 
@@ -67,23 +67,23 @@
     let Some(table) = shell.query(|dispatcher, _| dispatcher.table().cloned()) else {
         return;
     };
-    let in_force = InForce {
+    let active_configuration = ActiveConfiguration {
         version: table.configuration().version,
         digest: table.to_digest(),
         since: shell.now(),
         origin,
     };
-    shell.in_force.set(Some(in_force));
+    shell.active_configuration.set(Some(active_configuration));
     let answer = origin.answer_opt();
     shell.metrics.change("configuration");
     shell.log(&Event::Configuration {
-        version: in_force.version,
+        version: active_configuration.version,
         before,
-        digest: &in_force.digest.to_string(),
+        digest: &active_configuration.digest.to_string(),
         routes: table.configuration().routes.len(),
-        from: &origin.to_giver(),
-        way: origin.way(),
+        from: &origin.to_source_name(),
+        way: origin.method(),
         revision: answer.map_or(0, |answer| answer.revision),
-        at: answer.map_or(0, |answer| answer.at),
+        at: answer.map_or(0, |answer| answer.answer_revision),
     });
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -92,7 +92,7 @@
     let metrics = listen(settings.metrics).await?;
     let callers = listen(settings.callers).await?;
     let (feed, source) = source::channel();
-    let Source { updates, reading } = source;
+    let Source { updates, role } = source;
     spawn_local(adapter(&settings, feed));
     spawn_local(take_updates(shell.clone(), updates));
     spawn_local(peers::listen(shell.clone(), socket.clone()));
@@ -104,7 +104,7 @@
     let of = shell.clone();
     spawn_local(operators::serve(metrics, move |_| operators::metrics(&of)));
     spawn_local(serve::accept(shell.clone(), callers));
-    spawn_local(tick(shell.clone(), socket, reading));
+    spawn_local(tick(shell.clone(), socket, role));
     for document in [Document::Endpoints, Document::Configuration] {
         spawn_local(peers::catch_up::run(shell.clone(), document));
     }
@@ -148,7 +148,7 @@
 async fn take_updates(shell: Rc<Shell>, mut updates: UnboundedReceiver<Update>) {
     while let Some(update) = updates.recv().await {
         match update {
-            Update::Answered => shell.platform_heard.set(Some(shell.now())),
+            Update::Answered => shell.platform_answered_at.set(Some(shell.now())),
             Update::Configuration(configuration, answer) => {
                 publish::set_configuration(&shell, answer, configuration);
             }
@@ -199,11 +199,11 @@
 }
 
 /// Everything that time alone brings about.
-async fn tick(shell: Rc<Shell>, socket: Rc<UdpSocket>, reading: watch::Sender<Role>) {
+async fn tick(shell: Rc<Shell>, socket: Rc<UdpSocket>, advertised_role: watch::Sender<Role>) {
     let mut last = shell.now();
     loop {
         tokio::time::sleep(TICK).await;
-        shell.note_suspension();
+        shell.check_suspension();
         let now = shell.now();
         if shell.command(|dispatcher, now| dispatcher.tick(now)) {
             shell.upstream.close_idle();
@@ -214,7 +214,7 @@
         last = now;
         peers::tell(&shell, &socket);
         let role = shell.query(|dispatcher, now| dispatcher.role(now));
-        reading.send_if_modified(|told| std::mem::replace(told, role) != role);
+        advertised_role.send_if_modified(|known| std::mem::replace(known, role) != role);
     }
 }
 
@@ -279,7 +279,7 @@
     wait_until(shell, noticed, || false).await;
     note("closing");
     let left = to_duration(deadline.since(shell.now()));
-    shell.close_within(to_span(left.saturating_sub(LAST_ANSWERS)));
+    shell.start_closing(to_span(left.saturating_sub(LAST_ANSWERS)));
     // Callers go on coming while others stop too: waiting for them as well would
     // keep the node from starting anew. What it took from them is short.
     wait_until(shell, deadline, || shell.connections.get() == 0).await;
--- a/crates/gateway/src/serve/closing.rs
+++ b/crates/gateway/src/serve/closing.rs
@@ -32,7 +32,7 @@
     let Exchange {
         shell, admitted, ..
     } = exchange;
-    let Some(ends_at) = shell.ends_at_opt() else {
+    let Some(ends_at) = shell.answer_deadline_opt() else {
         return Ok(());
     };
     let now = shell.now();
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -285,7 +285,7 @@
         for change in self.shell.command(take) {
             let request = &self.admitted.request;
             let endpoint = endpoint.name.as_str();
-            self.shell.note_change(request, endpoint, change);
+            self.shell.record_endpoint_change(request, endpoint, change);
         }
     }
 
--- a/crates/gateway/src/serve/handle.rs
+++ b/crates/gateway/src/serve/handle.rs
@@ -51,7 +51,7 @@
         Ok(admitted) => admitted,
         Err(code) => return turn_away(&shell, &head, arrived, code),
     };
-    let payload = Payload::read(body, admitted.body, &shell.bodies).await;
+    let payload = Payload::read(body, admitted.body, &shell.body_budget).await;
     let mut exchange = Exchange::new(shell, admitted, head);
     match payload {
         Ok(payload) => exchange.set_payload(payload),
@@ -79,7 +79,7 @@
     let until = arrived + part.min(FIRST_CONFIGURATION_WITHIN);
     loop {
         let table = shell.query(|dispatcher, now| dispatcher.admission_table_opt(now).cloned());
-        let starts = shell.running_for() < STARTS_FOR;
+        let starts = shell.uptime() < STARTS_FOR;
         if table.is_some() || !starts || shell.now() >= until {
             return table;
         }
@@ -98,7 +98,7 @@
     let request = text(&head.headers, &shell.headers.request).unwrap_or_default();
     let left = left(shell, head);
     // What is missing is taken to be missing for as long again.
-    let wait = shell.running_for();
+    let wait = shell.uptime();
     let retry_after =
         || shell.query(|dispatcher, now| dispatcher.retry_after_estimate(now, wait, left));
     let reply = Reply {
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -61,7 +61,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = shell.reach_phase(Phase::Stopped) => break,
+            () = shell.wait_for_phase(Phase::Stopped) => break,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -110,7 +110,7 @@
     open.set(open.get() + 1);
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = shell.reach_phase(Phase::Closing), if !closes => {
+        () = shell.wait_for_phase(Phase::Closing), if !closes => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
--- a/crates/gateway/src/serve/note.rs
+++ b/crates/gateway/src/serve/note.rs
@@ -72,12 +72,12 @@
 
 /// Logs by what a request was judged that has no route or customer.
 pub fn unmatched(shell: &Shell, request: &str, what: &str) {
-    let Some(in_force) = shell.in_force.get() else {
+    let Some(active_configuration) = shell.active_configuration.get() else {
         return;
     };
     let now = shell.now();
-    let answer = in_force.origin.answer_opt();
-    let platform = shell.platform_heard.get();
+    let answer = active_configuration.origin.answer_opt();
+    let platform = shell.platform_answered_at.get();
     let heard = shell.query(|dispatcher, now| dispatcher.peer_configuration_versions(now));
     let heard = heard.iter().take(HEARD_MOST);
     let heard: Vec<String> = heard
@@ -86,13 +86,13 @@
     shell.log(&Event::Unmatched {
         request,
         what,
-        configuration: in_force.version,
-        digest: &in_force.digest.to_string(),
-        in_force_ms: now.since(in_force.since).0 / 1_000,
-        from: &in_force.origin.to_giver(),
-        way: in_force.origin.way(),
+        configuration: active_configuration.version,
+        digest: &active_configuration.digest.to_string(),
+        in_force_ms: now.since(active_configuration.since).0 / 1_000,
+        from: &active_configuration.origin.to_source_name(),
+        way: active_configuration.origin.method(),
         revision: answer.map_or(0, |answer| answer.revision),
-        at: answer.map_or(0, |answer| answer.at),
+        at: answer.map_or(0, |answer| answer.answer_revision),
         platform_ms: platform.map(|at| now.since(at).0 / 1_000),
         heard: &heard.join(", "),
     });
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -16,7 +16,7 @@
 
 use crate::headers::Headers;
 use crate::policy;
-use crate::policy::number;
+use crate::policy::take_number;
 
 /// The settings of one node.
 #[derive(Debug, Clone)]
@@ -150,11 +150,11 @@
 fn read_quota(sub: &mut Reader) -> quota::Options {
     let usual = quota::Options::default();
     quota::Options {
-        overrun: number(sub, "overrun", usual.overrun),
-        slack: number(sub, "slack", usual.slack),
-        part: number(sub, "part", usual.part),
-        part_in_cells: number(sub, "part_in_cells", usual.part_in_cells),
-        initial: number(sub, "initial", usual.initial),
+        overrun: take_number(sub, "overrun", usual.overrun),
+        slack: take_number(sub, "slack", usual.slack),
+        part: take_number(sub, "part", usual.part),
+        part_in_cells: take_number(sub, "part_in_cells", usual.part_in_cells),
+        initial: take_number(sub, "initial", usual.initial),
         window: sub.take_or("window", usual.window),
         ..usual
     }
@@ -163,8 +163,8 @@
 fn read_budget(sub: &mut Reader) -> budget::Options {
     let usual = budget::Options::default();
     budget::Options {
-        ratio: number(sub, "ratio", usual.ratio),
-        extra: number(sub, "extra", usual.extra),
+        ratio: take_number(sub, "ratio", usual.ratio),
+        extra: take_number(sub, "extra", usual.extra),
         window: sub.take_or("window", usual.window),
         ..usual
     }
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -22,10 +22,10 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
+use crate::active_configuration::ActiveConfiguration;
 use crate::clock::Clock;
 use crate::event::Event;
 use crate::headers::Headers;
-use crate::in_force::InForce;
 use crate::log::Log;
 use crate::metrics::Metrics;
 use crate::peers;
@@ -60,7 +60,7 @@
     /// Connections to endpoints.
     pub upstream: Upstream,
     /// Kibibytes of request bodies that may still be held.
-    pub bodies: Arc<Semaphore>,
+    pub body_budget: Arc<Semaphore>,
     /// Connections from callers that are open.
     pub connections: Cell<usize>,
     /// Those that came after the node had begun to close.
@@ -72,9 +72,9 @@
     /// Transfers of documents from and to other nodes.
     pub transfers: transfer::Counts,
     /// The configuration in force, and how it came.
-    pub in_force: Cell<Option<InForce>>,
+    pub active_configuration: Cell<Option<ActiveConfiguration>>,
     /// When the platform last answered this node.
-    pub platform_heard: Cell<Option<Time>>,
+    pub platform_answered_at: Cell<Option<Time>>,
     /// For how long the host was suspended, as far as that was noticed.
     suspended: watch::Sender<Span>,
     phase: watch::Sender<Phase>,
@@ -108,14 +108,14 @@
             log,
             metrics,
             upstream: Upstream::default(),
-            bodies: Arc::new(Semaphore::new(((memory.0 / BODIES_PART) >> 10) as usize)),
+            body_budget: Arc::new(Semaphore::new(((memory.0 / BODIES_PART) >> 10) as usize)),
             connections: Cell::new(0),
             late_connections: Cell::new(0),
             peers: peers::Sender::default(),
             reservations: Reservations::default(),
             transfers: transfer::Counts::default(),
-            in_force: Cell::default(),
-            platform_heard: Cell::default(),
+            active_configuration: Cell::default(),
+            platform_answered_at: Cell::default(),
             phase: watch::Sender::new(Phase::Serving),
             ends_at: Cell::new(None),
             dispatcher: RefCell::new(dispatcher),
@@ -129,13 +129,13 @@
     }
 
     /// The time since this process started.
-    pub fn running_for(&self) -> Span {
-        self.clock.running_for()
+    pub fn uptime(&self) -> Span {
+        self.clock.uptime()
     }
 
     /// Looks whether the host was suspended. Timers stood still meanwhile: all who wait
     /// for a time look at it anew.
-    pub fn note_suspension(&self) {
+    pub fn check_suspension(&self) {
         let suspended = self.clock.suspended();
         self.suspended.send_if_modified(|noticed| {
             let more = suspended.0.saturating_sub(noticed.0) >= SUSPENDED_LEAST.0;
@@ -170,7 +170,7 @@
     }
 
     /// Waits until a planned stop has come so far.
-    pub async fn reach_phase(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         let mut reached = self.phase.subscribe();
         // What this returns locks the phase and must not outlive this line. It
         // fails only without a sender, which this shell holds.
@@ -183,13 +183,13 @@
     }
 
     /// Begins to close: every answer is out within this time.
-    pub fn close_within(&self, within: Span) {
+    pub fn start_closing(&self, within: Span) {
         self.ends_at.set(Some(self.now() + within));
         self.set_phase(Phase::Closing);
     }
 
     /// When every answer must be out, where the node closes.
-    pub fn ends_at_opt(&self) -> Option<Time> {
+    pub fn answer_deadline_opt(&self) -> Option<Time> {
         self.ends_at.get()
     }
 
@@ -250,7 +250,7 @@
         }
         let updates = self.dispatcher.borrow_mut().take_updates();
         for update in updates {
-            self.note_change("", update.endpoint.as_str(), update.change);
+            self.record_endpoint_change("", update.endpoint.as_str(), update.change);
         }
         let messages = self.dispatcher.borrow_mut().take_messages();
         for (to, message) in messages {
@@ -272,7 +272,7 @@
 
     /// Logs and counts that something else is believed of an endpoint: by its answer to a
     /// request, or without one.
-    pub fn note_change(&self, request: &str, endpoint: &str, change: notice::Change) {
+    pub fn record_endpoint_change(&self, request: &str, endpoint: &str, change: notice::Change) {
         self.metrics.change(change.as_str());
         self.log(&Event::Notice {
             request,
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -39,9 +39,9 @@
     /// The platform's revision at which the document was written.
     pub revision: u64,
     /// The platform's revision as the answer says it.
-    pub at: u64,
+    pub answer_revision: u64,
     /// When the answer was whole, by the steady clock.
-    pub received: Instant,
+    pub received_at: Instant,
 }
 
 /// What an adapter has to say.
@@ -87,7 +87,7 @@
     /// Where it sends its updates.
     pub updates: Sender,
     /// Whether it is to read now; others may read for this node.
-    pub reading: watch::Receiver<Role>,
+    pub role: watch::Receiver<Role>,
 }
 
 /// The node's end of a [`Feed`].
@@ -95,7 +95,7 @@
     /// Where updates come from.
     pub updates: mpsc::UnboundedReceiver<Update>,
     /// Tells the adapter whether to read.
-    pub reading: watch::Sender<Role>,
+    pub role: watch::Sender<Role>,
 }
 
 /// A pair of both ends.
@@ -104,11 +104,11 @@
     let (tell, told) = watch::channel(Role::Follower);
     let feed = Feed {
         updates: sender,
-        reading: told,
+        role: told,
     };
     let source = Source {
         updates: receiver,
-        reading: tell,
+        role: tell,
     };
     (feed, source)
 }
--- a/crates/gateway/tests/gateway/answers.rs
+++ b/crates/gateway/tests/gateway/answers.rs
@@ -41,7 +41,7 @@
         for id in ["id-1", "id-2", "id-3"] {
             caller.request(id, "/once/x", "").await;
             assert_eq!(caller.answer().await.status, 200);
-            gateway.logged(&["\"answered\"", id]).await;
+            gateway.wait_for_line(&["\"answered\"", id]).await;
         }
         assert_eq!(worker.connections.get(), 1);
         assert!(!gateway.lines.text().contains("\"left\""));
@@ -59,7 +59,7 @@
         let (_worker, gateway, mut caller) = with(vec![Act::Answer(text.into())]).await;
         caller.request("id-1", "/once/x", "").await;
         assert_eq!(caller.answer().await.status, status);
-        gateway.logged(&["\"answered\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"answered\"", "id-1"]).await;
     });
 }
 
@@ -89,7 +89,7 @@
         caller.request("id-1", "/once/x", "").await;
         let seen = caller.answer().await;
         assert!(!seen.whole, "{seen:?}");
-        gateway.logged(&["\"cut\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"cut\"", "id-1"]).await;
     });
 }
 
@@ -132,7 +132,7 @@
         for id in ["id-1", "id-2"] {
             caller.request(id, "/once/x", "").await;
             assert_eq!(caller.answer().await.status, 200);
-            gateway.logged(&["\"answered\"", id]).await;
+            gateway.wait_for_line(&["\"answered\"", id]).await;
         }
         assert_eq!(worker.connections.get(), 2);
     });
--- a/crates/gateway/tests/gateway/callers.rs
+++ b/crates/gateway/tests/gateway/callers.rs
@@ -43,7 +43,7 @@
 #[test]
 fn without_a_configuration_callers_are_to_come_back() {
     run(|| async {
-        let gateway = Gateway::with(&[], None, log::Options::default()).await;
+        let gateway = Gateway::configured(&[], None, log::Options::default()).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
         let seen = caller.answer().await;
@@ -57,7 +57,7 @@
 fn a_node_that_starts_lets_callers_wait_for_its_first_configuration() {
     run(|| async {
         let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
-        let gateway = Gateway::with(&[&worker], None, log::Options::default()).await;
+        let gateway = Gateway::configured(&[&worker], None, log::Options::default()).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -86,7 +86,7 @@
             burst: 8.0,
             default_tokens: None,
         };
-        let gateway = Gateway::with(
+        let gateway = Gateway::configured(
             &[&worker],
             Some(configuration(Some(quota))),
             log::Options::default(),
@@ -110,7 +110,7 @@
             statuses.push(seen.status);
         }
         assert_eq!(statuses, expected);
-        let line = gateway.logged(&["\"over-limit\"", "id-3"]).await;
+        let line = gateway.wait_for_line(&["\"over-limit\"", "id-3"]).await;
         assert!(line.contains("\"customer\":\"customer\""), "{line}");
     });
 }
--- a/crates/gateway/tests/gateway/crash.rs
+++ b/crates/gateway/tests/gateway/crash.rs
@@ -77,14 +77,14 @@
         for number in 0..4 {
             let id = format!("id-{number}");
             let answer = ask(&gateway, &id, CRASHING).await;
-            let line = gateway.logged(&["\"answered\"", &id]).await;
+            let line = gateway.wait_for_line(&["\"answered\"", &id]).await;
             let line: serde_json::Value = serde_json::from_str(&line).expect("a line");
             let outcome = line["outcome"].as_str().expect("an outcome").to_owned();
             outcomes.push((answer.status, outcome));
             // The look after the endpoint may come after the answer.
             if number < 2 {
                 let ends = format!("\"ends\":{}", number + 1);
-                gateway.logged(&["\"charged\"", &ends]).await;
+                gateway.wait_for_line(&["\"charged\"", &ends]).await;
             }
         }
         let expected = [
@@ -106,10 +106,10 @@
         for number in 0..2 {
             ask(&gateway, &format!("id-{number}"), CRASHING).await;
             let ends = format!("\"ends\":{}", number + 1);
-            gateway.logged(&["\"charged\"", &ends]).await;
+            gateway.wait_for_line(&["\"charged\"", &ends]).await;
         }
         ask(&gateway, "id-last", CRASHING).await;
-        gateway.logged(&["\"answered\"", "id-last"]).await;
+        gateway.wait_for_line(&["\"answered\"", "id-last"]).await;
         let log = Cursor::new(gateway.lines.text());
         let lines = explain::find(&mut [Box::new(log)], "id-last").expect("it can be read");
         let said = explain::cause(&lines);
--- a/crates/gateway/tests/gateway/fingerprint.rs
+++ b/crates/gateway/tests/gateway/fingerprint.rs
@@ -14,7 +14,7 @@
     let mut caller = Caller::connect(gateway).await;
     caller.request(id, path, body).await;
     caller.answer().await;
-    let line = gateway.logged(&["\"accepted\"", id]).await;
+    let line = gateway.wait_for_line(&["\"accepted\"", id]).await;
     let line: serde_json::Value = serde_json::from_str(&line).expect("a line of the log");
     line["fingerprint"]
         .as_str()
--- a/crates/gateway/tests/gateway/keep.rs
+++ b/crates/gateway/tests/gateway/keep.rs
@@ -41,7 +41,8 @@
         let go_on = Rc::new(Notify::new());
         let act = Act::Stepwise(vec![answer("200 OK", "fine")], go_on.clone());
         let worker = Worker::start("e", vec![act]).await;
-        let gateway = Gateway::with(&[&worker], Some(taking(2)), log::Options::default()).await;
+        let gateway =
+            Gateway::configured(&[&worker], Some(taking(2)), log::Options::default()).await;
         let mut callers = Vec::new();
         for number in 0..3 {
             let mut caller = Caller::connect(&gateway).await;
--- a/crates/gateway/tests/gateway/log.rs
+++ b/crates/gateway/tests/gateway/log.rs
@@ -15,7 +15,7 @@
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::KEY;
-use crate::support::Lines;
+use crate::support::LogBuffer;
 use crate::support::Worker;
 use crate::support::answer;
 use crate::support::run;
@@ -37,7 +37,7 @@
         );
         caller.send(&line).await;
         caller.answer().await;
-        gateway.logged(&["\"answered\"", "401"]).await;
+        gateway.wait_for_line(&["\"answered\"", "401"]).await;
         let all = gateway.lines.text();
         for secret in [KEY, "the-answer-text", "the-path-text", "the-prompt-text"] {
             assert!(!all.contains(secret), "{all}");
@@ -51,7 +51,7 @@
         let (_worker, gateway, mut caller) = serving().await;
         caller.request("id-1", "/once/x", "").await;
         caller.answer().await;
-        gateway.logged(&["\"answered\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"answered\"", "id-1"]).await;
         let all = gateway.lines.text();
         let events: Vec<String> = all
             .lines()
@@ -78,7 +78,9 @@
         caller.send(&head).await;
         caller.answer().await;
         let expected = format!("\"returning\":{returning}");
-        gateway.logged(&["\"accepted\"", "id-1", &expected]).await;
+        gateway
+            .wait_for_line(&["\"accepted\"", "id-1", &expected])
+            .await;
     });
 }
 
@@ -86,7 +88,7 @@
 #[derive(Clone, Default)]
 struct Stuck {
     open: Arc<(Mutex<bool>, Condvar)>,
-    lines: Lines,
+    lines: LogBuffer,
 }
 
 impl Write for Stuck {
--- a/crates/gateway/tests/gateway/notice.rs
+++ b/crates/gateway/tests/gateway/notice.rs
@@ -64,8 +64,16 @@
         assert_eq!(believed(&gateway).0, leaving);
         match (leaving, status) {
             (0, MISDIRECTED) => {}
-            (0, _) => drop(gateway.logged(&["\"unreadable\"", "\"leaving\""]).await),
-            _ => drop(gateway.logged(&["\"notice\"", "\"leaving\"", "id-1"]).await),
+            (0, _) => drop(
+                gateway
+                    .wait_for_line(&["\"unreadable\"", "\"leaving\""])
+                    .await,
+            ),
+            _ => drop(
+                gateway
+                    .wait_for_line(&["\"notice\"", "\"leaving\"", "id-1"])
+                    .await,
+            ),
         }
     });
 }
@@ -87,9 +95,13 @@
         let (_worker, gateway) = ask_once(saying("503 Full", &[NOT_RUN, &field])).await;
         assert_eq!(believed(&gateway).1, resting);
         match (resting, value) {
-            (0, "0") => drop(gateway.logged(&["\"attempt\"", "503, rest 0"]).await),
-            (0, _) => drop(gateway.logged(&["\"unreadable\"", "\"rest\""]).await),
-            _ => drop(gateway.logged(&["\"notice\"", "\"rest\"", "id-1"]).await),
+            (0, "0") => drop(gateway.wait_for_line(&["\"attempt\"", "503, rest 0"]).await),
+            (0, _) => drop(gateway.wait_for_line(&["\"unreadable\"", "\"rest\""]).await),
+            _ => drop(
+                gateway
+                    .wait_for_line(&["\"notice\"", "\"rest\"", "id-1"])
+                    .await,
+            ),
         }
     });
 }
@@ -108,8 +120,12 @@
         assert_eq!(found, cold);
         match (cold, value) {
             (0, "0") => {}
-            (0, _) => drop(gateway.logged(&["\"unreadable\"", "\"cold\""]).await),
-            _ => drop(gateway.logged(&["\"notice\"", "\"cold\"", "id-1"]).await),
+            (0, _) => drop(gateway.wait_for_line(&["\"unreadable\"", "\"cold\""]).await),
+            _ => drop(
+                gateway
+                    .wait_for_line(&["\"notice\"", "\"cold\"", "id-1"])
+                    .await,
+            ),
         }
     });
 }
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -112,7 +112,7 @@
         let gateway = Gateway::start(&[&worker]).await;
         let (listener, address) = listen().await;
         tokio::task::spawn_local(peers::transfer::serve(gateway.shell.clone(), listener));
-        let other = Gateway::empty(log::Options::default()).await;
+        let other = Gateway::unconfigured(log::Options::default()).await;
         let known = |gateway: &Gateway| gateway.shell.query(|dispatcher, _| dispatcher.versions());
         assert_ne!(known(&other), known(&gateway));
         for document in [Document::Endpoints, Document::Configuration] {
@@ -120,8 +120,8 @@
             assert_eq!(ended.expect("it is given"), Ended::Whole);
         }
         assert_eq!(known(&other), known(&gateway));
-        other.logged(&["\"transfer\"", "\"taken\""]).await;
-        gateway.logged(&["\"transfer\"", "\"given\""]).await;
+        other.wait_for_line(&["\"transfer\"", "\"taken\""]).await;
+        gateway.wait_for_line(&["\"transfer\"", "\"given\""]).await;
     });
 }
 
@@ -136,7 +136,7 @@
         for _ in 0..3 {
             stalled.push(TcpStream::connect(address).await.expect("it listens"));
         }
-        let other = Gateway::empty(log::Options::default()).await;
+        let other = Gateway::unconfigured(log::Options::default()).await;
         let take = |document| peers::transfer::take(&other.shell, address, document);
         let ended = take(Document::Configuration).await;
         assert_eq!(ended.expect("an answer"), Ended::Declined);
@@ -145,7 +145,9 @@
         assert_eq!(ended.expect("an answer"), Ended::Whole);
         assert_eq!(other.shell.query(|one, _| one.edition().revision), 1);
         drop(stalled);
-        gateway.logged(&["\"given\"", "\"whole\":false"]).await;
+        gateway
+            .wait_for_line(&["\"given\"", "\"whole\":false"])
+            .await;
         let ended = take(Document::Configuration).await;
         assert_eq!(ended.expect("an answer"), Ended::Whole);
     });
@@ -181,7 +183,7 @@
             ..Status::default()
         };
         tokio::task::spawn_local(trickle(listener, ahead));
-        let gateway = Gateway::empty(log::Options::default()).await;
+        let gateway = Gateway::unconfigured(log::Options::default()).await;
         gateway
             .shell
             .command(|dispatcher, now| dispatcher.receive_status(now, address, status));
@@ -212,7 +214,7 @@
         let to = socket.local_addr().expect("an address");
         other.send_to(&bytes, to).await.expect("it can be sent");
         let from = other.local_addr().expect("an address").to_string();
-        gateway.logged(&["\"dependency\"", &from]).await;
+        gateway.wait_for_line(&["\"dependency\"", &from]).await;
         assert_eq!(
             gateway
                 .shell
--- a/crates/gateway/tests/gateway/rate_limit.rs
+++ b/crates/gateway/tests/gateway/rate_limit.rs
@@ -69,7 +69,7 @@
         let began = Instant::now();
         ask(&gateway, 0, 1).await;
         gateway
-            .logged(&["\"rate-limit\"", "needy", "\"now\":\"2\""])
+            .wait_for_line(&["\"rate-limit\"", "needy", "\"now\":\"2\""])
             .await;
         let list = Arc::new(List {
             settled: true,
@@ -98,7 +98,7 @@
         assert_eq!(rate_limited(&gateway), 1);
         ask(&gateway, 2, 1).await;
         gateway
-            .logged(&["\"rate-limit\"", "\"now\":\"none\"", "needy"])
+            .wait_for_line(&["\"rate-limit\"", "\"now\":\"none\"", "needy"])
             .await;
         assert_eq!(rate_limited(&gateway), 0);
         ask(&gateway, 3, 60).await;
@@ -113,6 +113,8 @@
         let gateway = Gateway::start(&[&needy]).await;
         ask(&gateway, 0, 20).await;
         assert_eq!(needy.requests.borrow().len(), 20);
-        gateway.logged(&["unreadable", "rate-limit", "-3"]).await;
+        gateway
+            .wait_for_line(&["unreadable", "rate-limit", "-3"])
+            .await;
     });
 }
--- a/crates/gateway/tests/gateway/stop.rs
+++ b/crates/gateway/tests/gateway/stop.rs
@@ -26,7 +26,7 @@
 fn readiness_is_that_of_the_node() {
     run(|| async {
         let ready = |gateway: &Gateway| operators::readiness(&gateway.shell, "/ready", "/ready").0;
-        let without = Gateway::with(&[], None, log::Options::default()).await;
+        let without = Gateway::configured(&[], None, log::Options::default()).await;
         assert_eq!(ready(&without), StatusCode::SERVICE_UNAVAILABLE);
         let gateway = Gateway::start(&[]).await;
         assert_eq!(ready(&gateway), StatusCode::OK);
@@ -84,7 +84,7 @@
 async fn asks_while_closing(path: &str, left: Span) -> (Seen, usize) {
     let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
     let gateway = Gateway::start(&[&worker]).await;
-    gateway.shell.close_within(left);
+    gateway.shell.start_closing(left);
     let mut caller = Caller::connect(&gateway).await;
     caller.request("id-1", path, "").await;
     let seen = caller.answer().await;
@@ -125,7 +125,7 @@
     run(|| async {
         let worker = Worker::start("e", vec![Act::Silence]).await;
         let gateway = Gateway::start(&[&worker]).await;
-        gateway.shell.close_within(Span::from_millis(900));
+        gateway.shell.start_closing(Span::from_millis(900));
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
         assert_eq!(caller.answer().await.status, 504);
@@ -141,7 +141,7 @@
         let (_worker, gateway, mut caller) = serving().await;
         caller.request("id-1", "/once/x", "").await;
         caller.answer().await;
-        gateway.logged(&["\"answered\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"answered\"", "id-1"]).await;
         let (_, text) = operators::metrics(&gateway.shell);
         let text = String::from_utf8(text).expect("text");
         let expected = [
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -38,7 +38,7 @@
         caller.read_until("piece 1").await;
         go_on.notify_one();
         caller.read_until("0\r\n\r\n").await;
-        let line = gateway.logged(&["\"answered\"", "id-1"]).await;
+        let line = gateway.wait_for_line(&["\"answered\"", "id-1"]).await;
         assert!(line.contains("\"events\":2"), "{line}");
     });
 }
@@ -150,7 +150,7 @@
         caller.read_until("piece 1").await;
         drop(caller);
         worker.closed.notified().await;
-        gateway.logged(&["\"left\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"left\"", "id-1"]).await;
         assert_eq!(gateway.shell.query(|dispatcher, _| dispatcher.held()), 0);
     });
 }
@@ -162,9 +162,9 @@
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/stream/x", "").await;
-        gateway.logged(&["\"sent\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"sent\"", "id-1"]).await;
         drop(caller);
         worker.closed.notified().await;
-        gateway.logged(&["\"left\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"left\"", "id-1"]).await;
     });
 }
--- a/crates/gateway/tests/gateway/support/gateway.rs
+++ b/crates/gateway/tests/gateway/support/gateway.rs
@@ -45,9 +45,9 @@
 
 /// Log lines that can be looked at.
 #[derive(Clone, Default)]
-pub struct Lines(Arc<Mutex<Vec<u8>>>);
+pub struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Lines {
+impl Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0
             .lock()
@@ -61,7 +61,7 @@
     }
 }
 
-impl Lines {
+impl LogBuffer {
     /// All that was logged so far.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.0.lock().expect("no panic while locked")).into_owned()
@@ -75,7 +75,7 @@
     /// Where callers reach it.
     pub address: SocketAddrV4,
     /// What it logged.
-    pub lines: Lines,
+    pub lines: LogBuffer,
     /// For how long its host was suspended.
     pub suspended: Rc<Cell<Duration>>,
 }
@@ -146,16 +146,16 @@
 impl Gateway {
     /// Starts a gateway that knows these endpoints.
     pub async fn start(workers: &[&Worker]) -> Gateway {
-        Gateway::with(workers, Some(configuration(None)), log::Options::default()).await
+        Gateway::configured(workers, Some(configuration(None)), log::Options::default()).await
     }
 
     /// Starts a gateway with a configuration, or none.
-    pub async fn with(
+    pub async fn configured(
         workers: &[&Worker],
         configuration: Option<Configuration>,
         options: log::Options,
     ) -> Gateway {
-        let gateway = Gateway::empty(options).await;
+        let gateway = Gateway::unconfigured(options).await;
         let shell = &gateway.shell;
         let list = Arc::new(List {
             settled: true,
@@ -173,8 +173,8 @@
     }
 
     /// Starts a gateway that knows nothing yet.
-    pub async fn empty(options: log::Options) -> Gateway {
-        let lines = Lines::default();
+    pub async fn unconfigured(options: log::Options) -> Gateway {
+        let lines = LogBuffer::default();
         let log = Log::start(options, lines.clone()).expect("a log");
         let memory = Size::from_mib(64);
         let metrics = Metrics::new().expect("metrics");
@@ -207,11 +207,11 @@
     /// Its host is suspended for a while, and its process looks at the clock again.
     pub fn suspend(&self, span: Duration) {
         self.suspended.set(self.suspended.get() + span);
-        self.shell.note_suspension();
+        self.shell.check_suspension();
     }
 
     /// Waits until a line was logged that holds all of these texts.
-    pub async fn logged(&self, texts: &[&str]) -> String {
+    pub async fn wait_for_line(&self, texts: &[&str]) -> String {
         loop {
             let all = self.lines.text();
             let line = all
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -14,7 +14,7 @@
 pub use caller::Caller;
 pub use caller::Seen;
 pub use gateway::Gateway;
-pub use gateway::Lines;
+pub use gateway::LogBuffer;
 pub use gateway::RESERVED;
 pub use gateway::configuration;
 pub use gateway::dispatcher_options;
--- a/crates/gateway/tests/gateway/suspend.rs
+++ b/crates/gateway/tests/gateway/suspend.rs
@@ -31,7 +31,7 @@
         is_reached(&worker).await;
         gateway.suspend(Duration::from_secs(30));
         assert_eq!(caller.answer().await.status, 504);
-        let line = gateway.logged(&["\"answered\"", "id-1"]).await;
+        let line = gateway.wait_for_line(&["\"answered\"", "id-1"]).await;
         let line: serde_json::Value = serde_json::from_str(&line).expect("a line of the log");
         let after_ms = line["after_ms"].as_u64().expect("a time");
         assert!((30_000..45_000).contains(&after_ms), "{after_ms}");
--- a/crates/gateway/tests/gateway/unmatched.rs
+++ b/crates/gateway/tests/gateway/unmatched.rs
@@ -25,10 +25,13 @@
     let answer = Answer {
         call: Call::Watch,
         revision: 40,
-        at: 44,
-        received: Instant::now(),
+        answer_revision: 44,
+        received_at: Instant::now(),
     };
-    gateway.shell.platform_heard.set(Some(gateway.shell.now()));
+    gateway
+        .shell
+        .platform_answered_at
+        .set(Some(gateway.shell.now()));
     publish::set_configuration(&gateway.shell, answer, Arc::new(configuration));
 }
 
@@ -42,7 +45,7 @@
     #[case] what: &'static str,
 ) {
     run(move || async move {
-        let gateway = Gateway::empty(log::Options::default()).await;
+        let gateway = Gateway::unconfigured(log::Options::default()).await;
         publish(&gateway);
         let mut caller = Caller::connect(&gateway).await;
         let head = format!(
@@ -51,7 +54,7 @@
         );
         caller.send(&head).await;
         assert_eq!(caller.answer().await.status, status);
-        let line = gateway.logged(&["\"unmatched\"", "id-1"]).await;
+        let line = gateway.wait_for_line(&["\"unmatched\"", "id-1"]).await;
         let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
         assert_eq!(line["what"], what);
         assert_eq!(line["configuration"], 7);
@@ -67,10 +70,10 @@
 #[test]
 fn a_configuration_is_logged_with_the_way_it_came_and_its_content() {
     run(|| async {
-        let gateway = Gateway::empty(log::Options::default()).await;
+        let gateway = Gateway::unconfigured(log::Options::default()).await;
         publish(&gateway);
         let line = gateway
-            .logged(&["\"configuration\"", "\"version\":7"])
+            .wait_for_line(&["\"configuration\"", "\"version\":7"])
             .await;
         let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
         let table = gateway
@@ -85,7 +88,7 @@
 #[test]
 fn metrics_tell_the_version_and_when_the_platform_answered() {
     run(|| async {
-        let gateway = Gateway::empty(log::Options::default()).await;
+        let gateway = Gateway::unconfigured(log::Options::default()).await;
         let figures = || {
             let (_, text) = operators::metrics(&gateway.shell);
             String::from_utf8(text).expect("text")
