--- a/crates/gateway/src/active_configuration.rs
+++ b/crates/gateway/src/active_configuration.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force, since when, and how this node came to it.
+//! The configuration in force and where this node got it from.
 
 use std::net::SocketAddrV4;
 
@@ -7,23 +7,23 @@
 
 use crate::source::Answer;
 
-/// The word in logs for a document that this node read itself.
+/// The source name in logs of a document that this node read from the platform.
 const PLATFORM: &str = "platform";
 
-/// The word in logs for a document that another node gave.
+/// The method name in logs of a document that another node transferred.
 const TRANSFER: &str = "transfer";
 
-/// From where a configuration came.
+/// Where a configuration came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// The platform, in an answer to this node.
     Platform(Answer),
-    /// Another node.
+    /// Another node, in a transfer.
     Peer(SocketAddrV4),
 }
 
 impl Origin {
-    /// Who gave it, for logs: `platform` or the address of a node.
+    /// Returns the name of the source for logs: `platform` or the address of a node.
     pub fn to_source_name(self) -> String {
         match self {
             Origin::Platform(_) => PLATFORM.to_owned(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The way it came, for logs: a call to the platform, or a transfer.
+    /// Returns how it was obtained, for logs: the call to the platform, or `transfer`.
     pub fn method(self) -> &'static str {
         match self {
             Origin::Platform(answer) => answer.call.as_str(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The platform's answer that held it; none where another node gave it.
+    /// Returns the platform's answer that contained it, or `None` if it came from another node.
     pub fn answer_opt(self) -> Option<Answer> {
         match self {
             Origin::Platform(answer) => Some(answer),
@@ -48,15 +48,15 @@
     }
 }
 
-/// The configuration in force.
+/// The identity and origin of the configuration in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ActiveConfiguration {
     /// Its version.
     pub version: u64,
-    /// Names its content.
+    /// The digest of its content.
     pub digest: Digest,
-    /// Since when.
+    /// When it came into force.
     pub since: Time,
-    /// From where it came.
+    /// Where it came from.
     pub origin: Origin,
 }
--- a/crates/gateway/src/check.rs
+++ b/crates/gateway/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a gateway's settings and tells every fault.
+//! Validates a settings file of a gateway.
 
 use std::io::Write;
 use std::path::Path;
@@ -7,10 +7,11 @@
 
 use crate::settings;
 
-/// Checks a settings file; false where something is wrong, which was told.
+/// Validates a settings file and writes the result to `out`. Returns false after writing every
+/// fault if the settings are invalid.
 ///
 /// # Errors
-/// Where the file cannot be read or `out` cannot be written to.
+/// Returns an error if the file cannot be read or `out` cannot be written.
 pub fn check(path: &Path, out: &mut impl Write) -> anyhow::Result<bool> {
     let text = std::fs::read_to_string(path).with_context(|| format!("read {}", path.display()))?;
     match settings::parse(&text) {
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,61 +1,62 @@
-//! The time of one process. It goes on while the host is suspended, and never steps:
-//! the time of day may, and plays no part in any decision.
+//! A monotonic clock that advances while the host is suspended. The time of day may jump, so no
+//! decision depends on it.
 
 use std::time::Duration;
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// A time so far from zero that spans can be taken off it.
-const START: Time = Time(1_000_000_000_000);
+/// The time at which the clock starts, large enough that spans can be subtracted from it.
+const START_TIME: Time = Time(1_000_000_000_000);
 
-/// The clock of one process.
+/// The clock of a process.
 #[derive(Debug, Clone)]
 pub struct Clock {
     clock: woadstage_clock::Clock,
 }
 
 impl Clock {
-    /// Starts counting.
+    /// Starts a clock that reads the host's time since boot.
     pub fn start() -> Clock {
         Clock::reading(woadstage_clock::since_boot)
     }
 
-    /// Starts counting by another clock, as for a test that suspends its host.
+    /// Starts a clock that reads another time source, for example in a test that simulates a
+    /// suspension.
     pub fn reading(read: impl Fn() -> Duration + 'static) -> Clock {
         Clock {
             clock: woadstage_clock::Clock::reading(read),
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
-        START + self.uptime()
+        START_TIME + self.uptime()
     }
 
-    /// The time since this clock started.
+    /// Returns the time since this clock started, including suspensions.
     pub fn uptime(&self) -> Span {
         to_span(self.clock.elapsed())
     }
 
-    /// For how long the host was suspended since then.
+    /// Returns how long the host was suspended since this clock started.
     pub fn suspended(&self) -> Span {
         to_span(self.clock.suspended())
     }
 
-    /// The instant of a time, for timers. These stand still while the host is suspended,
-    /// so that it holds until then.
+    /// Converts a time to an instant for timers. Timers do not advance while the host is
+    /// suspended, so the result is valid only until the next suspension.
     pub fn to_instant(&self, time: Time) -> tokio::time::Instant {
         tokio::time::Instant::now() + to_duration(time.since(self.now()))
     }
 }
 
-/// A span as the standard library has it.
+/// Converts a span to a standard duration.
 pub fn to_duration(span: Span) -> Duration {
     Duration::from_micros(span.0)
 }
 
-/// A library's duration as the decisions measure it.
+/// Converts a standard duration to a span, in whole microseconds.
 pub fn to_span(duration: Duration) -> Span {
     Span(duration.as_micros() as u64)
 }
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,5 +1,5 @@
-//! The names under which callers and endpoints speak of requests. They come
-//! from the settings, since each platform has its own.
+//! The names of the HTTP headers that callers and endpoints use. They are configurable because
+//! each platform has its own.
 
 use hyper::HeaderMap;
 use hyper::header;
@@ -9,38 +9,39 @@
 use woadstage_dispatch::job::Prompt;
 use woadstage_types::code::Code;
 
-/// Header names. An empty name in the settings means that there is none.
+/// The names of HTTP headers. An empty name is not valid in the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Headers {
-    /// Names one attempt of a caller; endpoints echo it.
+    /// Identifies one attempt of a caller. Endpoints echo it.
     pub request: HeaderName,
-    /// Milliseconds for which the caller, then the endpoint, has use for it.
+    /// The time left for the request, in milliseconds: as stated by the caller, and as sent to
+    /// the endpoint.
     pub deadline: HeaderName,
-    /// Tells an endpoint which customer asks.
+    /// Tells an endpoint which customer sent the request.
     pub customer: HeaderName,
-    /// Tells an endpoint which one is meant.
+    /// Names the endpoint that the request is meant for.
     pub instance: HeaderName,
-    /// An endpoint's word that it did not run the request.
+    /// States that the endpoint did not run the request.
     pub not_run: HeaderName,
-    /// Prompt tokens and the most tokens of the answer, with a comma between.
+    /// The prompt tokens and the maximum tokens of the answer, separated by a comma.
     pub tokens: HeaderName,
-    /// The prompt's parts as `ID:TOKENS`, with commas between.
+    /// The parts of the prompt as `ID:TOKENS`, separated by commas.
     pub parts: HeaderName,
-    /// The caller's estimate of the tokens of the answer.
+    /// The caller's estimate of the number of tokens of the answer.
     pub output_hint: HeaderName,
-    /// The last event that arrived, when a stream goes on.
+    /// The last event of a stream that was received, as sent to the endpoint that resumes it.
     pub last_event: HeaderName,
-    /// Milliseconds for which an endpoint says that it stays cold.
+    /// The time for which an endpoint states that it stays cold, in milliseconds.
     pub cold: HeaderName,
-    /// Requests a second that an endpoint says it takes from all nodes together.
+    /// The rate limit that an endpoint states, in requests a second from all nodes together.
     pub rate_limit: HeaderName,
-    /// An endpoint's word that it leaves.
+    /// States that the endpoint is leaving.
     pub leaving: HeaderName,
-    /// Seconds for which an endpoint that turns a request away wants nothing from this
-    /// node.
+    /// The time for which an endpoint that rejects a request wants no other from this node, in
+    /// seconds.
     pub rest: HeaderName,
-    /// Fields by which the system gives orders to endpoints. What a caller
-    /// sends under these names is dropped.
+    /// Headers that control endpoints and that only the system may set. They are removed from
+    /// callers' requests.
     pub reserved: Vec<HeaderName>,
 }
 
@@ -66,7 +67,7 @@
 }
 
 impl Headers {
-    /// Reads the names that the settings give; others keep their defaults.
+    /// Reads the names from the settings. Those that the settings omit keep their defaults.
     pub fn read(reader: &mut Reader) -> Headers {
         let mut headers = Headers::default();
         let fields: [(&str, &mut HeaderName); 13] = [
@@ -99,7 +100,7 @@
         headers
     }
 
-    /// What a caller says of the prompt.
+    /// Extracts what the caller states about the prompt.
     pub fn to_prompt(&self, headers: &HeaderMap) -> Prompt {
         let (tokens, output) = self.to_tokens(headers).unwrap_or_default();
         let hint = text(headers, &self.output_hint);
@@ -111,19 +112,20 @@
         }
     }
 
-    /// Prompt tokens and the most tokens of the answer, where both are said.
+    /// Returns the prompt tokens and the maximum tokens of the answer, or `None` unless both are
+    /// stated.
     pub fn to_tokens(&self, headers: &HeaderMap) -> Option<(u64, u64)> {
         let (prompt, output) = text(headers, &self.tokens)?.split_once(',')?;
         Some((prompt.trim().parse().ok()?, output.trim().parse().ok()?))
     }
 
-    /// The milliseconds that a caller will wait, where it says so.
+    /// Returns how long the caller will wait, in milliseconds, or `None` if it does not state it.
     pub fn to_deadline_ms(&self, headers: &HeaderMap) -> Option<u64> {
         text(headers, &self.deadline)?.trim().parse().ok()
     }
 }
 
-/// A header's name from the settings, or a fault of the `field` that holds it.
+/// Parses the name of a header. Records a fault of `field` if it is invalid.
 fn parse_name(reader: &mut Reader, field: &str, text: &str) -> Option<HeaderName> {
     let name = text.parse().ok();
     if name.is_none() {
@@ -132,16 +134,17 @@
     name
 }
 
-/// A header's value, where it is text.
+/// Returns the value of a header, or `None` if it is absent or not text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Parts of a prompt that are read; later ones are never shared.
-const PARTS_MOST: usize = 32;
+/// The maximum number of parts of a prompt that are read. Later parts are never matched against
+/// cached prefixes.
+const MAX_PARTS: usize = 32;
 
 fn parse_parts(text: &str) -> Vec<Part> {
-    let parts = text.split(',').take(PARTS_MOST).map_while(|part| {
+    let parts = text.split(',').take(MAX_PARTS).map_while(|part| {
         let (id, tokens) = part.trim().split_once(':')?;
         Some(Part {
             id: u64::from_str_radix(id, 16).ok()?,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,19 +1,20 @@
-//! A node that forwards whole requests unread: sockets, clocks and bytes around
-//! the decisions of `woadstage-dispatch`. One loop on one thread.
+//! A gateway node: the network I/O and timers around the scheduling decisions of
+//! `woadstage-dispatch`. It forwards requests without interpreting their bodies and runs
+//! on a single-threaded event loop.
 //!
-//! * [`settings`]: what one process is told about itself.
-//! * [`check`]: checks settings without running.
-//! * [`headers`]: the names under which callers and endpoints speak of requests.
-//! * [`run`]: the whole process, from settings to a planned stop.
-//! * [`source`]: how what the platform publishes reaches the node.
-//! * [`publish`], [`active_configuration`]: what comes into force, and how it came.
-//! * [`shell`]: the decisions, and who waits for them.
-//! * [`serve`] answers callers.
-//! * [`upstream`] calls endpoints.
-//! * [`peers`] speaks with other nodes.
-//! * [`operators`]: readiness and metrics.
-//! * [`event`], [`log`], [`metrics`], [`explain`]: what can be known afterwards.
-//! * [`clock`]: the time, which never steps.
+//! * [`settings`], [`policy`]: the settings of a node.
+//! * [`check`]: validates a settings file without starting a node.
+//! * [`headers`]: the configurable names of HTTP headers.
+//! * [`run`]: the process from start to graceful shutdown.
+//! * [`source`]: the interface to the adapter that reads the platform.
+//! * [`publish`], [`active_configuration`]: applying configurations and lists of endpoints.
+//! * [`shell`]: the state that all tasks share, and the delivery of decisions to them.
+//! * [`serve`]: answers callers.
+//! * [`upstream`]: calls endpoints.
+//! * [`peers`]: communicates with other nodes.
+//! * [`operators`]: the readiness and metrics endpoints.
+//! * [`event`], [`log`], [`metrics`], [`explain`]: logs, metrics and their interpretation.
+//! * [`clock`]: a monotonic clock that includes suspensions of the host.
 
 pub mod active_configuration;
 pub mod check;
--- a/crates/gateway/src/publish.rs
+++ b/crates/gateway/src/publish.rs
@@ -1,4 +1,4 @@
-//! Brings documents of the platform into force, and logs what came into force.
+//! Applies configurations and lists of endpoints, and logs which came into force.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -15,30 +15,31 @@
 use crate::shell::Shell;
 use crate::source::Answer;
 
-/// Where a list of endpoints came from when this node read it itself.
-pub const PLATFORM: &str = "platform";
+/// The source name in logs of a list of endpoints that this node read from the platform.
+pub const PLATFORM_SOURCE: &str = "platform";
 
-/// Takes a configuration that this node read, where it is newer than the one in force.
+/// Applies a configuration that this node read if it is newer than the one in force.
 pub fn set_configuration(shell: &Shell, answer: Answer, configuration: Arc<Configuration>) {
     let before = shell.query(|dispatcher, _| dispatcher.configuration_version());
-    let taken = shell.command(|dispatcher, now| dispatcher.set_configuration(now, configuration));
-    if taken {
-        let after = to_span(answer.received_at.elapsed());
-        shell.metrics.applied(answer.call.as_str(), after);
-        note_configuration(shell, Origin::Platform(answer), before);
+    let is_applied =
+        shell.command(|dispatcher, now| dispatcher.set_configuration(now, configuration));
+    if is_applied {
+        let delay = to_span(answer.received_at.elapsed());
+        shell.metrics.applied(answer.call.as_str(), delay);
+        record_configuration(shell, Origin::Platform(answer), before);
     }
 }
 
-/// Takes a configuration of which another node gave the parts that were
-/// missing, where it is newer and all of it is there.
-pub fn receive_manifest(shell: &Shell, from: SocketAddrV4, head: &Manifest) {
+/// Applies a configuration whose missing parts another node transferred, if it is newer than the
+/// one in force and complete.
+pub fn receive_manifest(shell: &Shell, from: SocketAddrV4, manifest: &Manifest) {
     let before = shell.query(|dispatcher, _| dispatcher.configuration_version());
-    if shell.command(|dispatcher, now| dispatcher.receive_manifest(now, head)) {
-        note_configuration(shell, Origin::Peer(from), before);
+    if shell.command(|dispatcher, now| dispatcher.receive_manifest(now, manifest)) {
+        record_configuration(shell, Origin::Peer(from), before);
     }
 }
 
-/// Takes a list of endpoints, where it is newer than the one in force.
+/// Applies a list of endpoints if it is newer than the one in force.
 pub fn set_endpoints(shell: &Shell, from: &str, list: Arc<List>) {
     let before = shell.query(|dispatcher, _| dispatcher.edition());
     shell.command(|dispatcher, now| dispatcher.set_endpoints(now, list));
@@ -46,10 +47,20 @@
     if list.edition() == before {
         return;
     }
-    let leaving = list.endpoints.iter().filter(|one| one.leaving).count();
+    let leaving = list
+        .endpoints
+        .iter()
+        .filter(|endpoint| endpoint.leaving)
+        .count();
     let cold = list.endpoints.iter();
-    let cold = cold.filter(|one| one.cold_for > Span::ZERO).count();
-    let evacuated: Vec<&str> = list.evacuated.iter().map(|one| one.as_str()).collect();
+    let cold = cold
+        .filter(|endpoint| endpoint.cold_for > Span::ZERO)
+        .count();
+    let evacuated: Vec<&str> = list
+        .evacuated
+        .iter()
+        .map(|data_centre| data_centre.as_str())
+        .collect();
     shell.metrics.change("endpoints");
     shell.log(&Event::Endpoints {
         era: list.era.0,
@@ -62,8 +73,8 @@
     });
 }
 
-/// Notes and logs how the configuration came that is in force now.
-fn note_configuration(shell: &Shell, origin: Origin, before: u64) {
+/// Records and logs the configuration that has come into force and its origin.
+fn record_configuration(shell: &Shell, origin: Origin, before: u64) {
     let Some(table) = shell.query(|dispatcher, _| dispatcher.table().cloned()) else {
         return;
     };
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! The whole process, from settings to a planned stop.
+//! Runs a node, from reading its settings to a graceful shutdown.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -39,29 +39,29 @@
 use crate::source::Source;
 use crate::source::Update;
 
-/// Time between two looks at what time alone brings about.
-const TICK: Duration = Duration::from_millis(20);
+/// The interval of the dispatcher's timer.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks at the settings file.
-const SETTINGS_EVERY: Duration = Duration::from_secs(2);
+/// The interval at which the settings file is checked for changes.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long callers still come after the platform was told of a stop.
-const NOTICE: Duration = Duration::from_millis(2_600);
+/// How long callers keep arriving after the platform was told that the node is leaving.
+const LEAVING_PERIOD: Duration = Duration::from_millis(2_600);
 
-/// Time kept at the end of a planned stop for leaving in order.
-const SPARE: Duration = Duration::from_millis(500);
+/// The part of the stop time that is reserved for exiting in an orderly way.
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time kept for the last answers on their way, before the node ends.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
+/// The time reserved before the process exits for sending the last answers.
+const LAST_ANSWERS_MARGIN: Duration = Duration::from_millis(150);
 
-/// Time between two sweeps of connections at rest.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+/// The interval of closing idle connections to endpoints and of reporting dropped log lines.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a node until a planned stop has ended. `adapter` is called once with
-/// the settings and reads the platform for as long as the process runs.
+/// Runs a node until a graceful shutdown is complete. `adapter` is called once, with the
+/// settings, and reads the platform for as long as the process runs.
 ///
 /// # Errors
-/// Faults in the settings, or an address that cannot be listened on.
+/// Returns an error if the settings are invalid or an address cannot be bound.
 pub async fn run<A, F>(path: &Path, adapter: A) -> anyhow::Result<()>
 where
     A: FnOnce(&Settings, source::Feed) -> F,
@@ -85,7 +85,8 @@
         version: env!("CARGO_PKG_VERSION"),
     });
     let socket = UdpSocket::bind(settings.peers).await;
-    let socket = Rc::new(socket.with_context(|| format!("listen on {}", settings.peers))?);
+    let socket =
+        Rc::new(socket.with_context(|| format!("could not listen on {}", settings.peers))?);
     shell.peers.set_socket(socket.clone());
     let transfers = listen(settings.peers).await?;
     let ready = listen(settings.ready).await?;
@@ -94,15 +95,17 @@
     let (feed, source) = source::channel();
     let Source { updates, role } = source;
     spawn_local(adapter(&settings, feed));
-    spawn_local(take_updates(shell.clone(), updates));
+    spawn_local(apply_updates(shell.clone(), updates));
     spawn_local(peers::listen(shell.clone(), socket.clone()));
     spawn_local(peers::transfer::serve(shell.clone(), transfers));
-    let (asked, of) = (settings.ready_path.clone(), shell.clone());
+    let (ready_path, shared) = (settings.ready_path.clone(), shell.clone());
     spawn_local(operators::serve(ready, move |path| {
-        operators::readiness(&of, path, &asked)
+        operators::readiness(&shared, path, &ready_path)
+    }));
+    let shared = shell.clone();
+    spawn_local(operators::serve(metrics, move |_| {
+        operators::metrics(&shared)
     }));
-    let of = shell.clone();
-    spawn_local(operators::serve(metrics, move |_| operators::metrics(&of)));
     spawn_local(serve::accept(shell.clone(), callers));
     spawn_local(tick(shell.clone(), socket, role));
     for document in [Document::Endpoints, Document::Configuration] {
@@ -113,18 +116,19 @@
     stop(&shell, to_duration(settings.stop_within)).await
 }
 
-/// Reads and checks the settings.
+/// Reads and validates the settings file.
 ///
 /// # Errors
-/// Every fault in them.
+/// Returns an error if the file cannot be read, or one that lists every invalid setting.
 pub fn read(path: &Path) -> anyhow::Result<Settings> {
-    let text = std::fs::read_to_string(path).with_context(|| format!("read {}", path.display()))?;
+    let text = std::fs::read_to_string(path)
+        .with_context(|| format!("could not read {}", path.display()))?;
     settings::parse(&text).map_err(|faults: Faults| anyhow::anyhow!("{faults}"))
 }
 
 async fn listen(address: std::net::SocketAddrV4) -> anyhow::Result<TcpListener> {
     let listener = TcpListener::bind(address).await;
-    listener.with_context(|| format!("listen on {address}"))
+    listener.with_context(|| format!("could not listen on {address}"))
 }
 
 fn to_options(settings: &Settings, incarnation: u64) -> dispatcher::Options {
@@ -144,8 +148,8 @@
     }
 }
 
-/// Brings what the platform published into force.
-async fn take_updates(shell: Rc<Shell>, mut updates: UnboundedReceiver<Update>) {
+/// Applies what the platform published, as the adapter reports it.
+async fn apply_updates(shell: Rc<Shell>, mut updates: UnboundedReceiver<Update>) {
     while let Some(update) = updates.recv().await {
         match update {
             Update::Answered => shell.platform_answered_at.set(Some(shell.now())),
@@ -153,7 +157,7 @@
                 publish::set_configuration(&shell, answer, configuration);
             }
             Update::Endpoints(list) => {
-                publish::set_endpoints(&shell, publish::PLATFORM, list);
+                publish::set_endpoints(&shell, publish::PLATFORM_SOURCE, list);
             }
             Update::Restored { before, era } => {
                 shell.metrics.change("platform-restored");
@@ -174,8 +178,8 @@
                     waited_after,
                 });
             }
-            Update::Reached => note_platform(&shell, true, ""),
-            Update::Unreachable(detail) => note_platform(&shell, false, &detail),
+            Update::Reached => record_platform_state(&shell, true, ""),
+            Update::Unreachable(detail) => record_platform_state(&shell, false, &detail),
             Update::Unreadable(document, detail) => shell.log(&Event::Unreadable {
                 document: document.as_str(),
                 detail: &detail,
@@ -184,7 +188,7 @@
     }
 }
 
-fn note_platform(shell: &Shell, reached: bool, detail: &str) {
+fn record_platform_state(shell: &Shell, reached: bool, detail: &str) {
     shell.command(|dispatcher, _| dispatcher.set_platform_unreachable(!reached));
     shell.metrics.change(if reached {
         "platform-regained"
@@ -198,11 +202,12 @@
     });
 }
 
-/// Everything that time alone brings about.
+/// Runs the periodic work: detecting suspensions, the dispatcher's timers, messages to other
+/// nodes and the role that the adapter is told.
 async fn tick(shell: Rc<Shell>, socket: Rc<UdpSocket>, advertised_role: watch::Sender<Role>) {
     let mut last = shell.now();
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         shell.check_suspension();
         let now = shell.now();
         if shell.command(|dispatcher, now| dispatcher.tick(now)) {
@@ -218,33 +223,35 @@
     }
 }
 
+/// Closes idle connections to endpoints and logs how many log lines were dropped.
 async fn sweep(shell: Rc<Shell>) {
     let mut left_out = 0;
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         shell.upstream.sweep(shell.now());
-        let all = shell.log.left_out();
-        if all > left_out {
+        let total = shell.log.left_out();
+        if total > left_out {
             shell.log(&Event::LeftOut {
-                lines: all - left_out,
+                lines: total - left_out,
             });
-            left_out = all;
+            left_out = total;
         }
     }
 }
 
-/// Takes changed settings, on a signal or when the file has changed.
+/// Reloads the settings on SIGHUP or when the file has changed. Only the seeds take effect
+/// without a restart.
 async fn reload(shell: Rc<Shell>, path: std::path::PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
     let mut known = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
-        let signalled = tokio::time::timeout(SETTINGS_EVERY, hangup.recv())
+        let is_signalled = tokio::time::timeout(SETTINGS_POLL_INTERVAL, hangup.recv())
             .await
             .is_ok();
         let text = std::fs::read_to_string(&path).unwrap_or_default();
-        if text == known && !signalled {
+        if text == known && !is_signalled {
             continue;
         }
         known = text;
@@ -259,7 +266,8 @@
     }
 }
 
-/// Waits for the signal, tells the platform and the others, lets what runs end.
+/// Waits for SIGTERM or SIGINT, then announces that the node is leaving and waits for the
+/// requests in progress to end, for at most `within`.
 async fn stop(shell: &Rc<Shell>, within: Duration) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -267,39 +275,39 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    let deadline = shell.now() + to_span(within.saturating_sub(SPARE));
-    let note = |phase: &str| {
+    let deadline = shell.now() + to_span(within.saturating_sub(EXIT_MARGIN));
+    let log_phase = |phase: &str| {
         let held = shell.query(|dispatcher, _| dispatcher.held());
         shell.log(&Event::Stopping { held, phase });
     };
-    note("leaving");
+    log_phase("leaving");
     shell.set_phase(Phase::Leaving);
     shell.command(|dispatcher, _| dispatcher.leave());
-    let noticed = deadline.min(shell.now() + to_span(NOTICE));
-    wait_until(shell, noticed, || false).await;
-    note("closing");
-    let left = to_duration(deadline.since(shell.now()));
-    shell.start_closing(to_span(left.saturating_sub(LAST_ANSWERS)));
-    // Callers go on coming while others stop too: waiting for them as well would
-    // keep the node from starting anew. What it took from them is short.
+    let leaving_until = deadline.min(shell.now() + to_span(LEAVING_PERIOD));
+    wait_until(shell, leaving_until, || false).await;
+    log_phase("closing");
+    let remaining = to_duration(deadline.since(shell.now()));
+    shell.start_closing(to_span(remaining.saturating_sub(LAST_ANSWERS_MARGIN)));
+    // New callers keep connecting while other nodes stop too. Waiting for their connections as
+    // well would delay the restart, and the requests accepted from them are short.
     wait_until(shell, deadline, || shell.connections.get() == 0).await;
     shell.set_phase(Phase::Stopped);
-    // Lets `serve::accept` take those that are connected already.
+    // Lets `serve::accept` accept the connections that are already established.
     tokio::task::yield_now().await;
-    let is_over = || {
+    let is_drained = || {
         let held = shell.query(|dispatcher, _| dispatcher.held());
         held == 0 && shell.late_connections.get() == 0
     };
-    wait_until(shell, deadline, is_over).await;
-    note("stopped");
-    // The log's thread gathers lines for a moment before it writes them.
+    wait_until(shell, deadline, is_drained).await;
+    log_phase("stopped");
+    // The log's thread buffers lines for a moment before it writes them.
     tokio::time::sleep(log::Options::default().gather * 2).await;
     Ok(())
 }
 
-/// Waits until something is so, or the deadline has come.
-async fn wait_until(shell: &Shell, deadline: Time, is_so: impl Fn() -> bool) {
-    while shell.now() < deadline && !is_so() {
-        tokio::time::sleep(TICK).await;
+/// Waits until `condition` holds or the deadline has passed.
+async fn wait_until(shell: &Shell, deadline: Time, condition: impl Fn() -> bool) {
+    while shell.now() < deadline && !condition() {
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,5 +1,4 @@
-//! What one process is told about itself, in TOML. Every fault of a file is
-//! reported at once.
+//! The settings of a node, read from a TOML file. All faults of a file are reported together.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -23,54 +22,55 @@
 pub struct Settings {
     /// The name of the entry host.
     pub host: id::Host,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: id::DataCentre,
-    /// The region of each data centre. Requests that are bound to regions run in none
-    /// that is not named here.
+    /// The region of each data centre. Requests that are restricted to regions never run in a
+    /// data centre that is not listed here.
     pub regions: HashMap<id::DataCentre, id::Region>,
-    /// How long a planned stop may last.
+    /// The maximum duration of a graceful shutdown.
     pub stop_within: Span,
-    /// Memory that the process may use.
+    /// The memory that the process may use.
     pub memory: Size,
-    /// Where callers are served.
+    /// The address at which callers are served.
     pub callers: SocketAddrV4,
-    /// Where readiness is asked for.
+    /// The address of the readiness endpoint.
     pub ready: SocketAddrV4,
-    /// The path at which readiness is asked for.
+    /// The path of the readiness endpoint.
     pub ready_path: String,
-    /// Where metrics are served.
+    /// The address at which metrics are served.
     pub metrics: SocketAddrV4,
-    /// Where other nodes are met, over UDP and TCP.
+    /// The address for communication with other nodes, over UDP and TCP.
     pub peers: SocketAddrV4,
-    /// Other nodes that may be there; all use one port.
+    /// The addresses of nodes to contact first. All nodes use the same port.
     pub seeds: Vec<SocketAddrV4>,
-    /// Where the platform publishes.
+    /// The address of the platform's store.
     pub platform: SocketAddrV4,
-    /// How long after a fault of the way to the platform all that it published has to be
-    /// in force.
+    /// The maximum time after a network fault towards the platform until everything that it
+    /// published is in force.
     pub regained_within: Span,
-    /// How far quotas may be exceeded.
+    /// The limits on exceeding quotas.
     pub quota: quota::Options,
-    /// What may be sent again.
+    /// The retry budget.
     pub budget: budget::Options,
-    /// Bounds and weights of the policy.
+    /// The limits and weights of the scheduling policy.
     pub policy: Policy,
-    /// Header names.
+    /// The names of HTTP headers.
     pub headers: Headers,
 }
 
-const UNSET: SocketAddrV4 = SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0);
+/// Stands in for an address that is missing or invalid, which is a fault.
+const UNSET_ADDRESS: SocketAddrV4 = SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0);
 
-/// The usual time after a fault of the way to the platform until all is in force.
-const REGAINED_WITHIN: Span = Span::from_secs(3);
+/// The default of [`Settings::regained_within`].
+const DEFAULT_REGAINED_WITHIN: Span = Span::from_secs(3);
 
-/// Least memory that a process can be told to do with.
-const MEMORY_LEAST: Size = Size::from_mib(32);
+/// The smallest memory limit that is accepted.
+const MIN_MEMORY: Size = Size::from_mib(32);
 
-/// Parses the settings of one node.
+/// Parses the settings of a node.
 ///
 /// # Errors
-/// Every fault found, each with its place and code.
+/// Returns every fault, each with its place and code.
 pub fn parse(text: &str) -> Result<Settings, Faults> {
     let mut reader = Reader::parse(text)?;
     let mut node = reader.sub("node");
@@ -83,60 +83,60 @@
     let mut policy = reader.sub("policy");
     let mut headers = reader.sub("headers");
     let settings = Settings {
-        host: id::Host::new(&name(&mut node, "host")),
-        data_centre: id::DataCentre::new(&name(&mut node, "data_centre")),
+        host: id::Host::new(&read_name(&mut node, "host")),
+        data_centre: id::DataCentre::new(&read_name(&mut node, "data_centre")),
         regions,
         stop_within: node.take_or("stop_within", Span::from_secs(8)),
         memory: node.take_or("memory", Size::from_mib(128)),
-        callers: address(&mut listen, "callers"),
-        ready: address(&mut listen, "ready"),
+        callers: read_address(&mut listen, "callers"),
+        ready: read_address(&mut listen, "ready"),
         ready_path: listen.take_or("ready_path", "/readyz".to_owned()),
-        metrics: address(&mut listen, "metrics"),
-        peers: address(&mut peers, "address"),
-        seeds: seeds(&mut peers),
-        platform: address(&mut platform, "address"),
-        regained_within: platform.take_or("regained_within", REGAINED_WITHIN),
+        metrics: read_address(&mut listen, "metrics"),
+        peers: read_address(&mut peers, "address"),
+        seeds: read_seeds(&mut peers),
+        platform: read_address(&mut platform, "address"),
+        regained_within: platform.take_or("regained_within", DEFAULT_REGAINED_WITHIN),
         quota: read_quota(&mut quota),
         budget: read_budget(&mut retry),
         policy: policy::read(&mut policy),
         headers: Headers::read(&mut headers),
     };
-    if settings.memory < MEMORY_LEAST {
+    if settings.memory < MIN_MEMORY {
         node.fault("memory", Code::SettingsValue, "Give at least 32MiB.");
     }
     let mut faults = reader.finish();
-    for sub in [node, listen, peers, platform, quota, retry, policy, headers] {
-        faults.0.append(&mut sub.finish().0);
+    for table in [node, listen, peers, platform, quota, retry, policy, headers] {
+        faults.0.append(&mut table.finish().0);
     }
     faults.into_result(settings)
 }
 
-fn name(sub: &mut Reader, field: &str) -> String {
-    let text: String = sub.take(field);
+fn read_name(table: &mut Reader, field: &str) -> String {
+    let text: String = table.take(field);
     if text.is_empty() {
-        sub.fault(field, Code::SettingsValue, "Give a name.");
+        table.fault(field, Code::SettingsValue, "Give a name.");
     }
     text
 }
 
-fn address(sub: &mut Reader, field: &str) -> SocketAddrV4 {
-    let text: String = sub.take(field);
+fn read_address(table: &mut Reader, field: &str) -> SocketAddrV4 {
+    let text: String = table.take(field);
     text.parse().unwrap_or_else(|_| {
-        let mend = "Give an address such as \"10.0.0.1:8080\".";
-        sub.fault(field, Code::SettingsValue, mend);
-        UNSET
+        let hint = "Give an address such as \"10.0.0.1:8080\".";
+        table.fault(field, Code::SettingsValue, hint);
+        UNSET_ADDRESS
     })
 }
 
-/// Seeds name hosts; the port is that of this node's own peers' address, since
-/// all nodes of a fleet use one.
-fn seeds(peers: &mut Reader) -> Vec<SocketAddrV4> {
+/// Reads the seeds. `seed_port`, if given, replaces the port of every seed, since all nodes of a
+/// fleet use the same one.
+fn read_seeds(peers: &mut Reader) -> Vec<SocketAddrV4> {
     let texts: Vec<String> = peers.take_or("seeds", Vec::new());
     let port = peers.take_opt::<u16>("seed_port");
-    let mut found = Vec::new();
+    let mut addresses = Vec::new();
     for text in texts {
         match text.parse::<SocketAddrV4>() {
-            Ok(seed) => found.push(SocketAddrV4::new(*seed.ip(), port.unwrap_or(seed.port()))),
+            Ok(seed) => addresses.push(SocketAddrV4::new(*seed.ip(), port.unwrap_or(seed.port()))),
             Err(_) => peers.fault(
                 "seeds",
                 Code::SettingsValue,
@@ -144,28 +144,28 @@
             ),
         }
     }
-    found
+    addresses
 }
 
-fn read_quota(sub: &mut Reader) -> quota::Options {
-    let usual = quota::Options::default();
+fn read_quota(table: &mut Reader) -> quota::Options {
+    let defaults = quota::Options::default();
     quota::Options {
-        overrun: take_number(sub, "overrun", usual.overrun),
-        slack: take_number(sub, "slack", usual.slack),
-        part: take_number(sub, "part", usual.part),
-        part_in_cells: take_number(sub, "part_in_cells", usual.part_in_cells),
-        initial: take_number(sub, "initial", usual.initial),
-        window: sub.take_or("window", usual.window),
-        ..usual
+        overrun: take_number(table, "overrun", defaults.overrun),
+        slack: take_number(table, "slack", defaults.slack),
+        part: take_number(table, "part", defaults.part),
+        part_in_cells: take_number(table, "part_in_cells", defaults.part_in_cells),
+        initial: take_number(table, "initial", defaults.initial),
+        window: table.take_or("window", defaults.window),
+        ..defaults
     }
 }
 
-fn read_budget(sub: &mut Reader) -> budget::Options {
-    let usual = budget::Options::default();
+fn read_budget(table: &mut Reader) -> budget::Options {
+    let defaults = budget::Options::default();
     budget::Options {
-        ratio: take_number(sub, "ratio", usual.ratio),
-        extra: take_number(sub, "extra", usual.extra),
-        window: sub.take_or("window", usual.window),
-        ..usual
+        ratio: take_number(table, "ratio", defaults.ratio),
+        extra: take_number(table, "extra", defaults.extra),
+        window: table.take_or("window", defaults.window),
+        ..defaults
     }
 }
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -1,4 +1,5 @@
-//! The decisions of this node, and who waits for them.
+//! The state that all tasks of a node share. It runs the dispatcher, which does no I/O itself,
+//! and delivers its decisions to the tasks that wait for them.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -33,66 +34,67 @@
 use crate::peers::transfer;
 use crate::upstream::Upstream;
 
-/// How far a planned stop has come.
+/// A phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Callers are served.
+    /// The node serves callers.
     Serving,
-    /// The platform is told; callers are served, and asked to go elsewhere.
+    /// The platform is told that the node is leaving. Callers are served and asked to connect
+    /// elsewhere.
     Leaving,
-    /// Connections close as their answers end. New ones get one answer each.
+    /// Connections close after the answer in progress. A new connection gets one answer.
     Closing,
-    /// Nobody is listened to any more; the process ends once what it holds is
-    /// over.
+    /// No connections are accepted any more. The process exits once the remaining requests have
+    /// ended.
     Stopped,
 }
 
-/// What all tasks of one process share. One thread, so no locks.
+/// The state that all tasks share. They run on one thread, so it needs no locks.
 pub struct Shell {
-    /// The time.
+    /// The clock.
     pub clock: Clock,
-    /// Header names.
+    /// The names of HTTP headers.
     pub headers: Headers,
-    /// Log lines.
+    /// The event log.
     pub log: Log,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Metrics,
-    /// Connections to endpoints.
+    /// The connections to endpoints.
     pub upstream: Upstream,
-    /// Kibibytes of request bodies that may still be held.
+    /// The memory left for request bodies, one permit a KiB.
     pub body_budget: Arc<Semaphore>,
-    /// Connections from callers that are open.
+    /// The number of open connections from callers that came before the node began to close.
     pub connections: Cell<usize>,
-    /// Those that came after the node had begun to close.
+    /// The number of open connections from callers that came after that.
     pub late_connections: Cell<usize>,
-    /// Messages to other nodes.
+    /// Sends messages to other nodes.
     pub peers: peers::Sender,
-    /// Questions to the owners of quotas.
+    /// The reservation requests to owners of quotas that are not answered yet.
     pub reservations: Reservations,
-    /// Transfers of documents from and to other nodes.
+    /// The numbers of document transfers in progress, from and to other nodes.
     pub transfers: transfer::Counts,
-    /// The configuration in force, and how it came.
+    /// The configuration in force and where it came from.
     pub active_configuration: Cell<Option<ActiveConfiguration>>,
     /// When the platform last answered this node.
     pub platform_answered_at: Cell<Option<Time>>,
-    /// For how long the host was suspended, as far as that was noticed.
+    /// The total time for which the host was suspended, as detected so far.
     suspended: watch::Sender<Span>,
     phase: watch::Sender<Phase>,
-    /// When every answer must be out, once the node closes.
-    ends_at: Cell<Option<Time>>,
+    /// When all answers must have been sent, once the node closes.
+    answer_deadline: Cell<Option<Time>>,
     dispatcher: RefCell<Dispatcher>,
     waiters: RefCell<HashMap<job::Id, oneshot::Sender<Decision>>>,
 }
 
-/// Suspensions that are noticed: shorter ones delay a timer no more than a busy host
-/// does.
-const SUSPENDED_LEAST: Span = Span::from_millis(50);
+/// The shortest suspension that is detected. Shorter ones delay a timer no more than a busy
+/// host does.
+const MIN_SUSPENSION: Span = Span::from_millis(50);
 
-/// The part of the memory that request bodies may fill.
-const BODIES_PART: u64 = 4;
+/// Request bodies may take the node's memory divided by this.
+const BODY_MEMORY_DIVISOR: u64 = 4;
 
 impl Shell {
-    /// Puts the parts of one process together.
+    /// Creates the shared state of a node that is [`Phase::Serving`].
     pub fn new(
         dispatcher: Dispatcher,
         headers: Headers,
@@ -108,7 +110,9 @@
             log,
             metrics,
             upstream: Upstream::default(),
-            body_budget: Arc::new(Semaphore::new(((memory.0 / BODIES_PART) >> 10) as usize)),
+            body_budget: Arc::new(Semaphore::new(
+                ((memory.0 / BODY_MEMORY_DIVISOR) >> 10) as usize,
+            )),
             connections: Cell::new(0),
             late_connections: Cell::new(0),
             peers: peers::Sender::default(),
@@ -117,39 +121,39 @@
             active_configuration: Cell::default(),
             platform_answered_at: Cell::default(),
             phase: watch::Sender::new(Phase::Serving),
-            ends_at: Cell::new(None),
+            answer_deadline: Cell::new(None),
             dispatcher: RefCell::new(dispatcher),
             waiters: RefCell::default(),
         })
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// The time since this process started.
+    /// Returns the time since this process started.
     pub fn uptime(&self) -> Span {
         self.clock.uptime()
     }
 
-    /// Looks whether the host was suspended. Timers stood still meanwhile: all who wait
-    /// for a time look at it anew.
+    /// Detects whether the host was suspended. Timers do not advance during a suspension, so every
+    /// [`Shell::timeout_at`] then recomputes its remaining time.
     pub fn check_suspension(&self) {
         let suspended = self.clock.suspended();
-        self.suspended.send_if_modified(|noticed| {
-            let more = suspended.0.saturating_sub(noticed.0) >= SUSPENDED_LEAST.0;
-            if more {
-                *noticed = suspended;
+        self.suspended.send_if_modified(|known| {
+            let is_suspension = suspended.0.saturating_sub(known.0) >= MIN_SUSPENSION.0;
+            if is_suspension {
+                *known = suspended;
             }
-            more
+            is_suspension
         });
     }
 
-    /// Waits for a future until a time.
+    /// Waits for a future until `time`, which may pass during a suspension of the host.
     ///
     /// # Errors
-    /// [`Elapsed`] where the time comes first.
+    /// Returns [`Elapsed`] if the future is not ready by then.
     pub async fn timeout_at<F: Future>(&self, time: Time, future: F) -> Result<F::Output, Elapsed> {
         let mut suspended = self.suspended.subscribe();
         let mut future = pin!(future);
@@ -157,77 +161,79 @@
             tokio::select! {
                 biased;
                 output = future.as_mut() => return Ok(output),
-                // Fails only without a sender, which this shell holds.
+                // Fails only if the sender was dropped, and `self` owns it.
                 _ = suspended.changed() => {}
                 () = tokio::time::sleep_until(self.clock.to_instant(time)) => return Err(Elapsed),
             }
         }
     }
 
-    /// How far a planned stop has come.
+    /// Returns the phase of the shutdown.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Waits until a planned stop has come so far.
+    /// Waits until the shutdown has reached `phase` or a later one.
     pub async fn wait_for_phase(&self, phase: Phase) {
         let mut reached = self.phase.subscribe();
-        // What this returns locks the phase and must not outlive this line. It
-        // fails only without a sender, which this shell holds.
+        // The guard that this returns locks the phase, so it is dropped at once. Fails only if
+        // the sender was dropped, and `self` owns it.
         let _ = reached.wait_for(|now| *now >= phase).await.is_ok();
     }
 
-    /// Moves a planned stop on.
+    /// Sets the phase of the shutdown.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Begins to close: every answer is out within this time.
+    /// Starts [`Phase::Closing`], in which all answers have to be sent within this time.
     pub fn start_closing(&self, within: Span) {
-        self.ends_at.set(Some(self.now() + within));
+        self.answer_deadline.set(Some(self.now() + within));
         self.set_phase(Phase::Closing);
     }
 
-    /// When every answer must be out, where the node closes.
+    /// Returns when all answers must have been sent, or `None` if the node is not closing.
     pub fn answer_deadline_opt(&self) -> Option<Time> {
-        self.ends_at.get()
+        self.answer_deadline.get()
     }
 
-    /// Asks for what is known.
+    /// Reads the dispatcher's state.
     pub fn query<R>(&self, query: impl FnOnce(&Dispatcher, Time) -> R) -> R {
         query(&self.dispatcher.borrow(), self.now())
     }
 
-    /// Gives a command, and hands what was decided to those who wait for it.
+    /// Runs a command on the dispatcher and delivers the decisions that result.
     pub fn command<R>(&self, command: impl FnOnce(&mut Dispatcher, Time) -> R) -> R {
         let answer = command(&mut self.dispatcher.borrow_mut(), self.now());
         self.deliver();
         answer
     }
 
-    /// Puts a request in line.
+    /// Queues a request and returns a receiver of its decision.
     pub fn enter(&self, job: Job) -> (job::Id, oneshot::Receiver<Decision>) {
         let id = self.dispatcher.borrow_mut().enter(self.now(), job);
-        let decision = self.wait(id);
+        let decision = self.register_waiter(id);
         self.deliver();
         (id, decision)
     }
 
-    /// Tells how an attempt ended. Where the request goes on, its next decision
-    /// follows.
+    /// Reports how an attempt ended. Returns a receiver of the next decision if the request is
+    /// to be tried again.
     pub fn end(&self, id: job::Id, end: End) -> (Next, Option<oneshot::Receiver<Decision>>) {
         let next = self.dispatcher.borrow_mut().end(self.now(), id, end);
-        let decision = (next == Next::Again).then(|| self.wait(id));
+        let decision = (next == Next::Again).then(|| self.register_waiter(id));
         self.deliver();
         (next, decision)
     }
 
-    fn wait(&self, id: job::Id) -> oneshot::Receiver<Decision> {
+    fn register_waiter(&self, id: job::Id) -> oneshot::Receiver<Decision> {
         let (sender, receiver) = oneshot::channel();
         self.waiters.borrow_mut().insert(id, sender);
         receiver
     }
 
+    /// Delivers everything that the dispatcher has produced: decisions, changes to log and
+    /// messages to other nodes.
     fn deliver(&self) {
         loop {
             let decisions = self.dispatcher.borrow_mut().take_decisions();
@@ -235,7 +241,7 @@
                 break;
             }
             for decision in decisions {
-                self.hand_over(decision);
+                self.deliver_decision(decision);
             }
         }
         let changes = self.dispatcher.borrow_mut().take_changes();
@@ -259,19 +265,21 @@
         }
     }
 
-    fn hand_over(&self, decision: Decision) {
+    /// Sends a decision to the task that waits for it, or abandons the request if that task is
+    /// gone.
+    fn deliver_decision(&self, decision: Decision) {
         let id = match &decision {
             Decision::Start { job, .. } | Decision::Refuse { job, .. } => *job,
         };
         let waiter = self.waiters.borrow_mut().remove(&id);
-        let taken = waiter.is_some_and(|waiter| waiter.send(decision).is_ok());
-        if !taken {
+        let is_delivered = waiter.is_some_and(|waiter| waiter.send(decision).is_ok());
+        if !is_delivered {
             self.dispatcher.borrow_mut().abandon(self.now(), id);
         }
     }
 
-    /// Logs and counts that something else is believed of an endpoint: by its answer to a
-    /// request, or without one.
+    /// Logs and counts a change in what is assumed of an endpoint. `request` is empty unless the
+    /// change came with the answer to a request.
     pub fn record_endpoint_change(&self, request: &str, endpoint: &str, change: notice::Change) {
         self.metrics.change(change.as_str());
         self.log(&Event::Notice {
@@ -283,7 +291,7 @@
         });
     }
 
-    /// Logs an event.
+    /// Writes an event to the log.
     pub fn log(&self, event: &Event<'_>) {
         self.log.write(event);
     }
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -1,5 +1,5 @@
-//! How what the platform publishes reaches the node. An adapter reads the
-//! platform in whatever way that speaks and sends typed updates.
+//! The interface between the node and the adapter that reads the platform. The adapter
+//! implements the platform's protocol and sends typed updates.
 
 use std::sync::Arc;
 
@@ -12,17 +12,17 @@
 use woadstage_dispatch::member::Role;
 pub use woadstage_dispatch::message::Document;
 
-/// By which call an adapter came to a document.
+/// The kind of call that returned a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
-    /// A read of everything.
+    /// A full read.
     Read,
-    /// A wait for changes.
+    /// A long poll for changes.
     Watch,
 }
 
 impl Call {
-    /// The word for logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Call::Read => "read",
@@ -31,84 +31,84 @@
     }
 }
 
-/// The answer of the platform that held a document.
+/// The platform's answer that contained a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// To which call.
+    /// The kind of call that it answers.
     pub call: Call,
     /// The platform's revision at which the document was written.
     pub revision: u64,
-    /// The platform's revision as the answer says it.
+    /// The platform's revision that the answer states.
     pub answer_revision: u64,
-    /// When the answer was whole, by the steady clock.
+    /// When the answer was complete, by the monotonic clock.
     pub received_at: Instant,
 }
 
-/// What an adapter has to say.
+/// An update from the adapter.
 #[derive(Debug, Clone)]
 pub enum Update {
     /// The platform answered.
     Answered,
     /// A configuration was read.
     Configuration(Arc<Configuration>, Answer),
-    /// The endpoints were read, whole.
+    /// The full list of endpoints was read.
     Endpoints(Arc<List>),
-    /// The platform was reached again.
+    /// The platform is reachable again.
     Reached,
-    /// The platform came back with an older copy of what it had acknowledged, and is
-    /// read anew.
+    /// The platform was restored from a copy that lacks data it had acknowledged, and is read
+    /// again in full.
     Restored {
         /// The era before.
         before: Era,
         /// The era now.
         era: Era,
     },
-    /// The platform could not be reached or answered with a fault.
+    /// The platform could not be reached or answered with an error; holds the cause.
     Unreachable(String),
-    /// A read anew brought a change that lies before what this node had waited for, and
-    /// that it did not have.
+    /// A repeated full read returned a change that is older than the revision from which this
+    /// node had watched, and that the watch had not reported.
     Missed {
-        /// Of which document.
+        /// The document that was changed.
         document: Document,
-        /// The platform's revision of the change.
+        /// The platform's revision at the change.
         revision: u64,
-        /// The revision after which the node had waited for changes.
+        /// The revision after which the node had watched for changes.
         waited_after: u64,
     },
-    /// Something that was published could not be understood and is left out.
+    /// A published entry could not be parsed and is ignored; holds the cause.
     Unreadable(Document, String),
 }
 
-/// Where an adapter sends its updates.
+/// The sending half of the channel of updates.
 pub type Sender = mpsc::UnboundedSender<Update>;
 
-/// What an adapter is given.
+/// The adapter's end of the channels.
 pub struct Feed {
-    /// Where it sends its updates.
+    /// Sends updates to the node.
     pub updates: Sender,
-    /// Whether it is to read now; others may read for this node.
+    /// The node's role: whether it reads the platform itself or follows other nodes that do.
     pub role: watch::Receiver<Role>,
 }
 
 /// The node's end of a [`Feed`].
 pub struct Source {
-    /// Where updates come from.
+    /// Receives updates from the adapter.
     pub updates: mpsc::UnboundedReceiver<Update>,
-    /// Tells the adapter whether to read.
+    /// Tells the adapter the node's role.
     pub role: watch::Sender<Role>,
 }
 
-/// A pair of both ends.
+/// Creates the connected ends. The role is [`Role::Follower`] at first.
 pub fn channel() -> (Feed, Source) {
     let (sender, receiver) = mpsc::unbounded_channel();
-    let (tell, told) = watch::channel(Role::Follower);
+    let (role_sender, role_receiver) = watch::channel(Role::Follower);
     let feed = Feed {
         updates: sender,
-        role: told,
+        role: role_receiver,
     };
     let source = Source {
         updates: receiver,
-        role: tell,
+        role: role_sender,
     };
     (feed, source)
 }
--- a/crates/gateway/tests/gateway/keep.rs
+++ b/crates/gateway/tests/gateway/keep.rs
@@ -1,10 +1,9 @@
-//! Connections to endpoints that are kept at rest.
+//! Tests of the limit on idle connections to endpoints.
 //!
-//! An endpoint takes so many connections from all nodes together and resets those beyond.
-//! Each node kept up to sixteen at rest, whatever the endpoint takes and however many
-//! nodes there are: of 585 nodes, a handful of connections each would be more than the
-//! 2,100 that endpoints of such a fleet take. The evidence: the figure is read from the
-//! configuration and no line of the source looks at it.
+//! An endpoint accepts a limited number of connections from all nodes together and resets the
+//! rest. If each node kept up to sixteen idle connections whatever the configured limit and
+//! however many nodes there are, 585 nodes with a handful each would exceed the 2,100 that the
+//! endpoints of such a fleet accept.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,27 +21,31 @@
 use crate::support::configuration;
 use crate::support::run;
 
-/// A configuration whose endpoints take so many connections.
-fn taking(connections: u32) -> Configuration {
-    let usual = configuration(None);
-    let services = usual.services.iter().map(|service| Service {
+/// Returns a configuration whose endpoints accept this many connections from all nodes together.
+fn configuration_with_connections(connections: u32) -> Configuration {
+    let base = configuration(None);
+    let services = base.services.iter().map(|service| Service {
         connections,
         ..service.clone()
     });
     Configuration {
         services: services.collect(),
-        ..usual.clone()
+        ..base.clone()
     }
 }
 
 #[test]
-fn no_more_connections_are_kept_than_all_nodes_may_have() {
+fn idle_connections_stay_within_the_service_limit() {
     run(|| async {
-        let go_on = Rc::new(Notify::new());
-        let act = Act::Stepwise(vec![answer("200 OK", "fine")], go_on.clone());
-        let worker = Worker::start("e", vec![act]).await;
-        let gateway =
-            Gateway::configured(&[&worker], Some(taking(2)), log::Options::default()).await;
+        let proceed = Rc::new(Notify::new());
+        let script = Act::Stepwise(vec![answer("200 OK", "fine")], proceed.clone());
+        let worker = Worker::start("e", vec![script]).await;
+        let gateway = Gateway::configured(
+            &[&worker],
+            Some(configuration_with_connections(2)),
+            log::Options::default(),
+        )
+        .await;
         let mut callers = Vec::new();
         for number in 0..3 {
             let mut caller = Caller::connect(&gateway).await;
@@ -53,7 +56,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         for mut caller in callers {
-            go_on.notify_one();
+            proceed.notify_one();
             assert_eq!(caller.answer().await.status, 200);
         }
         worker.closed.notified().await;
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway over real sockets, against stand-ins of endpoints.
+//! Tests of the gateway over real sockets, with scripted endpoints.
 
 mod answers;
 mod attempts;
--- a/crates/gateway/tests/gateway/stop.rs
+++ b/crates/gateway/tests/gateway/stop.rs
@@ -1,4 +1,4 @@
-//! Readiness and a planned stop.
+//! Tests of readiness, graceful shutdown and metrics.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
 use crate::support::serving;
 
 #[test]
-fn readiness_is_that_of_the_node() {
+fn readiness_follows_the_state_of_the_node() {
     run(|| async {
         let ready = |gateway: &Gateway| operators::readiness(&gateway.shell, "/ready", "/ready").0;
         let without = Gateway::configured(&[], None, log::Options::default()).await;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn while_leaving_callers_are_served_and_asked_to_go_elsewhere() {
+fn a_leaving_node_serves_callers_and_asks_them_to_reconnect() {
     run(|| async {
         let (_worker, gateway, mut caller) = serving().await;
         gateway.shell.set_phase(Phase::Leaving);
@@ -55,36 +55,37 @@
 }
 
 #[test]
-fn what_is_under_way_when_the_node_closes_ends_whole() {
+fn answers_in_progress_are_completed_when_the_node_closes() {
     run(|| async {
-        let go_on = Rc::new(Notify::new());
+        let proceed = Rc::new(Notify::new());
         let steps = vec![
             format!("{}{}", chunked_head(), chunk("id: 1\n\n")),
             format!("{}0\r\n\r\n", chunk("id: 2\n\n")),
         ];
-        let worker = Worker::start("e", vec![Act::Stepwise(steps, go_on.clone())]).await;
+        let worker = Worker::start("e", vec![Act::Stepwise(steps, proceed.clone())]).await;
         let gateway = Gateway::start(&[&worker]).await;
-        let mut under_way = Caller::connect(&gateway).await;
-        let mut at_rest = Caller::connect(&gateway).await;
-        at_rest.request("id-0", "/none/x", "").await;
-        at_rest.answer().await;
-        under_way.request("id-1", "/stream/x", "").await;
-        go_on.notify_one();
-        under_way.read_until("id: 1").await;
+        let mut streaming = Caller::connect(&gateway).await;
+        let mut idle = Caller::connect(&gateway).await;
+        idle.request("id-0", "/none/x", "").await;
+        idle.answer().await;
+        streaming.request("id-1", "/stream/x", "").await;
+        proceed.notify_one();
+        streaming.read_until("id: 1").await;
         gateway.shell.set_phase(Phase::Closing);
-        assert!(at_rest.is_closed().await);
+        assert!(idle.is_closed().await);
         gateway.shell.set_phase(Phase::Stopped);
-        go_on.notify_one();
-        under_way.read_until("id: 2").await;
-        assert!(under_way.is_closed().await);
+        proceed.notify_one();
+        streaming.read_until("id: 2").await;
+        assert!(streaming.is_closed().await);
     });
 }
 
-/// What a new caller gets from a node that closes and has so long left.
-async fn asks_while_closing(path: &str, left: Span) -> (Seen, usize) {
+/// Sends a request over a new connection to a node that closes and has this much time left.
+/// Returns the answer and the number of requests that reached the endpoint.
+async fn request_while_closing(path: &str, remaining: Span) -> (Seen, usize) {
     let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
     let gateway = Gateway::start(&[&worker]).await;
-    gateway.shell.start_closing(left);
+    gateway.shell.start_closing(remaining);
     let mut caller = Caller::connect(&gateway).await;
     caller.request("id-1", path, "").await;
     let seen = caller.answer().await;
@@ -94,34 +95,34 @@
 }
 
 macro_rules! while_closing {
-    ($($name:ident: $path:literal, $left:expr => $status:literal, ran $ran:literal;)*) => {
+    ($($name:ident: $path:literal, $remaining:expr => $status:literal, forwarded $forwarded:literal;)*) => {
         #[rstest]
-        $(#[case::$name($path, $left, $status, $ran)])*
-        fn a_new_caller_of_a_node_that_closes_has_an_answer_at_once(
+        $(#[case::$name($path, $remaining, $status, $forwarded)])*
+        fn a_closing_node_answers_a_new_caller_at_once(
             #[case] path: &'static str,
-            #[case] left: Span,
+            #[case] remaining: Span,
             #[case] status: u16,
-            #[case] ran: usize,
+            #[case] forwarded: usize,
         ) {
             run(|| async move {
-                let (seen, requests) = asks_while_closing(path, left).await;
-                assert_eq!((seen.status, requests), (status, ran));
-                let returns = field(&seen.head, "retry-after").is_some();
-                assert_eq!(returns, status == 503);
+                let (seen, requests) = request_while_closing(path, remaining).await;
+                assert_eq!((seen.status, requests), (status, forwarded));
+                let has_retry_after = field(&seen.head, "retry-after").is_some();
+                assert_eq!(has_retry_after, status == 503);
             });
         }
     };
 }
 
 while_closing! {
-    what_is_short_is_served: "/once/x", Span::from_secs(5) => 200, ran 1;
-    a_stream_may_not_end_in_time: "/stream/x", Span::from_secs(5) => 503, ran 0;
-    a_stream_ends_in_time_whatever_it_does: "/stream/x", Span::from_secs(30) => 200, ran 1;
-    too_little_time_is_left: "/once/x", Span::from_millis(100) => 503, ran 0;
+    a_short_request_is_served: "/once/x", Span::from_secs(5) => 200, forwarded 1;
+    a_stream_that_may_outlast_the_node_is_refused: "/stream/x", Span::from_secs(5) => 503, forwarded 0;
+    a_stream_whose_deadline_is_in_time_is_served: "/stream/x", Span::from_secs(30) => 200, forwarded 1;
+    a_request_with_too_little_time_is_refused: "/once/x", Span::from_millis(100) => 503, forwarded 0;
 }
 
 #[test]
-fn what_a_closing_node_serves_is_over_before_it_ends() {
+fn a_closing_node_ends_its_requests_before_it_stops() {
     run(|| async {
         let worker = Worker::start("e", vec![Act::Silence]).await;
         let gateway = Gateway::start(&[&worker]).await;
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn metrics_tell_of_answers_and_state() {
+fn metrics_report_answers_and_state() {
     run(|| async {
         let (_worker, gateway, mut caller) = serving().await;
         caller.request("id-1", "/once/x", "").await;
--- a/crates/gateway/tests/gateway/support/gateway.rs
+++ b/crates/gateway/tests/gateway/support/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway in this process.
+//! A gateway that runs in the test process.
 
 use std::cell::Cell;
 use std::io::Write;
@@ -40,10 +40,10 @@
 use super::SERVICE;
 use super::worker::Worker;
 
-/// Fields that callers may not set.
+/// Headers that callers may not set.
 pub const RESERVED: [&str; 2] = ["x-order", "order-from"];
 
-/// Log lines that can be looked at.
+/// A log output that tests can read.
 #[derive(Clone, Default)]
 pub struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -51,7 +51,7 @@
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0
             .lock()
-            .expect("no panic while locked")
+            .expect("the lock is not poisoned")
             .extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -62,25 +62,25 @@
 }
 
 impl LogBuffer {
-    /// All that was logged so far.
+    /// Returns everything that was logged so far.
     pub fn text(&self) -> String {
-        String::from_utf8_lossy(&self.0.lock().expect("no panic while locked")).into_owned()
+        String::from_utf8_lossy(&self.0.lock().expect("the lock is not poisoned")).into_owned()
     }
 }
 
-/// A gateway in this process.
+/// A gateway that runs in the test process.
 pub struct Gateway {
-    /// Its parts.
+    /// Its shared state.
     pub shell: Rc<Shell>,
-    /// Where callers reach it.
+    /// The address at which it serves callers.
     pub address: SocketAddrV4,
-    /// What it logged.
+    /// Its log.
     pub lines: LogBuffer,
-    /// For how long its host was suspended.
+    /// The total time for which its simulated host was suspended.
     pub suspended: Rc<Cell<Duration>>,
 }
 
-/// A route by its last word: `/once/`, `/repeatable/`, `/stream/` and so on.
+/// Returns one route for each path prefix: `/once/`, `/repeatable/`, `/stream/` and so on.
 pub fn routes() -> Vec<Route> {
     let route = |name: &str, kind, attempts| Route {
         name: name.into(),
@@ -121,7 +121,7 @@
     ]
 }
 
-/// A configuration with one customer.
+/// Returns a configuration with one customer.
 pub fn configuration(quota: Option<Quota>) -> Configuration {
     Configuration {
         version: 1,
@@ -144,12 +144,12 @@
 }
 
 impl Gateway {
-    /// Starts a gateway that knows these endpoints.
+    /// Starts a gateway with these endpoints and the default configuration.
     pub async fn start(workers: &[&Worker]) -> Gateway {
         Gateway::configured(workers, Some(configuration(None)), log::Options::default()).await
     }
 
-    /// Starts a gateway with a configuration, or none.
+    /// Starts a gateway with these endpoints and a configuration, or without one.
     pub async fn configured(
         workers: &[&Worker],
         configuration: Option<Configuration>,
@@ -172,12 +172,12 @@
         gateway
     }
 
-    /// Starts a gateway that knows nothing yet.
+    /// Starts a gateway without a configuration or endpoints.
     pub async fn unconfigured(options: log::Options) -> Gateway {
         let lines = LogBuffer::default();
-        let log = Log::start(options, lines.clone()).expect("a log");
+        let log = Log::start(options, lines.clone()).expect("the log starts");
         let memory = Size::from_mib(64);
-        let metrics = Metrics::new().expect("metrics");
+        let metrics = Metrics::new().expect("the metrics register");
         let suspended: Rc<Cell<Duration>> = Rc::default();
         let counted = suspended.clone();
         let clock = Clock::reading(move || woadstage_clock::since_boot() + counted.get());
@@ -191,8 +191,9 @@
         );
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
-            .expect("a port");
-        let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
+            .expect("bind to a free port");
+        let SocketAddr::V4(address) = listener.local_addr().expect("the listener has an address")
+        else {
             unreachable!("bound to IPv4");
         };
         spawn_local(serve::accept(shell.clone(), listener));
@@ -204,13 +205,13 @@
         }
     }
 
-    /// Its host is suspended for a while, and its process looks at the clock again.
+    /// Simulates a suspension of the host, which the gateway detects at once.
     pub fn suspend(&self, span: Duration) {
         self.suspended.set(self.suspended.get() + span);
         self.shell.check_suspension();
     }
 
-    /// Waits until a line was logged that holds all of these texts.
+    /// Waits until a line that contains all of these texts was logged, and returns it.
     pub async fn wait_for_line(&self, texts: &[&str]) -> String {
         loop {
             let all = self.lines.text();
@@ -225,7 +226,7 @@
     }
 }
 
-/// The usual names, and two that only the system may set.
+/// Returns the default header names, and two reserved ones.
 fn headers() -> Headers {
     Headers {
         reserved: RESERVED.map(HeaderName::from_static).to_vec(),
@@ -233,7 +234,7 @@
     }
 }
 
-/// Options of a node that knows no others.
+/// Returns the options of a node without peers.
 pub fn dispatcher_options() -> Options {
     Options {
         own: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7_600),
@@ -254,7 +255,7 @@
     }
 }
 
-/// What the platform would say of a stand-in.
+/// Returns the entry for a scripted endpoint in the platform's list.
 pub fn to_endpoint(worker: &Worker) -> Endpoint {
     Endpoint {
         name: id::Endpoint::new(worker.name),
--- a/crates/gateway/tests/gateway/support/mod.rs
+++ b/crates/gateway/tests/gateway/support/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway in this process, a stand-in of an endpoint that does as a script
-//! says, and a caller that sees every byte.
+//! Test support: a gateway in the test process, a scripted endpoint, and a caller that exposes
+//! every byte it receives.
 
 use std::time::Duration;
 
@@ -27,28 +27,28 @@
 pub use worker::Act;
 pub use worker::Worker;
 
-/// The service that all routes lead to.
+/// The service that all routes target.
 pub const SERVICE: &str = "service";
 
 /// The key of the only customer.
 pub const KEY: &str = "a-secret-key";
 
-/// Longest that a test waits for what must come; never a measure.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Half of the maximum duration of a test. It only ends a test that hangs and checks no timing.
+const HALF_TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test's tasks on one thread.
+/// Runs a test and the tasks it spawns on one thread.
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        let ended = tokio::time::timeout(PATIENCE * 2, test()).await;
-        ended.expect("the test ends");
+        let outcome = tokio::time::timeout(HALF_TEST_TIMEOUT * 2, test()).await;
+        outcome.expect("the test ends before its timeout");
     });
 }
 
-/// An endpoint that answers all requests well, a gateway that knows it, and a caller.
+/// Starts an endpoint that answers every request with 200, a gateway that uses it, and a caller.
 pub async fn serving() -> (Worker, Gateway, Caller) {
     let worker = Worker::start("e", vec![Act::Answer(answer("200 OK", "fine"))]).await;
     let gateway = Gateway::start(&[&worker]).await;
--- a/crates/gateway/tests/gateway/suspend.rs
+++ b/crates/gateway/tests/gateway/suspend.rs
@@ -1,5 +1,5 @@
-//! A host that is suspended: time goes on for callers and endpoints, and for its timers
-//! and steady clock it does not.
+//! Tests of a host that is suspended. Time passes for callers and endpoints, while the host's
+//! timers and monotonic clock do not advance.
 
 use std::time::Duration;
 
@@ -12,36 +12,36 @@
 use crate::support::run;
 use crate::support::serving;
 
-/// Waits until a stand-in has been sent something.
-async fn is_reached(worker: &Worker) {
+/// Waits until an endpoint has received a request.
+async fn wait_for_request(worker: &Worker) {
     while worker.requests.borrow().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The caller's deadline of 20 s passes meanwhile: with timers alone it would be answered
-/// 20 s after its host woke.
+/// The caller's deadline of 20 s passes during the suspension. With timers alone, the caller would
+/// be answered 20 s after the host resumed.
 #[test]
-fn a_caller_whose_time_ran_out_meanwhile_is_answered_at_once() {
+fn a_deadline_that_passes_during_a_suspension_is_answered_on_resume() {
     run(|| async {
         let worker = Worker::start("e", vec![Act::Silence]).await;
         let gateway = Gateway::start(&[&worker]).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
-        is_reached(&worker).await;
+        wait_for_request(&worker).await;
         gateway.suspend(Duration::from_secs(30));
         assert_eq!(caller.answer().await.status, 504);
         let line = gateway.wait_for_line(&["\"answered\"", "id-1"]).await;
-        let line: serde_json::Value = serde_json::from_str(&line).expect("a line of the log");
-        let after_ms = line["after_ms"].as_u64().expect("a time");
+        let line: serde_json::Value = serde_json::from_str(&line).expect("a log line in JSON");
+        let after_ms = line["after_ms"].as_u64().expect("a duration");
         assert!((30_000..45_000).contains(&after_ms), "{after_ms}");
     });
 }
 
-/// An endpoint closes a connection at rest after some seconds, and a request that crosses
-/// its close is lost.
+/// An endpoint closes an idle connection after some seconds, and a request that is sent just as
+/// it does so is lost.
 #[test]
-fn a_connection_that_rested_too_long_meanwhile_is_not_used() {
+fn a_connection_idle_for_too_long_during_a_suspension_is_not_reused() {
     run(|| async {
         let (worker, gateway, mut caller) = serving().await;
         caller.request("id-1", "/once/x", "").await;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_endpoint_is_given_no_time_that_its_caller_has_not_got() {
+fn the_time_left_that_an_endpoint_is_sent_excludes_a_suspension() {
     run(|| async {
         let (worker, gateway, mut caller) = serving().await;
         caller
--- a/crates/gateway/tests/gateway/unmatched.rs
+++ b/crates/gateway/tests/gateway/unmatched.rs
@@ -1,4 +1,5 @@
-//! A request without a route or a customer: by which configuration it was judged.
+//! Tests that a request without a matching route or customer is logged with the configuration that
+//! was in force and where that came from.
 
 use std::sync::Arc;
 
@@ -16,8 +17,8 @@
 use crate::support::configuration;
 use crate::support::run;
 
-/// Version 7, as a watch brought it.
-fn publish(gateway: &Gateway) {
+/// Applies version 7 of the configuration, as received from a watch.
+fn apply_version_7(gateway: &Gateway) {
     let configuration = Configuration {
         version: 7,
         ..configuration(None)
@@ -38,7 +39,7 @@
 #[rstest]
 #[case::no_route("/none/x", "key", 404, "route")]
 #[case::no_customer("/once/x", "another-key", 401, "customer")]
-fn its_line_names_the_configuration_and_how_that_came(
+fn an_unmatched_request_is_logged_with_the_configuration_and_its_origin(
     #[case] path: &'static str,
     #[case] key: &'static str,
     #[case] status: u16,
@@ -46,7 +47,7 @@
 ) {
     run(move || async move {
         let gateway = Gateway::unconfigured(log::Options::default()).await;
-        publish(&gateway);
+        apply_version_7(&gateway);
         let mut caller = Caller::connect(&gateway).await;
         let head = format!(
             "GET {path} HTTP/1.1\r\nhost: host.example\r\nauthorization: Bearer {key}\r\n\
@@ -55,7 +56,7 @@
         caller.send(&head).await;
         assert_eq!(caller.answer().await.status, status);
         let line = gateway.wait_for_line(&["\"unmatched\"", "id-1"]).await;
-        let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
+        let line: serde_json::Value = serde_json::from_str(&line).expect("a log line in JSON");
         assert_eq!(line["what"], what);
         assert_eq!(line["configuration"], 7);
         assert_eq!(
@@ -68,14 +69,14 @@
 }
 
 #[test]
-fn a_configuration_is_logged_with_the_way_it_came_and_its_content() {
+fn a_configuration_is_logged_with_its_method_and_digest() {
     run(|| async {
         let gateway = Gateway::unconfigured(log::Options::default()).await;
-        publish(&gateway);
+        apply_version_7(&gateway);
         let line = gateway
             .wait_for_line(&["\"configuration\"", "\"version\":7"])
             .await;
-        let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
+        let line: serde_json::Value = serde_json::from_str(&line).expect("a log line in JSON");
         let table = gateway
             .shell
             .query(|dispatcher, _| dispatcher.table().cloned());
@@ -86,18 +87,18 @@
 }
 
 #[test]
-fn metrics_tell_the_version_and_when_the_platform_answered() {
+fn metrics_report_the_version_and_the_age_of_the_platforms_answer() {
     run(|| async {
         let gateway = Gateway::unconfigured(log::Options::default()).await;
-        let figures = || {
+        let metrics_text = || {
             let (_, text) = operators::metrics(&gateway.shell);
             String::from_utf8(text).expect("text")
         };
-        assert!(figures().contains("woadstage_platform_answer_age_milliseconds -1"));
-        publish(&gateway);
-        let all = figures();
-        assert!(all.contains("woadstage_configuration_version 7"));
-        assert!(!all.contains("woadstage_platform_answer_age_milliseconds -1"));
-        assert!(all.contains("woadstage_configuration_apply_seconds_count{call=\"watch\"} 1"));
+        assert!(metrics_text().contains("woadstage_platform_answer_age_milliseconds -1"));
+        apply_version_7(&gateway);
+        let metrics = metrics_text();
+        assert!(metrics.contains("woadstage_configuration_version 7"));
+        assert!(!metrics.contains("woadstage_platform_answer_age_milliseconds -1"));
+        assert!(metrics.contains("woadstage_configuration_apply_seconds_count{call=\"watch\"} 1"));
     });
 }
