--- a/crates/gateway/src/peers/transfer/fetch.rs
+++ b/crates/gateway/src/peers/transfer/fetch.rs
@@ -80,7 +80,7 @@
         }
     }
     if let Some(manifest) = manifest {
-        publish::take_head(shell, from, &manifest);
+        publish::receive_manifest(shell, from, &manifest);
     }
     Ok(reader.total_bytes)
 }
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -286,7 +286,7 @@
         for change in self.shell.command(apply) {
             let request = &self.admitted.request_id;
             let endpoint = endpoint.name.as_str();
-            self.shell.note_change(request, endpoint, change);
+            self.shell.record_endpoint_change(request, endpoint, change);
         }
     }
 
--- a/crates/gateway/src/serve/handle.rs
+++ b/crates/gateway/src/serve/handle.rs
@@ -51,7 +51,7 @@
         Ok(admitted) => admitted,
         Err(code) => return reject(&shell, &head, arrived, code),
     };
-    let payload = Payload::read(body, admitted.max_body, &shell.bodies).await;
+    let payload = Payload::read(body, admitted.max_body, &shell.body_budget).await;
     let mut exchange = Exchange::new(shell, admitted, head);
     match payload {
         Ok(payload) => exchange.set_payload(payload),
@@ -79,7 +79,7 @@
     let wait_until = arrived + share.min(MAX_CONFIGURATION_WAIT);
     loop {
         let table = shell.query(|dispatcher, now| dispatcher.admission_table_opt(now).cloned());
-        let is_starting = shell.running_for() < STARTUP_PERIOD;
+        let is_starting = shell.uptime() < STARTUP_PERIOD;
         if table.is_some() || !is_starting || shell.now() >= wait_until {
             return table;
         }
@@ -98,7 +98,7 @@
     let request_id = text(&head.headers, &shell.headers.request).unwrap_or_default();
     let timeout = caller_timeout(shell, head);
     // An outage is assumed to last as long again as it has lasted.
-    let wait = shell.running_for();
+    let wait = shell.uptime();
     let retry_after =
         || shell.query(|dispatcher, now| dispatcher.retry_after_estimate(now, wait, timeout));
     let reply = Reply {
--- a/crates/gateway/tests/gateway/answers.rs
+++ b/crates/gateway/tests/gateway/answers.rs
@@ -43,7 +43,7 @@
         for id in ["id-1", "id-2", "id-3"] {
             caller.request(id, "/once/x", "").await;
             assert_eq!(caller.answer().await.status, 200);
-            gateway.logged(&["\"answered\"", id]).await;
+            gateway.wait_for_line(&["\"answered\"", id]).await;
         }
         assert_eq!(worker.connections.get(), 1);
         assert!(!gateway.lines.text().contains("\"left\""));
@@ -61,7 +61,7 @@
         let (_worker, gateway, mut caller) = start(vec![Action::Answer(text.into())]).await;
         caller.request("id-1", "/once/x", "").await;
         assert_eq!(caller.answer().await.status, status);
-        gateway.logged(&["\"answered\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"answered\"", "id-1"]).await;
     });
 }
 
@@ -95,7 +95,7 @@
         caller.request("id-1", "/once/x", "").await;
         let response = caller.answer().await;
         assert!(!response.is_complete, "{response:?}");
-        gateway.logged(&["\"cut\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"cut\"", "id-1"]).await;
     });
 }
 
@@ -141,7 +141,7 @@
         for id in ["id-1", "id-2"] {
             caller.request(id, "/once/x", "").await;
             assert_eq!(caller.answer().await.status, 200);
-            gateway.logged(&["\"answered\"", id]).await;
+            gateway.wait_for_line(&["\"answered\"", id]).await;
         }
         assert_eq!(worker.connections.get(), 2);
     });
--- a/crates/gateway/tests/gateway/callers.rs
+++ b/crates/gateway/tests/gateway/callers.rs
@@ -48,7 +48,7 @@
 #[test]
 fn without_a_configuration_callers_are_told_to_retry() {
     run(|| async {
-        let gateway = Gateway::with(&[], None, log::Options::default()).await;
+        let gateway = Gateway::configured(&[], None, log::Options::default()).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
         let response = caller.answer().await;
@@ -62,7 +62,7 @@
 fn a_starting_node_holds_requests_until_its_first_configuration() {
     run(|| async {
         let worker = Worker::start("e", vec![Action::Answer(answer("200 OK", "fine"))]).await;
-        let gateway = Gateway::with(&[&worker], None, log::Options::default()).await;
+        let gateway = Gateway::configured(&[&worker], None, log::Options::default()).await;
         let mut caller = Caller::connect(&gateway).await;
         caller.request("id-1", "/once/x", "").await;
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -91,7 +91,7 @@
             burst: 8.0,
             default_tokens: None,
         };
-        let gateway = Gateway::with(
+        let gateway = Gateway::configured(
             &[&worker],
             Some(configuration(Some(quota))),
             log::Options::default(),
@@ -115,7 +115,7 @@
             statuses.push(response.status);
         }
         assert_eq!(statuses, expected);
-        let line = gateway.logged(&["\"over-limit\"", "id-3"]).await;
+        let line = gateway.wait_for_line(&["\"over-limit\"", "id-3"]).await;
         assert!(line.contains("\"customer\":\"customer\""), "{line}");
     });
 }
--- a/crates/gateway/tests/gateway/crash.rs
+++ b/crates/gateway/tests/gateway/crash.rs
@@ -77,14 +77,14 @@
         for number in 0..4 {
             let id = format!("id-{number}");
             let answer = send(&gateway, &id, CRASHING).await;
-            let line = gateway.logged(&["\"answered\"", &id]).await;
+            let line = gateway.wait_for_line(&["\"answered\"", &id]).await;
             let line: serde_json::Value = serde_json::from_str(&line).expect("a line");
             let outcome = line["outcome"].as_str().expect("an outcome").to_owned();
             outcomes.push((answer.status, outcome));
             // The gateway may detect the crash only after it has answered.
             if number < 2 {
                 let ends = format!("\"ends\":{}", number + 1);
-                gateway.logged(&["\"charged\"", &ends]).await;
+                gateway.wait_for_line(&["\"charged\"", &ends]).await;
             }
         }
         let expected = [
@@ -106,10 +106,10 @@
         for number in 0..2 {
             send(&gateway, &format!("id-{number}"), CRASHING).await;
             let ends = format!("\"ends\":{}", number + 1);
-            gateway.logged(&["\"charged\"", &ends]).await;
+            gateway.wait_for_line(&["\"charged\"", &ends]).await;
         }
         send(&gateway, "id-last", CRASHING).await;
-        gateway.logged(&["\"answered\"", "id-last"]).await;
+        gateway.wait_for_line(&["\"answered\"", "id-last"]).await;
         let log = Cursor::new(gateway.lines.text());
         let lines = explain::find(&mut [Box::new(log)], "id-last").expect("the log is readable");
         let explanation = explain::cause(&lines);
--- a/crates/gateway/tests/gateway/log.rs
+++ b/crates/gateway/tests/gateway/log.rs
@@ -15,7 +15,7 @@
 use crate::support::Caller;
 use crate::support::Gateway;
 use crate::support::KEY;
-use crate::support::Lines;
+use crate::support::LogBuffer;
 use crate::support::Worker;
 use crate::support::answer;
 use crate::support::run;
@@ -40,7 +40,7 @@
         );
         caller.send(&line).await;
         caller.answer().await;
-        gateway.logged(&["\"answered\"", "401"]).await;
+        gateway.wait_for_line(&["\"answered\"", "401"]).await;
         let all = gateway.lines.text();
         for secret in [KEY, "the-answer-text", "the-path-text", "the-prompt-text"] {
             assert!(!all.contains(secret), "{all}");
@@ -54,7 +54,7 @@
         let (_worker, gateway, mut caller) = serving().await;
         caller.request("id-1", "/once/x", "").await;
         caller.answer().await;
-        gateway.logged(&["\"answered\"", "id-1"]).await;
+        gateway.wait_for_line(&["\"answered\"", "id-1"]).await;
         let all = gateway.lines.text();
         let events: Vec<String> = all
             .lines()
@@ -81,7 +81,9 @@
         caller.send(&head).await;
         caller.answer().await;
         let expected = format!("\"returning\":{returning}");
-        gateway.logged(&["\"accepted\"", "id-1", &expected]).await;
+        gateway
+            .wait_for_line(&["\"accepted\"", "id-1", &expected])
+            .await;
     });
 }
 
@@ -89,7 +91,7 @@
 #[derive(Clone, Default)]
 struct StalledReader {
     open: Arc<(Mutex<bool>, Condvar)>,
-    lines: Lines,
+    lines: LogBuffer,
 }
 
 impl Write for StalledReader {
--- a/crates/gateway/tests/gateway/notice.rs
+++ b/crates/gateway/tests/gateway/notice.rs
@@ -64,8 +64,16 @@
         assert_eq!(count_leaving_and_resting(&gateway).0, leaving);
         match (leaving, status) {
             (0, MISDIRECTED) => {}
-            (0, _) => drop(gateway.logged(&["\"unreadable\"", "\"leaving\""]).await),
-            _ => drop(gateway.logged(&["\"notice\"", "\"leaving\"", "id-1"]).await),
+            (0, _) => drop(
+                gateway
+                    .wait_for_line(&["\"unreadable\"", "\"leaving\""])
+                    .await,
+            ),
+            _ => drop(
+                gateway
+                    .wait_for_line(&["\"notice\"", "\"leaving\"", "id-1"])
+                    .await,
+            ),
         }
     });
 }
@@ -87,9 +95,13 @@
         let (_worker, gateway) = send_once(answer_with("503 Full", &[NOT_RUN, &field])).await;
         assert_eq!(count_leaving_and_resting(&gateway).1, resting);
         match (resting, value) {
-            (0, "0") => drop(gateway.logged(&["\"attempt\"", "503, rest 0"]).await),
-            (0, _) => drop(gateway.logged(&["\"unreadable\"", "\"rest\""]).await),
-            _ => drop(gateway.logged(&["\"notice\"", "\"rest\"", "id-1"]).await),
+            (0, "0") => drop(gateway.wait_for_line(&["\"attempt\"", "503, rest 0"]).await),
+            (0, _) => drop(gateway.wait_for_line(&["\"unreadable\"", "\"rest\""]).await),
+            _ => drop(
+                gateway
+                    .wait_for_line(&["\"notice\"", "\"rest\"", "id-1"])
+                    .await,
+            ),
         }
     });
 }
@@ -108,8 +120,12 @@
         assert_eq!(found, cold);
         match (cold, value) {
             (0, "0") => {}
-            (0, _) => drop(gateway.logged(&["\"unreadable\"", "\"cold\""]).await),
-            _ => drop(gateway.logged(&["\"notice\"", "\"cold\"", "id-1"]).await),
+            (0, _) => drop(gateway.wait_for_line(&["\"unreadable\"", "\"cold\""]).await),
+            _ => drop(
+                gateway
+                    .wait_for_line(&["\"notice\"", "\"cold\"", "id-1"])
+                    .await,
+            ),
         }
     });
 }
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -112,7 +112,7 @@
         let gateway = Gateway::start(&[&worker]).await;
         let (listener, address) = listen().await;
         tokio::task::spawn_local(peers::transfer::serve(gateway.shell.clone(), listener));
-        let other = Gateway::empty(log::Options::default()).await;
+        let other = Gateway::unconfigured(log::Options::default()).await;
         let versions =
             |gateway: &Gateway| gateway.shell.query(|dispatcher, _| dispatcher.versions());
         assert_ne!(versions(&other), versions(&gateway));
@@ -121,8 +121,8 @@
             assert_eq!(outcome.expect("the transfer succeeds"), Outcome::Complete);
         }
         assert_eq!(versions(&other), versions(&gateway));
-        other.logged(&["\"transfer\"", "\"taken\""]).await;
-        gateway.logged(&["\"transfer\"", "\"given\""]).await;
+        other.wait_for_line(&["\"transfer\"", "\"taken\""]).await;
+        gateway.wait_for_line(&["\"transfer\"", "\"given\""]).await;
     });
 }
 
@@ -141,7 +141,7 @@
                     .expect("the node accepts connections"),
             );
         }
-        let other = Gateway::empty(log::Options::default()).await;
+        let other = Gateway::unconfigured(log::Options::default()).await;
         let fetch = |document| peers::transfer::fetch(&other.shell, address, document);
         let outcome = fetch(Document::Configuration).await;
         assert_eq!(outcome.expect("the transfer succeeds"), Outcome::Declined);
@@ -150,7 +150,9 @@
         assert_eq!(outcome.expect("the transfer succeeds"), Outcome::Complete);
         assert_eq!(other.shell.query(|one, _| one.edition().revision), 1);
         drop(stalled);
-        gateway.logged(&["\"given\"", "\"whole\":false"]).await;
+        gateway
+            .wait_for_line(&["\"given\"", "\"whole\":false"])
+            .await;
         let outcome = fetch(Document::Configuration).await;
         assert_eq!(outcome.expect("the transfer succeeds"), Outcome::Complete);
     });
@@ -186,7 +188,7 @@
             ..Status::default()
         };
         tokio::task::spawn_local(serve_slowly(listener, newer));
-        let gateway = Gateway::empty(log::Options::default()).await;
+        let gateway = Gateway::unconfigured(log::Options::default()).await;
         gateway
             .shell
             .command(|dispatcher, now| dispatcher.receive_status(now, address, status));
@@ -221,7 +223,7 @@
             .await
             .expect("the datagram is sent");
         let from = other.local_addr().expect("an address").to_string();
-        gateway.logged(&["\"dependency\"", &from]).await;
+        gateway.wait_for_line(&["\"dependency\"", &from]).await;
         assert_eq!(
             gateway
                 .shell
--- a/crates/gateway/tests/gateway/rate_limit.rs
+++ b/crates/gateway/tests/gateway/rate_limit.rs
@@ -71,7 +71,7 @@
         let started = Instant::now();
         send_requests(&gateway, 0, 1).await;
         gateway
-            .logged(&["\"rate-limit\"", "needy", "\"now\":\"2\""])
+            .wait_for_line(&["\"rate-limit\"", "needy", "\"now\":\"2\""])
             .await;
         let list = Arc::new(List {
             settled: true,
@@ -104,7 +104,7 @@
         assert_eq!(count_rate_limited(&gateway), 1);
         send_requests(&gateway, 2, 1).await;
         gateway
-            .logged(&["\"rate-limit\"", "\"now\":\"none\"", "needy"])
+            .wait_for_line(&["\"rate-limit\"", "\"now\":\"none\"", "needy"])
             .await;
         assert_eq!(count_rate_limited(&gateway), 0);
         send_requests(&gateway, 3, 60).await;
@@ -119,6 +119,8 @@
         let gateway = Gateway::start(&[&limited]).await;
         send_requests(&gateway, 0, 20).await;
         assert_eq!(limited.requests.borrow().len(), 20);
-        gateway.logged(&["unreadable", "rate-limit", "-3"]).await;
+        gateway
+            .wait_for_line(&["unreadable", "rate-limit", "-3"])
+            .await;
     });
 }
