--- a/crates/dispatch/src/configuration.rs
+++ b/crates/dispatch/src/configuration.rs
@@ -70,7 +70,7 @@
     /// The time within which the answer, or its first event, counts as in time.
     pub objective: Span,
     /// How long callers wait for the answer, or its first event, before they leave.
-    pub patience: Span,
+    pub caller_timeout: Span,
     /// The longest pause between two events of a stream that still counts as in time;
     /// `None` for no bound.
     pub pause: Option<Span>,
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -45,21 +45,21 @@
         }
         let own = &self.options.data_centre;
         self.list.is_evacuated(own)
-            || !self.options.regions.allows(&job.bound, own)
+            || !self.options.regions.allows(&job.constraint, own)
             || pool.is_cell_leaving()
     }
 
     /// Whether an endpoint is in a region in which a request may run.
     pub(super) fn may_run_at(&self, job: &Job, worker: &Worker) -> bool {
         let centre = &worker.endpoint.data_centre;
-        self.options.regions.allows(&job.bound, centre)
+        self.options.regions.allows(&job.constraint, centre)
     }
 
     /// Whether another node is in a region in which a request may run.
     pub(super) fn may_run_on(&self, job: &Job, node: SocketAddrV4) -> bool {
         let centre = self.members.data_centre_opt(node);
-        let allows = |centre| self.options.regions.allows_number(&job.bound, centre);
-        job.bound.is_unrestricted() || centre.is_some_and(allows)
+        let allows = |centre| self.options.regions.allows_number(&job.constraint, centre);
+        job.constraint.is_unrestricted() || centre.is_some_and(allows)
     }
 
     /// Moves displaced requests of this node's callers to the queues of other cells.
@@ -116,7 +116,7 @@
         let cells = self.members.other_cell_counts();
         let centres = owners.into_iter().filter_map(|owner| {
             let centre = self.members.data_centre_opt(owner)?;
-            let allowed = self.options.regions.allows_number(&job.bound, centre);
+            let allowed = self.options.regions.allows_number(&job.constraint, centre);
             allowed.then_some((owner, centre))
         });
         let hosts = centres.map(|(owner, centre)| {
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -42,9 +42,9 @@
 impl Dispatcher {
     /// Returns the minimum time that a caller has spent on earlier attempts, given that
     /// `left` remains of its route's `timeout`.
-    pub fn tried_for(&mut self, now: Time, left: Span, timeout: Span) -> Span {
+    pub fn since_first_try(&mut self, now: Time, left: Span, timeout: Span) -> Span {
         self.first_tries.learn(now, left, timeout);
-        self.first_tries.tried_for(left, timeout)
+        self.first_tries.since_first_try(left, timeout)
     }
 
     /// Submits a request. The decision about it is made immediately or later.
@@ -133,7 +133,7 @@
         }
         // A caller that was refused before accepts a late answer rather than none.
         let most = match job.is_caller_retry() {
-            true => job.patience.0 as f64,
+            true => job.caller_timeout.0 as f64,
             false => job.objective.0 as f64 * self.options.policy.refuse_beyond,
         };
         let answer = self.pools.get(&job.target).map(Pool::typical_response_time);
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -152,10 +152,10 @@
             repeatable: false,
             attempts: 1,
             arrived,
-            first_try: arrived - request.tried_for,
+            first_try: arrived - request.since_first_try,
             deadline: arrived + request.time_limit,
             objective: request.objective,
-            patience: request.patience,
+            caller_timeout: request.caller_timeout,
             pause: request.pause,
             prompt: request.prompt.clone(),
             history: History {
@@ -170,7 +170,7 @@
                 .filter(|_| !self.members.cell().covers_fleet),
             avoided: request.avoided.clone(),
             trial: false,
-            bound: Constraint::default(),
+            constraint: Constraint::default(),
         }
     }
 
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -136,7 +136,7 @@
             self.apply_endpoint(now, endpoint);
         }
         for endpoint in ended {
-            self.note_endpoint_ended(now, endpoint);
+            self.record_endpoint_ended(now, endpoint);
         }
         self.mark_evacuated(now, &list);
         self.remove_unlisted_workers();
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -150,7 +150,7 @@
 
     /// The position of a route's priority among all routes, from 0 for the most protected to 1 for
     /// the least.
-    pub fn routine(&self, urgency: Priority) -> f64 {
+    pub fn relative_priority(&self, urgency: Priority) -> f64 {
         let least = self.pools.values().map(|pool| pool.least_protected).max();
         f64::from(urgency) / f64::from(least.unwrap_or(0).max(1))
     }
--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -126,8 +126,8 @@
             number: self.next_reserve,
             customer,
             units: demand.units,
-            routine: (demand.routine * 100.0) as u8,
-            pressed: demand.pressed,
+            relative_priority: (demand.relative_priority * 100.0) as u8,
+            backlogged: demand.backlogged,
         }
     }
 
@@ -165,8 +165,8 @@
         };
         let demand = Demand {
             units: reserve.units,
-            routine: f64::from(reserve.routine) / 100.0,
-            pressed: reserve.pressed,
+            relative_priority: f64::from(reserve.relative_priority) / 100.0,
+            backlogged: reserve.backlogged,
         };
         match self.grant(now, reserve.customer, &quota, demand) {
             Ok(()) => Verdict::Granted,
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -135,14 +135,14 @@
 
     /// Records that an endpoint crashed: nothing listens at its address, or the platform
     /// no longer lists it although it was not leaving.
-    pub fn note_endpoint_ended(&mut self, now: Time, endpoint: u32) {
+    pub fn record_endpoint_ended(&mut self, now: Time, endpoint: u32) {
         for fingerprint in self.quarantine.note_ended(now, endpoint) {
             self.note_change(now, fingerprint, Evidence::Charged);
         }
     }
 
     /// Records that an endpoint at which an attempt broke is alive.
-    pub fn note_endpoint_alive(&mut self, endpoint: u32) {
+    pub fn record_endpoint_alive(&mut self, endpoint: u32) {
         self.quarantine.note_alive(endpoint);
     }
 
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -136,7 +136,7 @@
         let outage = now.since(job.arrived).max(closed_for);
         let retry_after = self.retry_after_estimate(now, outage, job.deadline.since(now));
         Refusal {
-            code: match job.bound.is_unrestricted() {
+            code: match job.constraint.is_unrestricted() {
                 true => Code::NoEndpoint,
                 false => Code::RegionClosed,
             },
--- a/crates/dispatch/src/first_try.rs
+++ b/crates/dispatch/src/first_try.rs
@@ -81,7 +81,7 @@
 
     /// Returns the minimum time that a caller has spent on earlier attempts, given that
     /// `left` remains of a route's `timeout`; zero if it may be its first attempt.
-    pub fn tried_for(&self, left: Span, timeout: Span) -> Span {
+    pub fn since_first_try(&self, left: Span, timeout: Span) -> Span {
         let least = Span((timeout.0 as f64 * self.first_try_fraction()) as u64);
         match left < least {
             true => Span(least.0 - left.0),
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -79,7 +79,7 @@
     /// The time from its caller's first try within which its answer meets the objective.
     pub objective: Span,
     /// How long its caller waits for the answer or for its first event.
-    pub patience: Span,
+    pub caller_timeout: Span,
     /// The longest pause between two events that still meets the objective.
     pub pause: Option<Span>,
     /// What an engine reads and writes for it.
@@ -95,7 +95,7 @@
     /// Whether it is barred by the quarantine and runs as a trial.
     pub trial: bool,
     /// The regions in which it may run. Only the node that holds the request knows them.
-    pub bound: Constraint,
+    pub constraint: Constraint,
 }
 
 impl Job {
@@ -121,7 +121,7 @@
 
     /// The time after which it is of no use to its caller if nothing has arrived by then.
     pub fn expires_at(&self) -> Time {
-        self.deadline.min(self.arrived + self.patience)
+        self.deadline.min(self.arrived + self.caller_timeout)
     }
 }
 
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -46,7 +46,7 @@
     /// The rank of the caller's request.
     pub rank: Rank,
     /// The time from the caller's first attempt to the arrival of this request.
-    pub tried_for: Span,
+    pub since_first_try: Span,
     /// The time since the arrival of the caller's request.
     pub age: Span,
     /// The time from its arrival to its deadline.
@@ -54,7 +54,7 @@
     /// The time from the caller's first attempt within which the answer counts as in time.
     pub objective: Span,
     /// How long the caller waits for the answer, or its first event.
-    pub patience: Span,
+    pub caller_timeout: Span,
     /// The longest pause between two events that still counts as in time.
     pub pause: Option<Span>,
     /// What an engine would read and write for the request.
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -114,9 +114,9 @@
     /// The number of units.
     pub units: u64,
     /// How routine the request is, in percent: 0 is the most protected, 100 the least.
-    pub routine: u8,
+    pub relative_priority: u8,
     /// Whether requests are waiting for the endpoints that this one needs.
-    pub pressed: bool,
+    pub backlogged: bool,
 }
 
 /// An owner's answer to a [`Reserve`].
--- a/crates/dispatch/src/quota/admit.rs
+++ b/crates/dispatch/src/quota/admit.rs
@@ -28,8 +28,8 @@
     ) -> Result<(), Denied> {
         let Demand {
             units,
-            routine,
-            pressed,
+            relative_priority,
+            backlogged,
         } = demand;
         let capacity = self.capacity(quota, reach);
         // The last part of a bucket is reserved for more protected requests and for
@@ -41,12 +41,12 @@
         let reserved = if small {
             0.0
         } else {
-            capacity.min(filled) * self.options.reserved_fraction * routine
+            capacity.min(filled) * self.options.reserved_fraction * relative_priority
         };
         let account = self.account(now, customer, quota, reach);
         // A request larger than the bucket is admitted once the bucket is full.
         let asked = (units as f64 + reserved).min(capacity);
-        let level = match pressed {
+        let level = match backlogged {
             true => account.level.min(account.base_level),
             false => account.level,
         };
--- a/crates/dispatch/src/quota/mod.rs
+++ b/crates/dispatch/src/quota/mod.rs
@@ -90,10 +90,10 @@
     /// The units to charge.
     pub units: u64,
     /// From 0 for the most protected requests to 1 for the least protected.
-    pub routine: f64,
+    pub relative_priority: f64,
     /// Whether requests wait for the endpoints that it needs. No customer then exceeds
     /// its limit, as that would be at the cost of other customers.
-    pub pressed: bool,
+    pub backlogged: bool,
 }
 
 /// Which part of the fleet a node hears.
--- a/crates/dispatch/tests/dispatch/first_try.rs
+++ b/crates/dispatch/tests/dispatch/first_try.rs
@@ -26,7 +26,10 @@
 }
 
 fn tried_ms(histogram: &Histogram, left_ms: u64) -> u64 {
-    histogram.tried_for(Span::from_millis(left_ms), TIMEOUT).0 / 1_000
+    histogram
+        .since_first_try(Span::from_millis(left_ms), TIMEOUT)
+        .0
+        / 1_000
 }
 
 #[rstest]
--- a/crates/dispatch/tests/dispatch/fleet/region_bound.rs
+++ b/crates/dispatch/tests/dispatch/fleet/region_bound.rs
@@ -42,7 +42,7 @@
         let random = hash::chain(world.now.0, &number.to_le_bytes());
         let node = nodes[(random >> 32) as usize % nodes.len()];
         world.arrive(Span(random % span.0), node, |when| Job {
-            bound: north(),
+            constraint: north(),
             ..request(MODEL)(when)
         });
     }
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -414,9 +414,9 @@
                 };
                 let arrived = job.arrived;
                 let left = job.deadline.since(arrived);
-                let tried_for = dispatcher.tried_for(now, left, TIMEOUT);
+                let since_first_try = dispatcher.since_first_try(now, left, TIMEOUT);
                 let job = Job {
-                    first_try: arrived - tried_for,
+                    first_try: arrived - since_first_try,
                     ..*job
                 };
                 let outcome = Outcome {
@@ -459,7 +459,7 @@
                 let found = list.clone().find(|one| one.name == endpoint);
                 let number = found.map(Endpoint::to_number);
                 if let Some((dispatcher, number)) = self.nodes.get_mut(&node).zip(number) {
-                    dispatcher.note_endpoint_ended(now, number);
+                    dispatcher.record_endpoint_ended(now, number);
                     self.apply_decisions(node);
                 }
             }
--- a/crates/dispatch/tests/dispatch/lease/lend.rs
+++ b/crates/dispatch/tests/dispatch/lease/lend.rs
@@ -143,12 +143,12 @@
     fill(&mut owner, 2);
     // Its caller waits for 10 ms more.
     let expiring = Job {
-        patience: Span::from_millis(500),
+        caller_timeout: Span::from_millis(500),
         ..job(MODEL, 2, at(0))
     };
     let late = lease::Request {
         age: Span::from_millis(490),
-        patience: expiring.patience,
+        caller_timeout: expiring.caller_timeout,
         tried: vec![1],
         ..question(90, 2)
     };
--- a/crates/dispatch/tests/dispatch/order.rs
+++ b/crates/dispatch/tests/dispatch/order.rs
@@ -208,7 +208,7 @@
             let brief = Job {
                 objective,
                 deadline: now + Span::from_millis(800),
-                patience: Span::from_millis(800),
+                caller_timeout: Span::from_millis(800),
                 ..job(SERVICE, 2, now)
             };
             let id = dispatcher.enter(now, brief);
@@ -275,7 +275,7 @@
 fn a_request_is_not_started_if_its_caller_would_leave_before_the_first_event() {
     let (mut dispatcher, running) = full_engine();
     let impatient = Job {
-        patience: Span::from_secs(2),
+        caller_timeout: Span::from_secs(2),
         ..job(MODEL, 2, at(0))
     };
     let waits = dispatcher.enter(at(0), impatient);
@@ -303,7 +303,7 @@
     };
     let reading = dispatcher.enter(at(0), long);
     let impatient = Job {
-        patience: Span::from_secs(3),
+        caller_timeout: Span::from_secs(3),
         prompt: prompt(1_000),
         ..job(MODEL, 0, at(1))
     };
--- a/crates/dispatch/tests/dispatch/quota/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota/mod.rs
@@ -25,8 +25,8 @@
 fn urgent(units: u64) -> Demand {
     Demand {
         units,
-        routine: 0.0,
-        pressed: false,
+        relative_priority: 0.0,
+        backlogged: false,
     }
 }
 
@@ -109,15 +109,15 @@
 
 #[test]
 fn the_last_part_is_reserved_for_protected_or_small_requests() {
-    let routine = |units| Demand {
+    let relative_priority = |units| Demand {
         units,
-        routine: 1.0,
-        pressed: false,
+        relative_priority: 1.0,
+        backlogged: false,
     };
     let mut accounts = accounts();
     assert!(is_admitted(&mut accounts, at(0), urgent(600)));
-    assert!(!is_admitted(&mut accounts, at(0), routine(100)));
-    assert!(is_admitted(&mut accounts, at(0), routine(10)));
+    assert!(!is_admitted(&mut accounts, at(0), relative_priority(100)));
+    assert!(is_admitted(&mut accounts, at(0), relative_priority(10)));
     assert!(is_admitted(&mut accounts, at(0), urgent(100)));
 }
 
@@ -128,10 +128,10 @@
         part: 1.0,
         ..Options::default()
     };
-    let rate = |pressed| {
+    let rate = |backlogged| {
         let mut accounts = Accounts::new(options.clone());
         let demand = Demand {
-            pressed,
+            backlogged,
             ..urgent(10)
         };
         let admitted = (0..40_000).filter(|millis| is_admitted(&mut accounts, at(*millis), demand));
@@ -154,7 +154,7 @@
         let _ = accounts.admit(at(millis), CUSTOMER, &QUOTA, urgent(10), reach(1, 0));
     }
     let demand = Demand {
-        pressed: true,
+        backlogged: true,
         ..urgent(100)
     };
     let now = at(20_110);
@@ -178,14 +178,15 @@
 /// admitted for the first 350 ms.
 #[test]
 fn a_filling_bucket_admits_unprotected_requests_at_once() {
-    let routine = |units| Demand {
+    let relative_priority = |units| Demand {
         units,
-        routine: 1.0,
-        pressed: false,
+        relative_priority: 1.0,
+        backlogged: false,
     };
     let mut accounts = accounts();
     accounts.note_start(at(0));
-    let mut admit = |millis, units| is_admitted(&mut accounts, at(millis), routine(units));
+    let mut admit =
+        |millis, units| is_admitted(&mut accounts, at(millis), relative_priority(units));
     assert!(!admit(200, 140));
     assert!(admit(200, 120));
     assert!(!admit(400, 200));
--- a/crates/dispatch/tests/dispatch/quota_fleet/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/mod.rs
@@ -80,8 +80,8 @@
     // More than a node's share of the initial credit.
     let demand = Demand {
         units: 100_000,
-        routine: 0.0,
-        pressed: false,
+        relative_priority: 0.0,
+        backlogged: false,
     };
     let customer = fleet.customer.clone();
     let (index, owner, reserve) = (0..usize::from(FLEET_NODES))
@@ -155,8 +155,8 @@
     first(&mut dispatcher, customer.name.to_number());
     let demand = Demand {
         units: REQUEST_UNITS,
-        routine: 0.0,
-        pressed: false,
+        relative_priority: 0.0,
+        backlogged: false,
     };
     let left = Span::from_secs(5);
     let charges =
@@ -172,7 +172,7 @@
     dispatcher.receive_status(at(9_990), node(7), status);
 })]
 #[case::a_reservation(&|dispatcher: &mut Dispatcher, customer| {
-    let reserve = Reserve { number: 1, customer, units: REQUEST_UNITS, routine: 0, pressed: false };
+    let reserve = Reserve { number: 1, customer, units: REQUEST_UNITS, relative_priority: 0, backlogged: false };
     assert!(matches!(dispatcher.reserve(at(9_990), &reserve), Verdict::Denied(_)));
 })]
 fn a_node_starts_with_empty_buckets_whatever_comes_first(
@@ -204,8 +204,8 @@
     let mut dispatcher = fleet.make_node(0);
     let demand = Demand {
         units: REQUEST_UNITS,
-        routine: 0.0,
-        pressed: false,
+        relative_priority: 0.0,
+        backlogged: false,
     };
     let discovery_ends_at = at(10_000) + quota::Options::default().discovery_time;
     let mut charge =
--- a/crates/dispatch/tests/dispatch/quota_fleet/world.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/world.rs
@@ -192,8 +192,8 @@
     pub(super) fn request(&mut self, millis: u64, number: u8) {
         let demand = Demand {
             units: REQUEST_UNITS,
-            routine: 0.0,
-            pressed: false,
+            relative_priority: 0.0,
+            backlogged: false,
         };
         let customer = self.customer.clone();
         let index = usize::from(number);
--- a/crates/dispatch/tests/dispatch/region.rs
+++ b/crates/dispatch/tests/dispatch/region.rs
@@ -62,7 +62,7 @@
 
 fn restricted_job(route: &str, customer: &str) -> Job {
     Job {
-        bound: Constraint {
+        constraint: Constraint {
             route: regions(route),
             customer: regions(customer),
         },
--- a/crates/dispatch/tests/dispatch/retry.rs
+++ b/crates/dispatch/tests/dispatch/retry.rs
@@ -37,11 +37,11 @@
 #[rstest]
 #[case::still_in_time_goes_first(500, true)]
 #[case::already_late_goes_last(3_000, false)]
-fn the_queue_position_of_a_retry(#[case] tried_for: u64, #[case] goes_first: bool) {
+fn the_queue_position_of_a_retry(#[case] since_first_try: u64, #[case] goes_first: bool) {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
     let back = Job {
-        first_try: at(1) - Span::from_millis(tried_for),
+        first_try: at(1) - Span::from_millis(since_first_try),
         ..job(MODEL, 2, at(1))
     };
     let back = dispatcher.enter(at(1), back);
@@ -56,12 +56,12 @@
 fn late_requests_are_ordered_by_their_first_attempt() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
-    let tried_for = |millis, seconds| Job {
+    let since_first_try = |millis, seconds| Job {
         first_try: at(millis) - Span::from_secs(seconds),
         ..job(MODEL, 2, at(millis))
     };
-    dispatcher.enter(at(1), tried_for(1, 2));
-    let longer = dispatcher.enter(at(2), tried_for(2, 3));
+    dispatcher.enter(at(1), since_first_try(1, 2));
+    let longer = dispatcher.enter(at(2), since_first_try(2, 3));
     starts(&mut dispatcher);
     dispatcher.end(at(3), running, End::Whole);
     assert_eq!(starts(&mut dispatcher), [(longer, "e".to_owned())]);
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -124,7 +124,7 @@
         kind,
         timeout: Span::from_secs(8),
         objective: Span::from_secs(1),
-        patience: Span::from_secs(8),
+        caller_timeout: Span::from_secs(8),
         pause: None,
         attempts: 2,
         priority,
@@ -203,7 +203,7 @@
         first_try: arrived,
         deadline: arrived + Span::from_secs(8),
         objective: Span::from_secs(1),
-        patience: Span::from_secs(8),
+        caller_timeout: Span::from_secs(8),
         pause: None,
         prompt: Prompt::default(),
         history: History::default(),
@@ -211,7 +211,7 @@
         only_endpoint: None,
         avoided: Vec::new(),
         trial: false,
-        bound: Constraint::default(),
+        constraint: Constraint::default(),
     }
 }
 
--- a/crates/dispatch/tests/dispatch/suspect.rs
+++ b/crates/dispatch/tests/dispatch/suspect.rs
@@ -49,7 +49,7 @@
 /// Crashes an endpoint while it runs a request.
 fn crash_during(dispatcher: &mut Dispatcher, now: Time, id: job::Id, name: &str) -> Next {
     let next = dispatcher.end(now, id, End::Lost);
-    dispatcher.note_endpoint_ended(now, endpoint(name, MODEL, 4).to_number());
+    dispatcher.record_endpoint_ended(now, endpoint(name, MODEL, 4).to_number());
     next
 }
 
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -155,11 +155,11 @@
         endpoint: Some(3),
         spare: true,
         rank: rank(),
-        tried_for: Span::from_millis(10),
+        since_first_try: Span::from_millis(10),
         age: Span::from_millis(20),
         time_limit: Span::from_millis(4_000),
         objective: Span::from_millis(800),
-        patience: Span::from_millis(3_200),
+        caller_timeout: Span::from_millis(3_200),
         pause: Some(Span::from_millis(600)),
         prompt: Prompt {
             tokens: 1_460,
@@ -222,8 +222,8 @@
         number: 4,
         customer: 99,
         units: 1_500,
-        routine: 50,
-        pressed: true,
+        relative_priority: 50,
+        backlogged: true,
     };
     let release = Release {
         customer: 99,
@@ -304,7 +304,7 @@
             kind: Kind::Stream,
             timeout: Span::from_secs(4),
             objective: Span::from_millis(800),
-            patience: Span::from_secs(4),
+            caller_timeout: Span::from_secs(4),
             pause: Some(Span::from_millis(600)),
             attempts: 2,
             priority: 1,
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -113,7 +113,7 @@
         headers: &Headers,
         head: &Parts,
         fingerprint: Fingerprint,
-        tried_for: Span,
+        since_first_try: Span,
     ) -> Job {
         let customer = self.customer.as_ref();
         let priority = customer.and_then(|customer| customer.priority);
@@ -132,10 +132,10 @@
             repeatable: self.route.may_repeat(),
             attempts: self.route.attempts,
             arrived: self.arrived,
-            first_try: self.arrived - tried_for,
+            first_try: self.arrived - since_first_try,
             deadline: self.deadline,
             objective: self.route.objective,
-            patience: self.route.patience,
+            caller_timeout: self.route.caller_timeout,
             pause: self.route.pause,
             prompt,
             history: History::default(),
@@ -143,7 +143,7 @@
             only_endpoint: None,
             avoided: Vec::new(),
             trial: false,
-            bound: Constraint {
+            constraint: Constraint {
                 route: self.route.regions.clone(),
                 customer: customer.map_or_else(Regions::default, |one| one.regions.clone()),
             },
--- a/crates/gateway/src/serve/charge.rs
+++ b/crates/gateway/src/serve/charge.rs
@@ -47,8 +47,8 @@
     let urgency = admitted.route.priority;
     let demand = shell.query(|dispatcher, now| Demand {
         units,
-        routine: dispatcher.routine(urgency),
-        pressed: dispatcher.is_backlogged(now, &admitted.target),
+        relative_priority: dispatcher.relative_priority(urgency),
+        backlogged: dispatcher.is_backlogged(now, &admitted.target),
     });
     let left = || admitted.deadline.since(shell.now());
     let mut charge =
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -114,11 +114,12 @@
         self.charged = charge::charge(&shell, &self.admitted, self.units).await?;
         let left = self.admitted.caller_deadline.since(self.admitted.arrived);
         let timeout = self.admitted.route.timeout;
-        let tried_for = shell.command(|dispatcher, now| dispatcher.tried_for(now, left, timeout));
+        let since_first_try =
+            shell.command(|dispatcher, now| dispatcher.since_first_try(now, left, timeout));
         let fingerprint = fingerprint::of(&self.admitted, &self.head, self.payload.as_ref());
         let job = self
             .admitted
-            .to_job(&shell.headers, &self.head, fingerprint, tried_for);
+            .to_job(&shell.headers, &self.head, fingerprint, since_first_try);
         shell.log(&Event::Accepted {
             request: &self.admitted.request,
             fingerprint: &fingerprint.to_string(),
--- a/crates/gateway/src/upstream/probe.rs
+++ b/crates/gateway/src/upstream/probe.rs
@@ -52,9 +52,9 @@
         shell.upstream.probed.borrow_mut().remove(&number);
         match sign {
             Sign::Ended => {
-                shell.command(|dispatcher, now| dispatcher.note_endpoint_ended(now, number));
+                shell.command(|dispatcher, now| dispatcher.record_endpoint_ended(now, number));
             }
-            Sign::Alive => shell.command(|dispatcher, _| dispatcher.note_endpoint_alive(number)),
+            Sign::Alive => shell.command(|dispatcher, _| dispatcher.record_endpoint_alive(number)),
             Sign::Nothing => {}
         }
     });
--- a/crates/gateway/tests/gateway/peers.rs
+++ b/crates/gateway/tests/gateway/peers.rs
@@ -232,8 +232,8 @@
         number,
         customer: 7,
         units: 30,
-        routine: 0,
-        pressed: false,
+        relative_priority: 0,
+        backlogged: false,
     }
 }
 
@@ -368,9 +368,9 @@
             age: Span::ZERO,
             time_limit: Span::from_secs(5),
             objective: Span::from_secs(1),
-            patience: Span::from_secs(5),
+            caller_timeout: Span::from_secs(5),
             pause: None,
-            tried_for: Span::ZERO,
+            since_first_try: Span::ZERO,
             prompt: Prompt::default(),
             tried: Vec::new(),
             avoided: Vec::new(),
--- a/crates/gateway/tests/gateway/support/gateway.rs
+++ b/crates/gateway/tests/gateway/support/gateway.rs
@@ -90,7 +90,7 @@
         kind,
         timeout: Span::from_secs(20),
         objective: Span::from_secs(20),
-        patience: Span::from_secs(20),
+        caller_timeout: Span::from_secs(20),
         pause: None,
         attempts,
         priority: 0,
