--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -69,7 +69,7 @@
     }
 
     /// Counts an incoming request of a service.
-    pub fn note_request(&mut self, now: Time, target: &id::Target) {
+    pub fn record_request(&mut self, now: Time, target: &id::Target) {
         let window = self.options.window;
         let counts = self.services.entry(target.clone()).or_default();
         counts.expire(now - window);
--- a/crates/dispatch/src/cold.rs
+++ b/crates/dispatch/src/cold.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records a start; the next one may follow after `interval`.
-    pub fn note_start(&mut self, now: Time, interval: Span) {
+    pub fn record_start(&mut self, now: Time, interval: Span) {
         self.next_start = now + interval;
     }
 }
--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -31,8 +31,8 @@
 impl Dispatcher {
     /// Handles an owner's answer.
     pub fn receive_lease_reply(&mut self, now: Time, from: SocketAddrV4, reply: Reply) {
-        let mut questions = self.open_requests.iter();
-        let found = questions.find(|(_, open_request)| {
+        let mut open_requests = self.open_requests.iter();
+        let found = open_requests.find(|(_, open_request)| {
             open_request.number == reply.number && open_request.owner == from
         });
         let Some(id) = found.map(|(id, _)| *id) else {
@@ -171,11 +171,11 @@
     pub fn answer_lease_check(&mut self, from: SocketAddrV4, check: lease::Check) {
         let runs = self.runs.values().filter_map(|run| run.lease);
         let mut leases = runs.map(|lease| (lease.owner, lease.number));
-        let questions = self.open_requests.values();
-        let mut questions = questions.map(|open_request| (open_request.owner, open_request.number));
+        let open_requests = self.open_requests.values();
+        let mut open_requests =
+            open_requests.map(|open_request| (open_request.owner, open_request.number));
         let requested = (from, check.number);
-        if leases.any(|lease| lease == requested) || questions.any(|question| question == requested)
-        {
+        if leases.any(|lease| lease == requested) || open_requests.any(|open| open == requested) {
             self.send_lease_report(from, check.number, lease::Event::Held);
         } else {
             self.release_slot(from, check.number, End::Abandoned);
--- a/crates/dispatch/src/dispatcher/apply_notice.rs
+++ b/crates/dispatch/src/dispatcher/apply_notice.rs
@@ -22,14 +22,14 @@
     pub fn apply_notice(&mut self, now: Time, id: job::Id, notice: &Notice) -> Vec<Change> {
         let cold = notice
             .cold_for
-            .and_then(|cold_for| self.note_cold(now, id, cold_for));
+            .and_then(|cold_for| self.record_cold(now, id, cold_for));
         let limit = match notice.rate_limit {
             Field::Unknown => None,
-            Field::Absent => self.note_rate_limit(now, id, None),
-            Field::Given(limit) => self.note_rate_limit(now, id, Some(limit)),
+            Field::Absent => self.record_rate_limit(now, id, None),
+            Field::Given(limit) => self.record_rate_limit(now, id, Some(limit)),
         };
-        let leaving = notice.leaving.then(|| self.note_leaving(id)).flatten();
-        let rest = notice.rest.and_then(|rest| self.note_rest(now, id, rest));
+        let leaving = notice.leaving.then(|| self.record_leaving(id)).flatten();
+        let rest = notice.rest.and_then(|rest| self.record_rest(now, id, rest));
         let changes = cold.into_iter().chain(limit);
         changes.chain(leaving).chain(rest).collect()
     }
@@ -43,7 +43,7 @@
 
     /// Records that an endpoint is leaving. Other nodes are told immediately, because
     /// each of them would otherwise learn it only from a request that it sends there.
-    fn note_leaving(&mut self, id: job::Id) -> Option<Change> {
+    fn record_leaving(&mut self, id: job::Id) -> Option<Change> {
         let (_, worker) = self.run_and_worker_mut(id)?;
         worker.leaving = true;
         let number = worker.number;
@@ -54,8 +54,8 @@
     }
 
     /// Receives what endpoints stated to another node.
-    pub(super) fn receive_announcements(&mut self, now: Time, told: &[Announcement]) {
-        for one in told {
+    pub(super) fn receive_announcements(&mut self, now: Time, announcements: &[Announcement]) {
+        for one in announcements {
             match one.condition {
                 Condition::Leaving => self.receive_leaving(one.endpoint),
                 Condition::Rest { left_ms } => {
@@ -84,16 +84,16 @@
     pub(super) fn announcements(&self, now: Time) -> Vec<Announcement> {
         let workers = self.pools.values().flat_map(|pool| &pool.workers);
         let open = workers.filter(|worker| worker.listed && !worker.endpoint.leaving);
-        let mut told: Vec<Announcement> = open
+        let mut announcements: Vec<Announcement> = open
             .filter_map(|worker| to_announcement_opt(now, worker))
             .collect();
-        told.sort_by_key(|one| one.endpoint);
-        told
+        announcements.sort_by_key(|one| one.endpoint);
+        announcements
     }
 
     /// Records that an endpoint rejected a request and wants none from this node for a
     /// while.
-    fn note_rest(&mut self, now: Time, id: job::Id, rest: Span) -> Option<Change> {
+    fn record_rest(&mut self, now: Time, id: job::Id, rest: Span) -> Option<Change> {
         let incarnation = self.options.incarnation;
         let (_, worker) = self.run_and_worker_mut(id)?;
         let drawn = hash::chain(incarnation, &worker.number.to_le_bytes());
@@ -120,7 +120,7 @@
     }
 
     /// Records that an endpoint stated in an answer that it is cold.
-    pub(super) fn note_cold(&mut self, now: Time, id: job::Id, cold_for: Span) -> Option<Change> {
+    pub(super) fn record_cold(&mut self, now: Time, id: job::Id, cold_for: Span) -> Option<Change> {
         let (run, worker) = self.run_and_worker_mut(id)?;
         let lease = run.lease;
         let was_cold = worker.cold.is_cold(now);
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -112,7 +112,7 @@
             return local;
         }
         let owner = match self.is_displaced(pool, job) {
-            true => self.fallback_owner(now, pool, job, self.next_question),
+            true => self.fallback_owner(now, pool, job, self.next_open_request),
             false => self.slot_owner(now, pool, endpoint),
         };
         match owner {
@@ -166,7 +166,10 @@
                 self.open_requests_at(worker) as f64
             }),
         };
-        let mut random = hash::chain(self.options.incarnation, &self.next_question.to_le_bytes());
+        let mut random = hash::chain(
+            self.options.incarnation,
+            &self.next_open_request.to_le_bytes(),
+        );
         let mut chosen: Option<(f64, &Worker)> = None;
         for _ in 0..samples {
             let at = random.checked_rem(candidates.len() as u64)?;
@@ -182,8 +185,8 @@
 
     /// Counts this node's open requests for a slot of an endpoint.
     fn open_requests_at(&self, worker: &Worker) -> usize {
-        let questions = self.open_requests.values();
-        questions
+        let open_requests = self.open_requests.values();
+        open_requests
             .filter(|open_request| open_request.endpoint == Some(worker.number))
             .count()
     }
@@ -214,9 +217,9 @@
         target: LeaseTarget,
         job: Option<Job>,
     ) {
-        self.next_question += 1;
+        self.next_open_request += 1;
         let open_request = OpenRequest {
-            number: self.next_question,
+            number: self.next_open_request,
             owner: target.owner,
             endpoint: target.endpoint,
             last_sent: now,
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -49,10 +49,10 @@
 
     /// Submits a request. The decision about it is made immediately or later.
     pub fn enter(&mut self, now: Time, job: Job) -> job::Id {
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         self.next_job += 1;
         let id = job::Id(self.next_job);
-        self.budget.note_request(now, &job.target);
+        self.budget.record_request(now, &job.target);
         pool_mut(&mut self.pools, &self.options.prefix_cache, &job.target);
         self.submit(now, id, job);
         id
@@ -84,7 +84,7 @@
         self.targets.remove(&id);
         match origin {
             None => {
-                self.first_tries.note_refused(now);
+                self.first_tries.record_refused(now);
                 self.decisions.push(Decision::Refuse { job: id, refusal });
             }
             Some(origin) => {
@@ -171,7 +171,7 @@
     }
 
     /// Returns the time in which the slots of all usable endpoints would absorb the
-    /// requests that wait now, on this node and others, and that do not rank behind this
+    /// requests that wait now, on this node and elsewhere, and that do not rank behind this
     /// one.
     fn expected_wait_by_slots(&self, now: Time, pool: &Pool, rank: Rank) -> Span {
         let is_preferred_to = |other: Rank| other <= rank;
@@ -180,10 +180,10 @@
             .counts()
             .filter(|(other, _)| is_preferred_to(*other));
         let here: usize = here.map(|(_, count)| count).sum();
-        let others = self.waiting_elsewhere(now, pool.number);
-        let others = others.filter(|waiting| is_preferred_to(waiting.rank));
-        let others: usize = others.map(|waiting| usize::from(waiting.count)).sum();
-        let waiting = here + others;
+        let elsewhere = self.waiting_elsewhere(now, pool.number);
+        let elsewhere = elsewhere.filter(|waiting| is_preferred_to(waiting.rank));
+        let elsewhere: usize = elsewhere.map(|waiting| usize::from(waiting.count)).sum();
+        let waiting = here + elsewhere;
         let slots = pool.usable_slots(now, &self.options.worker).max(1);
         Span((waiting as f64 * pool.call_us / f64::from(slots)) as u64)
     }
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -19,7 +19,7 @@
 impl Dispatcher {
     /// Records the limit stated in the head of an answer, or that it states none. Returns
     /// the change, if there is one.
-    pub(super) fn note_rate_limit(
+    pub(super) fn record_rate_limit(
         &mut self,
         now: Time,
         id: job::Id,
@@ -28,7 +28,7 @@
         let (run, worker) = self.run_and_worker_mut(id)?;
         let lease = run.lease;
         let before = worker.rate_limit.limit_opt();
-        let changed = worker.rate_limit.note_answer(now, run.started, limit);
+        let changed = worker.rate_limit.record_answer(now, run.started, limit);
         if let Some(lease) = lease.filter(|_| changed || limit.is_some()) {
             self.report_rate_limit(lease, limit);
         }
@@ -59,8 +59,8 @@
     }
 
     /// Stores limits announced by another node until its load is processed.
-    pub(super) fn receive_rate_limits(&mut self, now: Time, told: &[Announcement]) {
-        for one in told {
+    pub(super) fn receive_rate_limits(&mut self, now: Time, announcements: &[Announcement]) {
+        for one in announcements {
             let report = one.to_report(now);
             let known = self
                 .received_rate_limits
@@ -84,7 +84,7 @@
                 continue;
             };
             let before = worker.rate_limit.limit_opt();
-            if worker.rate_limit.note_report(now, *report) {
+            if worker.rate_limit.record_report(now, *report) {
                 changes.push((before, report.limit));
             }
         }
@@ -97,11 +97,11 @@
     pub(super) fn rate_limits_to_announce(&self, now: Time) -> Vec<Announcement> {
         let workers = self.pools.values().flat_map(|pool| &pool.workers);
         let listed = workers.filter(|worker| worker.listed);
-        let told =
+        let announcements =
             listed.filter_map(|worker| worker.rate_limit.to_announcement_opt(now, worker.number));
-        let mut told: Vec<Announcement> = told.collect();
-        told.sort_by_key(|one| one.endpoint);
-        told
+        let mut announcements: Vec<Announcement> = announcements.collect();
+        announcements.sort_by_key(|one| one.endpoint);
+        announcements
     }
 
     /// Restarts the interval before this node's first request at each endpoint whose
@@ -129,8 +129,9 @@
         };
         let limited = pool.workers.iter().enumerate();
         let limited = limited.filter(|(_, worker)| worker.is_rate_limited());
-        let others = limited.filter(|(_, worker)| !self.owns_rate_limit(now, pool, worker, permit));
-        others.map(|(at, _)| at).collect()
+        let owned_elsewhere =
+            limited.filter(|(_, worker)| !self.owns_rate_limit(now, pool, worker, permit));
+        owned_elsewhere.map(|(at, _)| at).collect()
     }
 
     /// Returns the minimum interval between two requests of this node to an endpoint with
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -207,11 +207,11 @@
             Event::First => self.progress(now, id, 1),
             Event::Progress => self.record_remote_progress(now, id),
             Event::Cold { cold_for } => {
-                self.note_cold(now, id, cold_for);
+                self.record_cold(now, id, cold_for);
             }
             Event::Ended { end, seen } => self.end_remote_request(now, origin, end, seen),
             Event::RateLimit { limit } => {
-                self.note_rate_limit(now, id, limit);
+                self.record_rate_limit(now, id, limit);
             }
         }
     }
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -52,16 +52,16 @@
         };
         pool.workers[run.worker].last_progress = now;
         if run.job.origin.is_none() {
-            pool.workers[run.worker].rest.note_served(run.started);
+            pool.workers[run.worker].rest.record_served(run.started);
         }
         run.shown += events;
         let first = run.first.is_none();
-        let told = match first {
+        let lease_event = match first {
             true => Some(lease::Event::First),
             false if now.since(run.reported) >= REPORT_INTERVAL => Some(lease::Event::Progress),
             false => None,
         };
-        let told = run.lease.zip(told);
+        let lease_event = run.lease.zip(lease_event);
         if first {
             learn_first(pool, run, now);
         } else {
@@ -74,11 +74,11 @@
                 learn_events(pool, run, now);
             }
         }
-        if told.is_some() {
+        if lease_event.is_some() {
             run.reported = now;
         }
         self.urgent |= first && run.lease.is_none();
-        if let Some((lease, event)) = told {
+        if let Some((lease, event)) = lease_event {
             self.send_lease_report(lease.owner, lease.number, event);
         }
     }
@@ -131,7 +131,7 @@
     fn update_quarantine(&mut self, now: Time, run: &Run, end: End) {
         let fingerprint = run.job.fingerprint;
         match end {
-            End::Whole => self.note_whole(now, fingerprint),
+            End::Whole => self.record_whole(now, fingerprint),
             // A timeout may mean that a whole host failed and no longer answers; only the
             // platform's list can tell.
             //
@@ -143,7 +143,7 @@
                 let pool = self.pools.get(&run.job.target);
                 if let Some(worker) = pool.and_then(|pool| pool.workers.get(run.worker)) {
                     let number = worker.number;
-                    self.quarantine.note_broken(now, fingerprint, number);
+                    self.quarantine.record_broken(now, fingerprint, number);
                 }
             }
             _ => {}
@@ -186,7 +186,7 @@
         worker.end(pending);
         if run.job.origin.is_none() {
             match end {
-                End::Whole | End::Rejected | End::Fault => worker.rest.note_served(run.started),
+                End::Whole | End::Rejected | End::Fault => worker.rest.record_served(run.started),
                 _ => worker.rest.end_probe(run.started),
             }
         }
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -163,10 +163,13 @@
     ) -> Option<Candidate> {
         let chain = prefix_cache::chain(&job.prompt.parts);
         let home = home_endpoint(pool, &chain);
-        let slowest = pool.max_step_opt(now, job, &self.options.worker);
+        let max_step = pool.max_step_opt(now, job, &self.options.worker);
         let permit = self.permit_opt(now, pool);
-        let apart = self.isolation_opt(now, &job.target, job);
-        if apart.as_ref().is_some_and(|apart| apart.is_starting) {
+        let isolation = self.isolation_opt(now, &job.target, job);
+        if isolation
+            .as_ref()
+            .is_some_and(|isolation| isolation.is_starting)
+        {
             return None;
         }
         let risk = self.risk(now, pool, job);
@@ -175,9 +178,7 @@
             if !worker.own_cell
                 || !self.is_usable(now, job, worker)
                 || !may_take(worker)
-                || job
-                    .only_endpoint
-                    .is_some_and(|only_endpoint| only_endpoint != worker.number)
+                || job.only_endpoint.is_some_and(|only| only != worker.number)
                 || job.history.tried.contains(&worker.number)
                 || !self.may_run_at(job, worker)
             {
@@ -189,7 +190,7 @@
                 continue;
             }
             // The stream would hold a slot until its deadline and then be cut off.
-            if slowest.is_some_and(|slowest| pool.step_of(worker) > slowest) {
+            if max_step.is_some_and(|max_step| pool.step_of(worker) > max_step) {
                 continue;
             }
             let mut candidate = match pool.engine {
@@ -206,8 +207,8 @@
                 continue;
             };
             candidate.preference = preference;
-            if let Some(apart) = &apart {
-                candidate.cost_us += apart.risk(at, worker.busy());
+            if let Some(isolation) = &isolation {
+                candidate.cost_us += isolation.risk(at, worker.busy());
             }
             if best.is_none_or(|best| candidate.is_preferred_to(&best)) {
                 best = Some(candidate);
@@ -308,12 +309,12 @@
 
     fn failure_cost(&self, worker: &Worker) -> f64 {
         let reports = worker.remote_reports;
-        let others = if reports.failing + reports.unreachable > 0 {
+        let remote_failure_rate = if reports.failing + reports.unreachable > 0 {
             REPORTED_FAILURE_RATE
         } else {
             0.0
         };
-        (worker.failure_rate + others) * self.options.policy.failing
+        (worker.failure_rate + remote_failure_rate) * self.options.policy.failing
     }
 }
 
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -85,9 +85,9 @@
             return false;
         }
         if self.list.era > Era::default() && list.era > self.list.era {
-            self.memory.begin_era(now, &self.list);
+            self.corrections.begin_era(now, &self.list);
         }
-        let corrected = self.memory.correct(now, &list).map(Arc::new);
+        let corrected = self.corrections.correct(now, &list).map(Arc::new);
         self.uncorrected = corrected.is_some().then(|| list.clone());
         self.replace_list(now, corrected.unwrap_or(list));
         true
@@ -96,7 +96,7 @@
     /// Applies the list as published by the platform once all corrections after the start
     /// of an era have expired.
     pub(super) fn expire_corrections(&mut self, now: Time) {
-        if !self.memory.expire(now) {
+        if !self.corrections.expire(now) {
             return;
         }
         if let Some(list) = self.uncorrected.take() {
@@ -109,7 +109,7 @@
             true => list,
             false => Arc::new(list.merge(&self.list)),
         };
-        self.memory.record_list(now, &self.list, &list);
+        self.corrections.record_list(now, &self.list, &list);
         self.sections = section::Index::new(&list);
         self.list = list;
         self.has_news = true;
@@ -206,13 +206,13 @@
 
     /// Assembles and applies a configuration from the parts that other nodes sent. Returns
     /// false if one at least as new is in force or if parts are missing.
-    pub fn receive_manifest(&mut self, now: Time, head: &Manifest) -> bool {
-        if head.version <= self.configuration_version() {
+    pub fn receive_manifest(&mut self, now: Time, manifest: &Manifest) -> bool {
+        if manifest.version <= self.configuration_version() {
             return false;
         }
         let base = self.table.as_ref();
         let base = base.map(|table| (table.configuration().as_ref(), table.parts()));
-        let Some(configuration) = self.received.try_assemble(head, base) else {
+        let Some(configuration) = self.received.try_assemble(manifest, base) else {
             return false;
         };
         self.set_configuration(now, Arc::new(configuration))
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -159,9 +159,9 @@
     /// multiple of its usable endpoints.
     pub fn is_backlogged(&self, now: Time, target: &id::Target) -> bool {
         self.pools.get(target).is_some_and(|pool| {
-            let others = self.waiting_elsewhere(now, pool.number);
-            let others: usize = others.map(|waiting| usize::from(waiting.count)).sum();
-            let waiting = pool.queue.len() + others;
+            let elsewhere = self.waiting_elsewhere(now, pool.number);
+            let elsewhere: usize = elsewhere.map(|waiting| usize::from(waiting.count)).sum();
+            let waiting = pool.queue.len() + elsewhere;
             let usable = pool.usable(now, &self.options.worker);
             waiting as f64 > usable as f64 * self.options.policy.pressed_from
         })
@@ -175,9 +175,9 @@
 
     /// Whether at least as many other nodes serve as are stopping, and at least one serves.
     pub fn are_most_peers_serving(&self, now: Time) -> bool {
-        let others = self.members.live(now);
+        let peers = self.members.live(now);
         let (stopping, serving): (Vec<_>, Vec<_>) =
-            others.partition(|(_, member)| member.status.leaving);
+            peers.partition(|(_, member)| member.status.leaving);
         serving.len() >= stopping.len().max(1)
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Counts the requests of other nodes that wait for or run in slots of this node.
-    pub fn held_for_others(&self) -> usize {
+    pub fn remote_request_count(&self) -> usize {
         self.remote_requests.len()
     }
 
--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -72,7 +72,7 @@
         let Some(quota) = &customer.quota else {
             return Charge::Admitted;
         };
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         let number = customer.name.to_number();
         let reach = self.members.reach(now);
         let accounts = &mut self.accounts;
@@ -143,7 +143,7 @@
         if self.may_wait(now, denied.wait, remaining) {
             return Charge::Wait(now + denied.wait.max(MIN_STARTUP_WAIT));
         }
-        self.first_tries.note_refused(now);
+        self.first_tries.record_refused(now);
         let refusal = Refusal {
             code: Code::CustomerLimit,
             retry_after: Some(self.retry_after(now, denied.wait, remaining)),
@@ -155,7 +155,7 @@
 
     /// Answers the reservation of a node that considers this one the owner of a quota.
     pub fn reserve(&mut self, now: Time, reserve: &Reserve) -> Verdict {
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         let customer = self
             .table
             .as_ref()
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -41,14 +41,14 @@
 
 /// The number of endpoints from which on a node that can't connect to them may itself be
 /// cut off.
-const MIN_UNREACHABLE_IF_CUT_OFF: usize = 4;
+const MIN_UNREACHABLE_IF_DISCONNECTED: usize = 4;
 
 /// What the other nodes report about one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 struct RemoteLoad {
     running: u32,
     pending: u64,
-    trouble: Reports,
+    reports: Reports,
 }
 
 /// The load that this node puts on one endpoint in slots that other nodes own and count.
@@ -67,7 +67,7 @@
         from: SocketAddrV4,
         mut status: Status,
     ) -> Reception {
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         let findings = std::mem::take(&mut status.findings);
         let rate_limits = std::mem::take(&mut status.rate_limits);
         let notices = std::mem::take(&mut status.notices);
@@ -104,15 +104,15 @@
         let mut sums: HashMap<u32, RemoteLoad> = HashMap::new();
         for (_, member) in self.members.live(now) {
             let loads = &member.status.loads;
-            let credible = !is_cut_off(loads);
+            let credible = !is_disconnected(loads);
             for load in loads {
                 let sum = sums.entry(load.endpoint).or_default();
                 sum.running += u32::from(load.running);
                 sum.pending += u64::from(load.pending_tokens);
                 match load.unavailability {
-                    Some(Unavailability::Gone) => sum.trouble.gone += 1,
-                    Some(Unavailability::Failing) => sum.trouble.failing += 1,
-                    Some(Unavailability::Unreachable) if credible => sum.trouble.unreachable += 1,
+                    Some(Unavailability::Gone) => sum.reports.gone += 1,
+                    Some(Unavailability::Failing) => sum.reports.failing += 1,
+                    Some(Unavailability::Unreachable) if credible => sum.reports.unreachable += 1,
                     Some(Unavailability::Unreachable) | None => {}
                 }
             }
@@ -121,7 +121,7 @@
             let sum = sums.get(&worker.number).copied().unwrap_or_default();
             worker.remote_running = sum.running;
             worker.remote_pending = sum.pending;
-            worker.remote_reports = sum.trouble;
+            worker.remote_reports = sum.reports;
         }
     }
 
@@ -167,7 +167,7 @@
             endpoints: self.list.edition(),
             data_centre: endpoint::number_of(self.options.data_centre.as_str()),
             leaving: self.leaving,
-            platform_unreachable: self.is_partitioned,
+            platform_unreachable: self.platform_unreachable,
             loads: self.loads(now),
             waiting: self.waiting(),
             usage: self.accounts.usage(now, MAX_USAGE_ENTRIES),
@@ -207,7 +207,7 @@
                 endpoint: worker.number,
                 running: running.min(u32::from(u16::MAX)) as u16,
                 pending_tokens: pending.min(u64::from(u32::MAX)) as u32,
-                unavailability: worker.trouble(now, &self.options.worker),
+                unavailability: worker.unavailability_opt(now, &self.options.worker),
             }
         });
         let reported = loads.filter(|load| load.running > 0 || load.unavailability.is_some());
@@ -347,9 +347,9 @@
     }
 
     /// Tells the other nodes whether this node is cut off from the platform.
-    pub fn set_platform_unreachable(&mut self, cut_off: bool) {
-        self.urgent |= self.is_partitioned != cut_off;
-        self.is_partitioned = cut_off;
+    pub fn set_platform_unreachable(&mut self, unreachable: bool) {
+        self.urgent |= self.platform_unreachable != unreachable;
+        self.platform_unreachable = unreachable;
     }
 
     /// Announces to the other nodes that this node is stopping.
@@ -362,10 +362,10 @@
 
 /// Whether a node fails to connect to so many endpoints that the node itself is more likely
 /// cut off than the endpoints.
-fn is_cut_off(loads: &[Load]) -> bool {
+fn is_disconnected(loads: &[Load]) -> bool {
     let unreachable = |load: &&Load| load.unavailability == Some(Unavailability::Unreachable);
     let unreachable = loads.iter().filter(unreachable).count();
-    unreachable >= MIN_UNREACHABLE_IF_CUT_OFF && unreachable * 2 > loads.len()
+    unreachable >= MIN_UNREACHABLE_IF_DISCONNECTED && unreachable * 2 > loads.len()
 }
 
 /// Shortens the reports for a newcomer to those for a node that is already known.
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -35,8 +35,8 @@
         if self.members.cell().covers_fleet || pool.shared || pool.queue.is_empty() {
             return;
         }
-        let questions = self.open_requests.iter();
-        let open = questions.filter(|(id, open_request)| {
+        let open_requests = self.open_requests.iter();
+        let open = open_requests.filter(|(id, open_request)| {
             open_request.job.is_none() && self.targets.get(id) == Some(target)
         });
         let remaining = MAX_OPEN_SPARE_REQUESTS.saturating_sub(open.count());
@@ -56,7 +56,7 @@
             .retain(|_, denied| now.since(*denied) < DENIAL_BACKOFF);
         let owners = self
             .members
-            .owners_in_other_cells(now, key, self.next_question);
+            .owners_in_other_cells(now, key, self.next_open_request);
         let owners = owners.into_iter();
         let mut owners: VecDeque<SocketAddrV4> = owners
             .filter(|owner| !self.spare_denied_at.contains_key(owner))
--- a/crates/dispatch/src/dispatcher/start.rs
+++ b/crates/dispatch/src/dispatcher/start.rs
@@ -71,10 +71,10 @@
             worker.rest.start_probe(now);
         }
         if let Some(interval) = interval {
-            worker.cold.note_start(now, interval);
+            worker.cold.record_start(now, interval);
         }
         if let Some(spacing) = spacing {
-            worker.rate_limit.note_start(now, spacing);
+            worker.rate_limit.record_start(now, spacing);
         }
         let endpoint = worker.endpoint.clone();
         let number = worker.number;
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -136,20 +136,20 @@
     /// Records that an endpoint crashed: nothing listens at its address, or the platform
     /// no longer lists it although it was not leaving.
     pub fn record_endpoint_ended(&mut self, now: Time, endpoint: u32) {
-        for fingerprint in self.quarantine.note_ended(now, endpoint) {
-            self.note_change(now, fingerprint, Evidence::Charged);
+        for fingerprint in self.quarantine.record_ended(now, endpoint) {
+            self.record_change(now, fingerprint, Evidence::Charged);
         }
     }
 
     /// Records that an endpoint at which an attempt broke is alive.
     pub fn record_endpoint_alive(&mut self, endpoint: u32) {
-        self.quarantine.note_alive(endpoint);
+        self.quarantine.record_alive(endpoint);
     }
 
     /// Records that a request was answered completely.
-    pub(super) fn note_whole(&mut self, now: Time, fingerprint: Fingerprint) {
-        if self.quarantine.note_whole(now, fingerprint) {
-            self.note_change(now, fingerprint, Evidence::Cleared);
+    pub(super) fn record_whole(&mut self, now: Time, fingerprint: Fingerprint) {
+        if self.quarantine.record_whole(now, fingerprint) {
+            self.record_change(now, fingerprint, Evidence::Cleared);
         }
     }
 
@@ -157,12 +157,12 @@
     pub fn take_findings(&mut self, now: Time, findings: &[Finding]) {
         for finding in findings {
             if self.quarantine.merge(now, finding) {
-                self.note_change(now, finding.fingerprint, Evidence::Heard);
+                self.record_change(now, finding.fingerprint, Evidence::Heard);
             }
         }
     }
 
-    fn note_change(&mut self, now: Time, fingerprint: Fingerprint, what: Evidence) {
+    fn record_change(&mut self, now: Time, fingerprint: Fingerprint, what: Evidence) {
         let barred = self.is_barred(now, fingerprint);
         let record = self.quarantine.get(fingerprint);
         self.quarantine_changes.push(Change {
@@ -187,7 +187,7 @@
         let waiting = queues.flat_map(|queue| queue.iter());
         let waiting = waiting.filter(|(_, job)| job.origin.is_none() && is_it(job));
         let asked = self.open_requests.iter();
-        let asked = asked.filter(|(_, question)| question.job.as_ref().is_some_and(is_it));
+        let asked = asked.filter(|(_, open_request)| open_request.job.as_ref().is_some_and(is_it));
         let ids: Vec<job::Id> = waiting
             .map(|(id, _)| id)
             .chain(asked.map(|(id, _)| *id))
@@ -213,7 +213,7 @@
             return Some(self.barred_refusal(now, job.fingerprint));
         }
         job.trial = true;
-        self.quarantine.note_trial(now, job.fingerprint);
+        self.quarantine.record_trial(now, job.fingerprint);
         let record = self.quarantine.get(job.fingerprint);
         self.quarantine_changes.push(Change {
             fingerprint: job.fingerprint,
@@ -286,15 +286,16 @@
                 && now.since(run.started) < CRASH_WINDOW
                 && self.quarantine.is_suspect(run.job.fingerprint)
         });
-        let mut apart = Isolation {
+        let mut isolation = Isolation {
             is_starting: false,
             suspect_starts: HashSet::new(),
         };
         for run in begun {
-            apart.is_starting |= run.job.fingerprint == job.fingerprint && !record.was_cleared();
-            apart.suspect_starts.insert(run.worker);
+            isolation.is_starting |=
+                run.job.fingerprint == job.fingerprint && !record.was_cleared();
+            isolation.suspect_starts.insert(run.worker);
         }
-        Some(apart)
+        Some(isolation)
     }
 
     /// Sends this node's findings to a node whose digest differs.
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -39,7 +39,7 @@
             self.members.clear_loads();
         }
         self.ticked_at = now;
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         self.members.remove_expired(now);
         self.quarantine.expire(now);
         self.expire_corrections(now);
--- a/crates/dispatch/src/first_try.rs
+++ b/crates/dispatch/src/first_try.rs
@@ -56,7 +56,7 @@
 
 impl Histogram {
     /// Records that a caller was told to retry.
-    pub fn note_refused(&mut self, now: Time) {
+    pub fn record_refused(&mut self, now: Time) {
         self.last_refusal = Some(now);
     }
 
--- a/crates/dispatch/src/member/catch_up.rs
+++ b/crates/dispatch/src/member/catch_up.rs
@@ -77,7 +77,7 @@
     /// Returns the configuration version that another node last reported; 0 for an unknown
     /// node.
     pub fn configuration(&self, address: SocketAddrV4) -> u64 {
-        let member = self.others.get(&address);
+        let member = self.peers.get(&address);
         member.map_or(0, |member| member.status.configuration)
     }
 }
--- a/crates/dispatch/src/member/cell.rs
+++ b/crates/dispatch/src/member/cell.rs
@@ -52,7 +52,7 @@
         if live.len() < self.options.single_cell_max {
             self.cell = SINGLE_CELL;
             self.other_cells.clear();
-            self.others
+            self.peers
                 .values_mut()
                 .for_each(|member| member.in_cell = true);
             return;
@@ -78,18 +78,18 @@
             }
             cells.extend(divided);
         }
-        for member in self.others.values_mut() {
+        for member in self.peers.values_mut() {
             member.in_cell = false;
         }
-        let (own, others): (Vec<_>, Vec<_>) = cells
+        let (own, other_cells): (Vec<_>, Vec<_>) = cells
             .into_iter()
             .partition(|cell| cell.contains(&self.own_address));
         for address in own.iter().flatten() {
-            if let Some(member) = self.others.get_mut(address) {
+            if let Some(member) = self.peers.get_mut(address) {
                 member.in_cell = true;
             }
         }
-        self.other_cells = others;
+        self.other_cells = other_cells;
     }
 
     /// Returns the number of cells in the fleet.
@@ -112,7 +112,7 @@
 
     /// Returns the number of another node's data centre, if the node was ever heard.
     pub fn data_centre_opt(&self, address: SocketAddrV4) -> Option<u32> {
-        let member = self.others.get(&address);
+        let member = self.peers.get(&address);
         let heard = member.filter(|member| member.last_heard.is_some());
         heard.map(|member| member.status.data_centre)
     }
--- a/crates/dispatch/src/member/gossip.rs
+++ b/crates/dispatch/src/member/gossip.rs
@@ -32,7 +32,7 @@
             true => self.options.high_usage_statuses_per_second,
             false => self.options.remote_statuses_per_second,
         };
-        let spread = Span(self.others.len() as u64 * 1_000_000 / per_second.max(1));
+        let spread = Span(self.peers.len() as u64 * 1_000_000 / per_second.max(1));
         spread.max(self.options.min_status_interval)
     }
 
@@ -52,13 +52,16 @@
 
     /// Whether a node may know few other nodes: it was never heard, or not for long.
     pub fn is_newcomer(&self, now: Time, address: SocketAddrV4) -> bool {
-        let joined = self.others.get(&address).and_then(|member| member.joined);
+        let joined = self.peers.get(&address).and_then(|member| member.joined);
         joined.is_none_or(|at| now.since(at) < self.options.newcomer_for)
     }
 
     /// Returns the part of the advertised members that an established node is sent.
-    pub fn advertised_to_established<'a>(&self, told: &'a [SocketAddrV4]) -> &'a [SocketAddrV4] {
-        &told[..told.len().min(self.options.members_to_established)]
+    pub fn advertised_to_established<'a>(
+        &self,
+        addresses: &'a [SocketAddrV4],
+    ) -> &'a [SocketAddrV4] {
+        &addresses[..addresses.len().min(self.options.members_to_established)]
     }
 
     /// Returns the nodes that are due a status now, and records that they are sent one.
@@ -78,7 +81,7 @@
             None => STARTUP_PROBE_INTERVAL,
         };
         let mut due = Vec::new();
-        for (address, member) in &mut self.others {
+        for (address, member) in &mut self.peers {
             let silent_after = if member.in_cell { silent.0 } else { silent.1 };
             let live = member
                 .last_heard
@@ -112,7 +115,7 @@
         chosen.sort_by_key(|address| hash::chain(seed, &address.ip().octets()));
         chosen.truncate(self.options.fan_out);
         for address in &chosen {
-            if let Some(member) = self.others.get_mut(address) {
+            if let Some(member) = self.peers.get_mut(address) {
                 member.last_sent = now;
             }
         }
@@ -126,7 +129,7 @@
             return self.options.max_status_interval;
         }
         let per_second = self.options.statuses_per_second.max(1);
-        let in_cell = self.others.values().filter(|member| member.in_cell).count();
+        let in_cell = self.peers.values().filter(|member| member.in_cell).count();
         let spread = Span(in_cell as u64 * 1_000_000 / per_second);
         spread.max(self.options.min_status_interval)
     }
--- a/crates/dispatch/src/member/mod.rs
+++ b/crates/dispatch/src/member/mod.rs
@@ -129,7 +129,7 @@
     own_address: SocketAddrV4,
     data_centre: u32,
     seeds: Vec<SocketAddrV4>,
-    others: HashMap<SocketAddrV4, Member>,
+    peers: HashMap<SocketAddrV4, Member>,
     cell: Cell,
     /// The nodes of every other cell of the fleet.
     other_cells: Vec<Vec<SocketAddrV4>>,
@@ -163,7 +163,7 @@
             own_address,
             data_centre,
             seeds: Vec::new(),
-            others: HashMap::new(),
+            peers: HashMap::new(),
             cell: cell::SINGLE_CELL,
             other_cells: Vec::new(),
             first_heard: None,
@@ -192,7 +192,7 @@
         }
         let silent_after = self.silent_after(self.cell.covers_fleet);
         let in_cell = self.cell.covers_fleet;
-        let member = self.others.entry(from).or_insert_with(|| Member {
+        let member = self.peers.entry(from).or_insert_with(|| Member {
             discovered: now,
             in_cell,
             ..Member::default()
@@ -224,7 +224,7 @@
     fn discover(&mut self, now: Time, address: SocketAddrV4) {
         let in_cell = self.cell.covers_fleet;
         if address != self.own_address {
-            self.others.entry(address).or_insert_with(|| Member {
+            self.peers.entry(address).or_insert_with(|| Member {
                 discovered: now,
                 in_cell,
                 ..Member::default()
@@ -235,7 +235,7 @@
     /// Removes nodes that have been silent for too long, and addresses that never answered.
     pub fn remove_expired(&mut self, now: Time) {
         let forget_after = self.options.forget_after;
-        self.others.retain(|_, member| {
+        self.peers.retain(|_, member| {
             let last = member.last_heard.unwrap_or(member.discovered);
             now.since(last) <= forget_after
         });
@@ -244,7 +244,7 @@
     /// Clears the loads and queues that other nodes reported, which are out of date after this
     /// process was suspended.
     pub fn clear_loads(&mut self) {
-        for member in self.others.values_mut() {
+        for member in self.peers.values_mut() {
             member.status.loads.clear();
             member.status.waiting.clear();
         }
@@ -271,7 +271,7 @@
 
     /// Returns the nodes that were heard recently, with their latest statuses.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
-        self.others
+        self.peers
             .iter()
             .filter(move |(_, member)| self.is_live(now, member))
     }
@@ -281,7 +281,7 @@
     /// for most of the fleet until all have heard each other again.
     pub fn reach(&self, now: Time) -> Reach {
         let counted = self
-            .others
+            .peers
             .values()
             .filter(|member| member.last_heard.is_some());
         let (mut nodes, mut silent) = (1, 0);
@@ -324,7 +324,7 @@
 
     /// Whether neither a seed nor another node is known.
     pub fn has_no_peers(&self) -> bool {
-        self.seeds.is_empty() && self.others.is_empty()
+        self.seeds.is_empty() && self.peers.is_empty()
     }
 
     /// Records that a node is sent findings. Returns false, and records nothing, if it was sent
@@ -337,7 +337,7 @@
         known: (u32, u32),
         every: Span,
     ) -> bool {
-        let Some(member) = self.others.get_mut(&address) else {
+        let Some(member) = self.peers.get_mut(&address) else {
             return false;
         };
         let lately = |(at, before): (Time, (u32, u32))| before == known && now.since(at) < every;
@@ -350,14 +350,14 @@
 
     /// Whether a node belongs to this node's cell.
     pub fn is_in_cell(&self, address: SocketAddrV4) -> bool {
-        self.others
+        self.peers
             .get(&address)
             .is_some_and(|member| member.in_cell)
     }
 
     /// Returns the incarnation of another node, if it is live.
     pub fn incarnation_opt(&self, now: Time, address: SocketAddrV4) -> Option<u64> {
-        let member = self.others.get(&address);
+        let member = self.peers.get(&address);
         let live = member.filter(|member| self.is_live(now, member));
         live.map(|member| member.status.incarnation)
     }
@@ -365,7 +365,7 @@
     /// Returns the number of requests that wait for a service on another node, by its latest
     /// status.
     pub fn waiting_at(&self, address: SocketAddrV4, service: u32) -> usize {
-        let said = self.others.get(&address).into_iter();
+        let said = self.peers.get(&address).into_iter();
         let waiting = said.flat_map(|member| &member.status.waiting);
         let of_service = waiting.filter(|waiting| waiting.service == service);
         of_service.map(|waiting| usize::from(waiting.count)).sum()
@@ -373,11 +373,11 @@
 
     /// Returns the number of other nodes that are known, live or not.
     pub fn len(&self) -> usize {
-        self.others.len()
+        self.peers.len()
     }
 
     /// Whether no other node is known.
     pub fn is_empty(&self) -> bool {
-        self.others.is_empty()
+        self.peers.is_empty()
     }
 }
--- a/crates/dispatch/src/member/owner.rs
+++ b/crates/dispatch/src/member/owner.rs
@@ -72,7 +72,7 @@
     pub fn owners_in_other_cells(&self, now: Time, key: u64, turn: u64) -> Vec<SocketAddrV4> {
         let owner_in = |cell: &Vec<SocketAddrV4>| {
             let heard = cell.iter().filter(|address| {
-                let member = self.others.get(address);
+                let member = self.peers.get(address);
                 let live = member.filter(|member| self.is_live(now, member));
                 live.is_some_and(|member| {
                     is_eligible(member) && !is_backing_off(now, member.last_unanswered)
@@ -88,8 +88,8 @@
     /// Whether no live node is preferred to this one as the owner of a key.
     pub fn is_preferred_owner(&self, now: Time, key: u64) -> bool {
         let own = score(key, &self.own_address);
-        let mut others = self.live(now).filter(|(_, member)| is_eligible(member));
-        others.all(|(address, _)| score(key, address) <= own)
+        let mut peers = self.live(now).filter(|(_, member)| is_eligible(member));
+        peers.all(|(address, _)| score(key, address) <= own)
     }
 
     /// Whether a node's build enforces the rate limits that endpoints announce.
@@ -106,14 +106,14 @@
 
     /// Returns the protocol of a node, if the node was ever heard.
     fn protocol_opt(&self, address: SocketAddrV4) -> Option<Protocol> {
-        let member = self.others.get(&address);
+        let member = self.peers.get(&address);
         let heard = member.filter(|member| member.last_heard.is_some());
         heard.map(|member| member.status.protocol)
     }
 
     /// Records that a node failed to answer a question.
     pub fn record_unanswered(&mut self, now: Time, address: SocketAddrV4) {
-        if let Some(member) = self.others.get_mut(&address) {
+        if let Some(member) = self.peers.get_mut(&address) {
             member.last_unanswered = Some(now);
         }
     }
--- a/crates/dispatch/src/quarantine/registry.rs
+++ b/crates/dispatch/src/quarantine/registry.rs
@@ -79,7 +79,7 @@
     }
 
     /// Records a complete answer. Returns true if the request had been charged.
-    pub fn note_whole(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
+    pub fn record_whole(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let slot = self.known_good_slot(fingerprint);
         self.known_good[slot] = Some(fingerprint);
         if !self.is_suspect(fingerprint) {
@@ -90,7 +90,7 @@
     }
 
     /// Records that an attempt broke and its endpoint may have crashed.
-    pub fn note_broken(&mut self, now: Time, fingerprint: Fingerprint, endpoint: u32) {
+    pub fn record_broken(&mut self, now: Time, fingerprint: Fingerprint, endpoint: u32) {
         if self.broken_attempts.len() >= self.options.max_unconfirmed {
             self.broken_attempts.pop_front();
         }
@@ -102,20 +102,20 @@
     }
 
     /// Records that an endpoint is alive, so attempts broke there for another reason.
-    pub fn note_alive(&mut self, endpoint: u32) {
+    pub fn record_alive(&mut self, endpoint: u32) {
         self.broken_attempts
             .retain(|attempt| attempt.endpoint != endpoint);
     }
 
     /// Records that an endpoint crashed. Charges the requests that broke there and
     /// returns them.
-    pub fn note_ended(&mut self, now: Time, endpoint: u32) -> Vec<Fingerprint> {
+    pub fn record_ended(&mut self, now: Time, endpoint: u32) -> Vec<Fingerprint> {
         let under = self.broken_attempts.iter();
         let under = under.filter(|attempt| attempt.endpoint == endpoint);
         let mut charged: Vec<Fingerprint> = under.map(|attempt| attempt.fingerprint).collect();
         charged.sort_unstable();
         charged.dedup();
-        self.note_alive(endpoint);
+        self.record_alive(endpoint);
         for fingerprint in &charged {
             let known_good = self.is_known_good(*fingerprint);
             self.change(now, *fingerprint, |record| {
@@ -127,7 +127,7 @@
     }
 
     /// Records the trial of a barred request.
-    pub fn note_trial(&mut self, now: Time, fingerprint: Fingerprint) {
+    pub fn record_trial(&mut self, now: Time, fingerprint: Fingerprint) {
         self.change(now, fingerprint, |record| {
             record.trials = record.trials.saturating_add(1);
             record.last = now;
@@ -149,19 +149,19 @@
 
     /// Returns the findings to include in a status: recent changes, newest first.
     pub fn recent_findings(&self, now: Time) -> Vec<Finding> {
-        let mut told: Vec<Finding> = Vec::new();
+        let mut findings: Vec<Finding> = Vec::new();
         for (at, fingerprint) in self.recent_changes.iter().rev() {
-            if told.len() >= self.options.max_findings_per_status
+            if findings.len() >= self.options.max_findings_per_status
                 || now.since(*at) > self.options.announce_for
             {
                 break;
             }
-            let known = told.iter().any(|one| one.fingerprint == *fingerprint);
+            let known = findings.iter().any(|one| one.fingerprint == *fingerprint);
             if let Some(record) = self.records.get(fingerprint).filter(|_| !known) {
-                told.push(record.to_finding(now, *fingerprint));
+                findings.push(record.to_finding(now, *fingerprint));
             }
         }
-        told
+        findings
     }
 
     /// Returns the findings to send to a node with a different digest: barred requests
@@ -177,8 +177,8 @@
             let turns = self.rotation % rest.len();
             rest.rotate_left(turns);
         }
-        let told = all.iter().take(most);
-        let findings = told.map(|(fingerprint, record)| record.to_finding(now, *fingerprint));
+        let selected = all.iter().take(most);
+        let findings = selected.map(|(fingerprint, record)| record.to_finding(now, *fingerprint));
         let findings = findings.collect();
         self.rotation = self.rotation.wrapping_add(most / 2);
         findings
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -19,7 +19,7 @@
 pub struct Queue {
     jobs: BTreeMap<Position, Job>,
     positions: HashMap<job::Id, Position>,
-    expiries: BTreeSet<(Time, job::Id)>,
+    expiry_order: BTreeSet<(Time, job::Id)>,
     objectives: BTreeSet<(Time, job::Id)>,
     counts: BTreeMap<Rank, usize>,
     /// Since when each rank has had waiting requests without interruption.
@@ -33,7 +33,7 @@
         let position = (job.rank, false, job.first_try, id);
         self.positions.insert(id, position);
         self.objectives.insert((job.objective_deadline(), id));
-        self.expiries.insert((job.expires_at(), id));
+        self.expiry_order.insert((job.expires_at(), id));
         let count = self.counts.entry(job.rank).or_default();
         if *count == 0 {
             self.busy_since.insert(job.rank, now);
@@ -51,7 +51,7 @@
     pub fn remove(&mut self, id: job::Id) -> Option<Job> {
         let position = self.positions.remove(&id)?;
         let job = self.jobs.remove(&position)?;
-        self.expiries.remove(&(job.expires_at(), id));
+        self.expiry_order.remove(&(job.expires_at(), id));
         self.objectives.remove(&(job.objective_deadline(), id));
         if let Some(count) = self.counts.get_mut(&job.rank) {
             *count -= 1;
@@ -79,8 +79,8 @@
 
     /// Returns a request that is of no use to its caller after `now`.
     pub fn expired_opt(&self, now: Time) -> Option<job::Id> {
-        let (expiries, id) = self.expiries.first()?;
-        (*expiries <= now).then_some(*id)
+        let (expires_at, id) = self.expiry_order.first()?;
+        (*expires_at <= now).then_some(*id)
     }
 
     /// Returns when the first request in a rank arrived.
--- a/crates/dispatch/src/quota/mod.rs
+++ b/crates/dispatch/src/quota/mod.rs
@@ -209,7 +209,7 @@
     /// Records when this node started; only the first call has an effect. Every entry
     /// point calls this first, as a bucket created before would count as filling since
     /// time zero.
-    pub fn note_start(&mut self, now: Time) {
+    pub fn record_start(&mut self, now: Time) {
         if self.started == Time(0) {
             self.started = now;
         }
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -126,7 +126,7 @@
     /// limit became known, because heads of earlier requests may be older.
     ///
     /// Returns true if the limit changed.
-    pub fn note_answer(&mut self, now: Time, sent: Time, limit: Option<Limit>) -> bool {
+    pub fn record_answer(&mut self, now: Time, sent: Time, limit: Option<Limit>) -> bool {
         let is_older = |report: Report| report.limit.is_some() && sent <= report.at;
         if limit.is_none() && self.report.is_none_or(is_older) {
             return false;
@@ -135,7 +135,7 @@
     }
 
     /// Records a report of another node. Returns true if the limit changed.
-    pub fn note_report(&mut self, now: Time, report: Report) -> bool {
+    pub fn record_report(&mut self, now: Time, report: Report) -> bool {
         let Some(known) = self.report else {
             return report.limit.is_some() && self.replace(now, report);
         };
@@ -161,8 +161,8 @@
     pub fn to_announcement_opt(&self, now: Time, endpoint: u32) -> Option<Announcement> {
         let report = self.report?;
         let age = now.since(report.at);
-        let told = report.limit.is_some() || age < ANNOUNCE_END_FOR;
-        told.then_some(Announcement {
+        let is_announced = report.limit.is_some() || age < ANNOUNCE_END_FOR;
+        is_announced.then_some(Announcement {
             endpoint,
             limit: report.limit,
             age_ms: u32::try_from(age.0 / 1_000).unwrap_or(u32::MAX),
@@ -175,7 +175,7 @@
     }
 
     /// Records that a request is sent, at an interval of `spacing`.
-    pub fn note_start(&mut self, now: Time, spacing: Span) {
+    pub fn record_start(&mut self, now: Time, spacing: Span) {
         let due = self.interval_start + spacing;
         self.interval_start = due.clamp(now - MAX_CATCH_UP, now);
     }
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/rest.rs
@@ -124,7 +124,7 @@
     }
 
     /// Records that the endpoint accepted a request that was sent at `sent`.
-    pub fn note_served(&mut self, sent: Time) {
+    pub fn record_served(&mut self, sent: Time) {
         if sent >= self.until {
             self.consecutive_rests = 0;
             self.probe = None;
--- a/crates/dispatch/src/restore.rs
+++ b/crates/dispatch/src/restore.rs
@@ -66,20 +66,20 @@
             .iter()
             .map(|endpoint| (endpoint.to_instance(), endpoint.leaving))
             .collect();
-        for (life, leaving) in &listed {
+        for (instance, leaving) in &listed {
             match leaving {
                 true => self
                     .departures
-                    .insert(life.clone(), (Departure::Leaving, now)),
-                false => self.departures.remove(life),
+                    .insert(instance.clone(), (Departure::Leaving, now)),
+                false => self.departures.remove(instance),
             };
         }
         if !after.settled {
             return;
         }
-        for life in before.endpoints.iter().map(Endpoint::to_instance) {
-            if !listed.contains_key(&life) {
-                self.departures.insert(life, (Departure::Gone, now));
+        for instance in before.endpoints.iter().map(Endpoint::to_instance) {
+            if !listed.contains_key(&instance) {
+                self.departures.insert(instance, (Departure::Gone, now));
             }
         }
     }
@@ -93,8 +93,8 @@
             .take()
             .filter(|overrides| now < overrides.until)
         {
-            for (life, end) in overrides.departures {
-                departures.entry(life).or_insert(end);
+            for (instance, end) in overrides.departures {
+                departures.entry(instance).or_insert(end);
             }
             evacuated.extend(overrides.evacuated);
         }
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -342,7 +342,7 @@
     }
 
     /// The problem to report to other nodes, if any.
-    pub fn trouble(&self, now: Time, options: &Options) -> Option<Unavailability> {
+    pub fn unavailability_opt(&self, now: Time, options: &Options) -> Option<Unavailability> {
         if self
             .gone_at
             .is_some_and(|at| now.since(at) < options.gone_report_period)
@@ -350,10 +350,10 @@
             return Some(Unavailability::Gone);
         }
         let resting = self.consecutive_failures > 0 && now < self.backoff_until;
-        let trouble = match self.unreachable {
+        let unavailability = match self.unreachable {
             true => Unavailability::Unreachable,
             false => Unavailability::Failing,
         };
-        resting.then_some(trouble)
+        resting.then_some(unavailability)
     }
 }
--- a/crates/dispatch/tests/dispatch/budget.rs
+++ b/crates/dispatch/tests/dispatch/budget.rs
@@ -25,7 +25,7 @@
     let target = id::Target::new("service");
     let mut budget = budget();
     for millis in 0..100 {
-        budget.note_request(at(millis), &target);
+        budget.record_request(at(millis), &target);
     }
     let spent = (0..100)
         .filter(|_| budget.try_spend(at(200), &target, nodes))
@@ -37,7 +37,7 @@
 fn requests_and_retries_expire_with_the_window() {
     let target = id::Target::new("service");
     let mut budget = budget();
-    budget.note_request(at(0), &target);
+    budget.record_request(at(0), &target);
     let spent = (0..100)
         .filter(|_| budget.try_spend(at(0), &target, 1))
         .count();
--- a/crates/dispatch/tests/dispatch/duration.rs
+++ b/crates/dispatch/tests/dispatch/duration.rs
@@ -17,7 +17,7 @@
             for millis in seen {
                 durations.learn("route", Span::from_millis(millis));
             }
-            let found = durations.upper_bound_opt("route").expect("it was seen");
+            let found = durations.upper_bound_opt("route").expect("a duration was observed");
             assert!(found >= Span::from_millis(least), "{found:?}");
             assert!(found <= Span::from_millis(most), "{found:?}");
             assert_eq!(durations.upper_bound_opt("other"), None);
--- a/crates/dispatch/tests/dispatch/first_try.rs
+++ b/crates/dispatch/tests/dispatch/first_try.rs
@@ -59,7 +59,7 @@
 #[test]
 fn nothing_is_learnt_for_a_while_after_a_refusal() {
     let mut histogram = sampled(100, 99);
-    histogram.note_refused(at(0));
+    histogram.record_refused(at(0));
     learn(&mut histogram, 4_000, 300, 70);
     assert!(tried_ms(&histogram, 9_600) > 0);
     learn(&mut histogram, 6_000, 300, 70);
--- a/crates/dispatch/tests/dispatch/fleet/cold.rs
+++ b/crates/dispatch/tests/dispatch/fleet/cold.rs
@@ -45,12 +45,12 @@
 }
 
 /// Returns a list in which some endpoints are replaced by others that start cold.
-fn restarted(world: &World, is: impl Fn(usize) -> bool) -> (List, Vec<Endpoint>) {
+fn restarted(world: &World, matches: impl Fn(usize) -> bool) -> (List, Vec<Endpoint>) {
     let mut list = (*world.list).clone();
     list.revision += 1;
     let mut cold = Vec::new();
     for (at, endpoint) in list.endpoints.iter_mut().enumerate() {
-        if is(at) {
+        if matches(at) {
             let name = format!("{}-again", endpoint.name);
             *endpoint = Endpoint {
                 name: woadstage_types::id::Endpoint::new(&name),
@@ -119,7 +119,7 @@
     // All nodes read the platform, including those that are isolated from each other.
     world.publish(list, &nodes);
     let cut = nodes.iter().copied();
-    world.cut_off = cut
+    world.partitioned = cut
         .filter(|node| (node / 3).is_multiple_of(one_of))
         .collect();
     world.run_for(Span::from_millis(2_900));
--- a/crates/dispatch/tests/dispatch/fleet/crash.rs
+++ b/crates/dispatch/tests/dispatch/fleet/crash.rs
@@ -332,10 +332,10 @@
     world.crashing.insert(CRASHING);
     load_same(&mut world, CRASHING, Span::from_millis(400), SECOND, &nodes);
     world.run_for(SECOND);
-    let dispatcher = world.nodes.get_mut(&0).expect("it runs");
+    let dispatcher = world.nodes.get_mut(&0).expect("the node runs");
     let length = |status: &woadstage_dispatch::message::Status| {
         let written = postcard::to_extend(status, Vec::new());
-        written.expect("it can be written").len()
+        written.expect("encodes").len()
     };
     let with = dispatcher.status(world.now);
     assert!(!with.findings.is_empty());
--- a/crates/dispatch/tests/dispatch/fleet/drill.rs
+++ b/crates/dispatch/tests/dispatch/fleet/drill.rs
@@ -148,7 +148,7 @@
     let copy = publish_lost_writes(&mut world);
     let since = world.now;
     let cut: Vec<u16> = all.iter().copied().filter(|node| node % 4 == 1).collect();
-    world.cut_off = cut.iter().copied().collect();
+    world.partitioned = cut.iter().copied().collect();
     let killed: Vec<u16> = all.iter().copied().filter(|node| node % 4 == 2).collect();
     for node in &killed {
         world.kill(*node);
@@ -163,7 +163,7 @@
         world.boot(*node, 2);
     }
     world.run_for(SECOND);
-    world.cut_off.clear();
+    world.partitioned.clear();
     let from = world.now;
     while are_behind(&world, 2, &all) {
         world.run_for(Span::from_millis(20));
--- a/crates/dispatch/tests/dispatch/fleet/leaving.rs
+++ b/crates/dispatch/tests/dispatch/fleet/leaving.rs
@@ -64,9 +64,9 @@
 
 /// Isolates some nodes, each on its own, and reconnects them.
 fn isolate_some(world: &mut World) {
-    world.cut_off = [0, 3, 4].into();
+    world.partitioned = [0, 3, 4].into();
     world.run_for(Span::from_secs(4));
-    world.cut_off.clear();
+    world.partitioned.clear();
 }
 
 /// Kills and restarts one node after the other, without any state.
--- a/crates/dispatch/tests/dispatch/fleet/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/mod.rs
@@ -176,7 +176,7 @@
     }
     for (node, dispatcher) in &world.nodes {
         assert_eq!(dispatcher.held(), 0, "node {node}");
-        assert_eq!(dispatcher.held_for_others(), 0, "node {node}");
+        assert_eq!(dispatcher.remote_request_count(), 0, "node {node}");
         let running = dispatcher.summaries(world.now);
         assert!(
             running.iter().all(|summary| summary.running == 0),
@@ -335,10 +335,10 @@
     let nodes = all_nodes(&world);
     load(&mut world, MODEL, 160, Span::from_secs(12), &nodes);
     world.run_for(Span::from_secs(2));
-    world.cut_off = nodes.iter().copied().filter(|node| node % 6 == 0).collect();
+    world.partitioned = nodes.iter().copied().filter(|node| node % 6 == 0).collect();
     let cut_at = world.now;
     world.run_for(Span::from_secs(5));
-    world.cut_off.clear();
+    world.partitioned.clear();
     let healed_at = world.now;
     world.run_for(Span::from_secs(5));
     let during = world.arrived_between(cut_at, healed_at);
--- a/crates/dispatch/tests/dispatch/fleet/rate_limited.rs
+++ b/crates/dispatch/tests/dispatch/fleet/rate_limited.rs
@@ -125,9 +125,9 @@
 
 /// Isolates some nodes, each on its own, and reconnects them.
 fn isolate_some(world: &mut World, span: Span) {
-    world.cut_off = [0, 3, 4].into();
+    world.partitioned = [0, 3, 4].into();
     world.run_for(Span(span.0 * 2 / 3));
-    world.cut_off.clear();
+    world.partitioned.clear();
     world.run_for(Span(span.0 / 3));
 }
 
--- a/crates/dispatch/tests/dispatch/fleet/world/engine.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/engine.rs
@@ -82,14 +82,17 @@
             dispatcher.end(self.now, id, End::Whole);
             self.apply_decisions(node);
         }
-        let engine = self.engines.get_mut(endpoint).expect("it runs there");
+        let engine = self.engines.get_mut(endpoint).expect("the engine runs");
         let Some((node, id)) = engine.waiting.pop_front() else {
             return;
         };
         let decided = self.outcomes[&(node, id)].decided;
         self.start_run(node, id, endpoint);
         // Its arrival and decision were counted before it waited here.
-        self.arrivals.get_mut(endpoint).expect("it arrived").pop();
+        self.arrivals
+            .get_mut(endpoint)
+            .expect("the request arrived")
+            .pop();
         if self
             .crashing
             .contains(&self.outcomes[&(node, id)].fingerprint)
--- a/crates/dispatch/tests/dispatch/fleet/world/lists.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/lists.rs
@@ -48,7 +48,7 @@
     fn readers(&self) -> Vec<u16> {
         let mut near: BTreeMap<(u16, u16), Vec<u16>> = BTreeMap::new();
         for node in self.nodes.keys().copied() {
-            if self.without_platform.contains(&node) || self.cut_off.contains(&node) {
+            if self.without_platform.contains(&node) || self.partitioned.contains(&node) {
                 continue;
             }
             let part = self.partition_of.map_or(0, |part| part(node));
@@ -96,7 +96,7 @@
 
     /// Transfers the list of endpoints from another node.
     pub(super) fn transfer_list(&mut self, node: u16, from: u16) {
-        if self.cut_off.contains(&node) || self.cut_off.contains(&from) {
+        if self.partitioned.contains(&node) || self.partitioned.contains(&from) {
             return;
         }
         if self
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -179,7 +179,7 @@
     /// The outcomes of requests, by node and id there.
     pub outcomes: HashMap<(u16, job::Id), Outcome>,
     /// Nodes that neither send nor receive messages.
-    pub cut_off: BTreeSet<u16>,
+    pub partitioned: BTreeSet<u16>,
     /// Nodes on the previous build, which neither sends nor reads eras, rate limits and
     /// notices.
     pub previous_build: BTreeSet<u16>,
@@ -223,7 +223,7 @@
         _ => return 0,
     };
     let written = postcard::to_extend(findings, Vec::new());
-    written.expect("it can be written").len()
+    written.expect("encodes").len()
 }
 
 fn to_node(address: SocketAddrV4) -> u16 {
@@ -267,7 +267,7 @@
             next_number: 0,
             now: at(0),
             outcomes: HashMap::new(),
-            cut_off: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             previous_build: BTreeSet::new(),
             links: None,
             partition_of: None,
@@ -510,7 +510,7 @@
             return;
         }
         let to = to_node(to);
-        if self.cut_off.contains(&from) || self.cut_off.contains(&to) {
+        if self.partitioned.contains(&from) || self.partitioned.contains(&to) {
             return;
         }
         if self.partition_of.is_some_and(|part| part(from) != part(to)) {
@@ -550,16 +550,16 @@
     }
 
     /// Returns the outcomes of requests that arrived since a time at matching nodes.
-    pub fn arrived_at(&self, since: Time, is: impl Fn(u16) -> bool) -> Vec<Outcome> {
-        let outcome = self.outcomes.iter();
-        let there = outcome.filter(|((node, _), one)| is(*node) && one.arrived >= since);
+    pub fn arrived_at(&self, since: Time, matches: impl Fn(u16) -> bool) -> Vec<Outcome> {
+        let outcomes = self.outcomes.iter();
+        let there = outcomes.filter(|((node, _), one)| matches(*node) && one.arrived >= since);
         there.map(|(_, one)| *one).collect()
     }
 
     /// Returns the outcomes of requests that arrived from one time until before another.
     pub fn arrived_between(&self, from: Time, until: Time) -> Vec<Outcome> {
-        let outcome = self.outcomes.values().copied();
-        outcome
+        let outcomes = self.outcomes.values().copied();
+        outcomes
             .filter(|one| one.arrived >= from && one.arrived < until)
             .collect()
     }
--- a/crates/dispatch/tests/dispatch/lease/borrow.rs
+++ b/crates/dispatch/tests/dispatch/lease/borrow.rs
@@ -9,20 +9,20 @@
 use woadstage_types::code::Code;
 use woadstage_types::unit::Span;
 
-use super::asking;
+use super::borrower;
 use super::endpoints;
-use super::granted;
+use super::find_lease_request;
+use super::grant_reply;
 use super::reports_of;
-use super::request_of;
 use crate::support::at;
 use crate::support::list;
 use crate::support::starts;
 
 #[test]
 fn a_request_runs_in_the_granted_slot_and_its_end_is_reported() {
-    let (mut dispatcher, owner, request) = asking();
+    let (mut dispatcher, owner, request) = borrower();
     assert!(starts(&mut dispatcher).is_empty());
-    dispatcher.receive_lease_reply(at(3), owner, granted(&request, "e3"));
+    dispatcher.receive_lease_reply(at(3), owner, grant_reply(&request, "e3"));
     let started = starts(&mut dispatcher);
     assert_eq!(started[0].1, "e3");
     dispatcher.progress(at(50), started[0].0, 1);
@@ -45,8 +45,8 @@
 
 #[test]
 fn load_that_the_owner_reports_is_not_reported_twice() {
-    let (mut dispatcher, owner, request) = asking();
-    dispatcher.receive_lease_reply(at(3), owner, granted(&request, "e3"));
+    let (mut dispatcher, owner, request) = borrower();
+    dispatcher.receive_lease_reply(at(3), owner, grant_reply(&request, "e3"));
     assert!(dispatcher.status(at(4)).loads.is_empty());
     // Once the owner is silent, no other node reports the load.
     assert_eq!(dispatcher.status(at(10_000)).loads.len(), 1);
@@ -54,20 +54,21 @@
 
 #[test]
 fn a_silent_owner_is_asked_again_and_then_passed_over() {
-    let (mut dispatcher, owner, request) = asking();
+    let (mut dispatcher, owner, request) = borrower();
     dispatcher.tick(at(40));
-    assert!(request_of(dispatcher.take_messages()).is_none());
+    assert!(find_lease_request(dispatcher.take_messages()).is_none());
     dispatcher.tick(at(70));
-    let (again, repeated) = request_of(dispatcher.take_messages()).expect("a second question");
+    let (again, repeated) =
+        find_lease_request(dispatcher.take_messages()).expect("the request is repeated");
     assert_eq!((again, repeated.number), (owner, request.number));
     dispatcher.tick(at(140));
-    let next = request_of(dispatcher.take_messages());
+    let next = find_lease_request(dispatcher.take_messages());
     assert!(next.is_none_or(|(next, _)| next != owner));
 }
 
 #[test]
 fn a_node_that_reaches_no_owner_decides_on_its_own() {
-    let (mut dispatcher, _, _) = asking();
+    let (mut dispatcher, _, _) = borrower();
     for millis in (20..1_000).step_by(20) {
         dispatcher.tick(at(millis));
         dispatcher.take_messages();
@@ -76,17 +77,17 @@
             return;
         }
     }
-    panic!("it was never sent");
+    panic!("the request was not sent within a second");
 }
 
 #[test]
 fn a_slot_at_a_leaving_endpoint_is_returned() {
-    let (mut dispatcher, owner, request) = asking();
+    let (mut dispatcher, owner, request) = borrower();
     let mut leaving = endpoints();
     leaving[3].leaving = true;
     dispatcher.set_endpoints(at(3), list(2, &leaving));
     dispatcher.take_messages();
-    dispatcher.receive_lease_reply(at(4), owner, granted(&request, "e3"));
+    dispatcher.receive_lease_reply(at(4), owner, grant_reply(&request, "e3"));
     assert!(starts(&mut dispatcher).is_empty());
     let messages = dispatcher.take_messages();
     let reports = reports_of(messages.clone());
@@ -97,24 +98,24 @@
             ..
         }
     ));
-    let (_, request) = request_of(messages).expect("another slot is asked for");
+    let (_, request) = find_lease_request(messages).expect("another slot is requested");
     assert_eq!(request.tried, [endpoints()[3].to_number()]);
 }
 
 #[test]
 fn a_slot_that_nobody_waits_for_is_returned() {
-    let (mut dispatcher, owner, request) = asking();
+    let (mut dispatcher, owner, request) = borrower();
     let id = woadstage_dispatch::job::Id(1);
     dispatcher.abandon(at(3), id);
     assert_eq!(reports_of(dispatcher.take_messages()).len(), 1);
-    dispatcher.receive_lease_reply(at(4), owner, granted(&request, "e3"));
+    dispatcher.receive_lease_reply(at(4), owner, grant_reply(&request, "e3"));
     assert!(starts(&mut dispatcher).is_empty());
     assert_eq!(reports_of(dispatcher.take_messages()).len(), 1);
 }
 
 #[test]
 fn a_refusal_is_passed_on() {
-    let (mut dispatcher, owner, request) = asking();
+    let (mut dispatcher, owner, request) = borrower();
     let refusal = Refusal {
         code: Code::TooLate,
         retry_after: Some(Span::from_millis(300)),
--- a/crates/dispatch/tests/dispatch/lease/lend.rs
+++ b/crates/dispatch/tests/dispatch/lease/lend.rs
@@ -16,9 +16,9 @@
 use woadstage_types::unit::Span;
 
 use super::answers_of;
-use super::owning;
-use super::question;
-use super::request_of;
+use super::find_lease_request;
+use super::lease_request;
+use super::slot_owner;
 use crate::support::MODEL;
 use crate::support::at;
 use crate::support::job;
@@ -28,7 +28,7 @@
 /// first request that waits.
 fn fill(owner: &mut Dispatcher, urgency: u8) -> u64 {
     for number in 1.. {
-        owner.receive_lease_request(at(2), node(50), question(number, urgency));
+        owner.receive_lease_request(at(2), node(50), lease_request(number, urgency));
         let answers = answers_of(owner.take_messages());
         if answers == [Answer::Waiting] {
             return number;
@@ -53,10 +53,10 @@
 
 #[test]
 fn requests_of_other_nodes_wait_in_the_order_of_their_ranks() {
-    let mut owner = owning();
+    let mut owner = slot_owner();
     fill(&mut owner, 0);
-    owner.receive_lease_request(at(3), node(51), question(1, 2));
-    owner.receive_lease_request(at(4), node(52), question(1, 0));
+    owner.receive_lease_request(at(3), node(51), lease_request(1, 2));
+    owner.receive_lease_request(at(4), node(52), lease_request(1, 0));
     owner.take_messages();
     assert_eq!(nodes_granted_after(&mut owner, 1), [node(50)]);
     assert_eq!(nodes_granted_after(&mut owner, 2), [node(52)]);
@@ -64,33 +64,33 @@
 
 #[test]
 fn a_duplicated_request_gets_the_same_slot() {
-    let mut owner = owning();
-    owner.receive_lease_request(at(2), node(50), question(1, 2));
-    owner.receive_lease_request(at(3), node(50), question(1, 2));
+    let mut owner = slot_owner();
+    owner.receive_lease_request(at(2), node(50), lease_request(1, 2));
+    owner.receive_lease_request(at(3), node(50), lease_request(1, 2));
     let answers = answers_of(owner.take_messages());
     assert_eq!(answers.len(), 2);
     assert_eq!(answers[0], answers[1]);
-    assert_eq!(owner.held_for_others(), 1);
+    assert_eq!(owner.remote_request_count(), 1);
 }
 
 #[test]
 fn a_new_incarnation_of_a_node_does_not_inherit_its_slots() {
-    let mut owner = owning();
-    owner.receive_lease_request(at(2), node(50), question(1, 2));
+    let mut owner = slot_owner();
+    owner.receive_lease_request(at(2), node(50), lease_request(1, 2));
     let other_incarnation = lease::Request {
         incarnation: 77,
-        ..question(1, 2)
+        ..lease_request(1, 2)
     };
     owner.receive_lease_request(at(3), node(50), other_incarnation);
-    assert_eq!(owner.held_for_others(), 1);
+    assert_eq!(owner.remote_request_count(), 1);
 }
 
 #[rstest]
 #[case::it_still_runs(true)]
 #[case::its_node_is_gone(false)]
 fn a_slot_without_reports_is_checked(#[case] answers: bool) {
-    let mut owner = owning();
-    owner.receive_lease_request(at(2), node(50), question(1, 2));
+    let mut owner = slot_owner();
+    owner.receive_lease_request(at(2), node(50), lease_request(1, 2));
     owner.take_messages();
     for millis in (100..6_000).step_by(100) {
         owner.tick(at(millis));
@@ -104,21 +104,21 @@
             owner.receive_lease_report(at(millis), node(50), held);
         }
     }
-    assert_eq!(owner.held_for_others(), usize::from(answers));
+    assert_eq!(owner.remote_request_count(), usize::from(answers));
 }
 
 #[rstest]
 #[case::free(0, true)]
 #[case::all_taken(100, false)]
 fn only_spare_slots_are_lent_to_another_cell(#[case] taken: u64, #[case] is_granted: bool) {
-    let mut owner = owning();
+    let mut owner = slot_owner();
     for number in 0..taken {
-        owner.receive_lease_request(at(2), node(50), question(number, 2));
+        owner.receive_lease_request(at(2), node(50), lease_request(number, 2));
     }
     owner.take_messages();
     let spare = lease::Request {
         spare: true,
-        ..question(1, 2)
+        ..lease_request(1, 2)
     };
     owner.receive_lease_request(at(3), node(60), spare);
     let answers = answers_of(owner.take_messages());
@@ -128,18 +128,19 @@
 
 #[test]
 fn other_cells_are_asked_once_a_request_has_waited() {
-    let mut owner = owning();
+    let mut owner = slot_owner();
     fill(&mut owner, 2);
     owner.tick(at(40));
-    assert!(request_of(owner.take_messages()).is_none());
+    assert!(find_lease_request(owner.take_messages()).is_none());
     owner.tick(at(80));
-    let (_, request) = request_of(owner.take_messages()).expect("another cell is asked");
+    let (_, request) = find_lease_request(owner.take_messages())
+        .expect("a spare slot of another cell is requested");
     assert!(request.spare);
 }
 
 #[test]
 fn an_owner_considers_the_age_of_a_request() {
-    let mut owner = owning();
+    let mut owner = slot_owner();
     fill(&mut owner, 2);
     // Its caller waits for 10 ms more.
     let expiring = Job {
@@ -150,7 +151,7 @@
         age: Span::from_millis(490),
         caller_timeout: expiring.caller_timeout,
         tried: vec![1],
-        ..question(90, 2)
+        ..lease_request(90, 2)
     };
     owner.receive_lease_request(at(100), node(60), late);
     owner.tick(at(140));
@@ -169,9 +170,9 @@
     #[case] event: Event,
     #[case] learnt: bool,
 ) {
-    let baseline = shortest_objective(&mut owning());
-    let mut owner = owning();
-    owner.receive_lease_request(at(2), node(50), question(1, 2));
+    let baseline = shortest_objective(&mut slot_owner());
+    let mut owner = slot_owner();
+    owner.receive_lease_request(at(2), node(50), lease_request(1, 2));
     owner.receive_lease_report(at(60_000), node(50), Report { number: 1, event });
     assert_eq!(shortest_objective(&mut owner) > baseline, learnt);
 }
@@ -186,11 +187,11 @@
         let asked = lease::Request {
             objective: Span::from_millis(*objective),
             age: Span::ZERO,
-            ..question(number, 2)
+            ..lease_request(number, 2)
         };
         owner.receive_lease_request(at(3), node(70), asked);
         let answers = answers_of(owner.take_messages());
         answers == [Answer::Waiting]
     });
-    least.expect("some objective is long enough")
+    least.expect("an objective below 5 s is accepted")
 }
--- a/crates/dispatch/tests/dispatch/lease/mod.rs
+++ b/crates/dispatch/tests/dispatch/lease/mod.rs
@@ -45,13 +45,13 @@
     dispatcher.set_configuration(at(0), configuration(1));
     dispatcher.set_endpoints(at(0), list(1, &endpoints()));
     for other in (1..=NODES).filter(|other| *other != own) {
-        hear(&mut dispatcher, other, 1);
+        receive_status_of(&mut dispatcher, other, 1);
     }
     dispatcher.tick(at(1));
     dispatcher
 }
 
-fn hear(dispatcher: &mut Dispatcher, other: u8, sequence: u64) {
+fn receive_status_of(dispatcher: &mut Dispatcher, other: u8, sequence: u64) {
     let status = Status {
         incarnation: u64::from(other),
         sequence,
@@ -61,7 +61,9 @@
     dispatcher.receive_status(at(1), node(other), status);
 }
 
-fn request_of(messages: Vec<(SocketAddrV4, Message)>) -> Option<(SocketAddrV4, lease::Request)> {
+fn find_lease_request(
+    messages: Vec<(SocketAddrV4, Message)>,
+) -> Option<(SocketAddrV4, lease::Request)> {
     let mut messages = messages.into_iter();
     messages.find_map(|(to, message)| match message {
         Message::Lease(request) => Some((to, *request)),
@@ -88,11 +90,11 @@
 }
 
 /// Returns a node that doesn't own its cell's slots, with its open request for one.
-fn asking() -> (Dispatcher, SocketAddrV4, lease::Request) {
+fn borrower() -> (Dispatcher, SocketAddrV4, lease::Request) {
     for own in 1..=NODES {
         let mut dispatcher = member(own);
         dispatcher.enter(at(2), job(MODEL, 0, at(2)));
-        if let Some((owner, request)) = request_of(dispatcher.take_messages()) {
+        if let Some((owner, request)) = find_lease_request(dispatcher.take_messages()) {
             return (dispatcher, owner, request);
         }
     }
@@ -100,8 +102,8 @@
 }
 
 /// Creates the node that owns its cell's slots.
-fn owning() -> Dispatcher {
-    let (_, owner, _) = asking();
+fn slot_owner() -> Dispatcher {
+    let (_, owner, _) = borrower();
     member(owner.ip().octets()[3])
 }
 
@@ -117,7 +119,7 @@
     }
 }
 
-fn granted(request: &lease::Request, endpoint: &str) -> Reply {
+fn grant_reply(request: &lease::Request, endpoint: &str) -> Reply {
     let numbers = endpoints().into_iter();
     let mut numbers = numbers.filter(|one| one.name.as_str() == endpoint);
     let endpoint = numbers.next().map_or(0, |one| one.to_number());
@@ -131,8 +133,8 @@
 }
 
 /// Returns a request like that of `asking`, with another number and rank.
-fn question(number: u64, urgency: u8) -> lease::Request {
-    let (_, _, request) = asking();
+fn lease_request(number: u64, urgency: u8) -> lease::Request {
+    let (_, _, request) = borrower();
     let rank = job(MODEL, urgency, at(0)).rank;
     lease::Request {
         number,
@@ -145,9 +147,9 @@
 fn messages_about_a_slot_are_short() {
     let size = |message: &Message| {
         let bytes = postcard::to_extend(message, Vec::new());
-        bytes.expect("it can be written").len()
+        bytes.expect("encodes").len()
     };
-    let (_, _, mut request) = asking();
+    let (_, _, mut request) = borrower();
     request.prompt.tokens = 2_890;
     request.prompt.output = 2_670;
     request.prompt.parts = vec![
@@ -157,7 +159,7 @@
         };
         5
     ];
-    let granted = granted(&request, "e3");
+    let granted = grant_reply(&request, "e3");
     let ended = Report {
         number: 700,
         event: Event::Ended {
--- a/crates/dispatch/tests/dispatch/outcomes.rs
+++ b/crates/dispatch/tests/dispatch/outcomes.rs
@@ -223,14 +223,14 @@
 /// Builds the status of a node that reports trouble with some endpoints.
 fn trouble_report(
     number: u8,
-    trouble: Unavailability,
+    unavailability: Unavailability,
     names: &[&str],
 ) -> (std::net::SocketAddrV4, Status) {
     let loads = names.iter().map(|name| Load {
         endpoint: number_of(name),
         running: 0,
         pending_tokens: 0,
-        unavailability: Some(trouble),
+        unavailability: Some(unavailability),
     });
     let status = Status {
         incarnation: u64::from(number),
--- a/crates/dispatch/tests/dispatch/parts.rs
+++ b/crates/dispatch/tests/dispatch/parts.rs
@@ -118,7 +118,11 @@
 }
 
 fn sorted_in_force(dispatcher: &Dispatcher) -> Configuration {
-    sorted(dispatcher.configuration().expect("a configuration"))
+    sorted(
+        dispatcher
+            .configuration()
+            .expect("a configuration is in force"),
+    )
 }
 
 #[test]
@@ -134,7 +138,7 @@
         &pull_from(&newer, &mut node(4, long_configuration(7, 0))),
         Vec::new(),
     );
-    assert!(asked.expect("it can be written").len() < 4 << 10);
+    assert!(asked.expect("encodes").len() < 4 << 10);
 }
 
 #[test]
@@ -152,13 +156,13 @@
     );
     let mut behind = Dispatcher::new(options(3));
     let snapshot = one.snapshot(&pull_from(&one, &mut behind));
-    let (parts, head) = (snapshot.parts, snapshot.manifest.expect("a head"));
+    let (parts, manifest) = (snapshot.parts, snapshot.manifest.expect("a manifest"));
     let (arrived, lost) = parts.split_at(parts.len() * 3 / 4);
     for part in arrived {
         behind.add_part(part.clone());
     }
     // Some parts are missing.
-    assert!(!behind.receive_manifest(at(1), &head));
+    assert!(!behind.receive_manifest(at(1), &manifest));
     assert_eq!(behind.configuration_version(), 0);
     let rest = other.snapshot(&pull_from(&other, &mut behind));
     assert_eq!(rest.parts, lost);
@@ -229,7 +233,7 @@
 }
 
 fn digest(dispatcher: &Dispatcher) -> Digest {
-    let table = dispatcher.table().expect("a configuration");
+    let table = dispatcher.table().expect("a configuration is in force");
     table.to_digest()
 }
 
--- a/crates/dispatch/tests/dispatch/publish.rs
+++ b/crates/dispatch/tests/dispatch/publish.rs
@@ -63,8 +63,11 @@
     transfer_documents(&newer, &mut own);
     assert_eq!(own.configuration_version(), 8);
     assert_eq!(own.edition().revision, 10);
-    // A head that arrives late changes nothing either.
-    let late = older.snapshot(&Pull::default()).manifest.expect("a head");
+    // A manifest that arrives late changes nothing either.
+    let late = older
+        .snapshot(&Pull::default())
+        .manifest
+        .expect("a manifest");
     assert!(!own.receive_manifest(at(1), &late));
 }
 
@@ -208,7 +211,7 @@
     dispatcher.end(at(3), ran, End::Lost);
     let summary = dispatcher.summaries(at(4));
     let model = summary.iter().find(|one| one.target.as_str() == MODEL);
-    let model = model.expect("it has a pool");
+    let model = model.expect("the model has a pool");
     assert_eq!((model.running, model.usable, model.endpoints), (1, 1, 1));
 }
 
--- a/crates/dispatch/tests/dispatch/quarantine.rs
+++ b/crates/dispatch/tests/dispatch/quarantine.rs
@@ -58,8 +58,8 @@
 /// Charges a request with the crashes of endpoints.
 fn charge(registry: &mut Registry, now: Time, what: Fingerprint, endpoints: &[u32]) {
     for endpoint in endpoints {
-        registry.note_broken(now, what, *endpoint);
-        registry.note_ended(now, *endpoint);
+        registry.record_broken(now, what, *endpoint);
+        registry.record_ended(now, *endpoint);
     }
 }
 
@@ -70,29 +70,29 @@
 #[test]
 fn attempts_broken_at_a_live_endpoint_are_not_charged() {
     let mut registry = Registry::new(Options::default());
-    registry.note_broken(at(0), ONE, 7);
-    registry.note_alive(7);
-    assert_eq!(registry.note_ended(at(1), 7), []);
+    registry.record_broken(at(0), ONE, 7);
+    registry.record_alive(7);
+    assert_eq!(registry.record_ended(at(1), 7), []);
     assert!(!registry.is_suspect(ONE));
 }
 
 #[test]
 fn each_request_that_broke_at_a_crashed_endpoint_is_charged_once() {
     let mut registry = Registry::new(Options::default());
-    registry.note_broken(at(0), ONE, 7);
-    registry.note_broken(at(0), OTHER, 7);
-    registry.note_broken(at(1), ONE, 7);
-    assert_eq!(registry.note_ended(at(2), 7), [ONE, OTHER]);
-    assert_eq!(registry.note_ended(at(3), 7), []);
+    registry.record_broken(at(0), ONE, 7);
+    registry.record_broken(at(0), OTHER, 7);
+    registry.record_broken(at(1), ONE, 7);
+    assert_eq!(registry.record_ended(at(2), 7), [ONE, OTHER]);
+    assert_eq!(registry.record_ended(at(3), 7), []);
     assert_eq!((ends(&registry, ONE), ends(&registry, OTHER)), (1, 1));
 }
 
 #[test]
 fn a_broken_attempt_is_not_charged_with_a_much_later_crash() {
     let mut registry = Registry::new(Options::default());
-    registry.note_broken(at(0), ONE, 7);
+    registry.record_broken(at(0), ONE, 7);
     registry.expire(at(10_001));
-    assert_eq!(registry.note_ended(at(10_002), 7), []);
+    assert_eq!(registry.record_ended(at(10_002), 7), []);
 }
 
 #[test]
@@ -103,7 +103,7 @@
     for finding in one.findings(at(1)) {
         assert!(other.merge(at(1), &finding));
     }
-    assert!(other.note_whole(at(2), ONE));
+    assert!(other.record_whole(at(2), ONE));
     for finding in other.findings(at(3)) {
         assert!(one.merge(at(3), &finding));
     }
@@ -124,11 +124,21 @@
 #[test]
 fn a_request_answered_recently_counts_as_cleared() {
     let mut registry = Registry::new(Options::default());
-    registry.note_whole(at(0), ONE);
+    registry.record_whole(at(0), ONE);
     charge(&mut registry, at(1), ONE, &[1]);
-    assert!(registry.get(ONE).expect("it is charged").was_cleared());
+    assert!(
+        registry
+            .get(ONE)
+            .expect("the request is charged")
+            .was_cleared()
+    );
     charge(&mut registry, at(1), OTHER, &[2]);
-    assert!(!registry.get(OTHER).expect("it is charged").was_cleared());
+    assert!(
+        !registry
+            .get(OTHER)
+            .expect("the request is charged")
+            .was_cleared()
+    );
 }
 
 #[test]
@@ -216,7 +226,7 @@
         );
     }
     let written = postcard::to_extend(&registry.findings(at(1)), Vec::new());
-    let bytes = written.expect("it can be written").len();
+    let bytes = written.expect("encodes").len();
     // The largest datagram that a node reads.
     assert!(bytes <= 8 << 10, "{bytes}");
 }
--- a/crates/dispatch/tests/dispatch/quota/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota/mod.rs
@@ -164,7 +164,7 @@
 #[test]
 fn a_node_that_has_just_started_has_an_empty_bucket() {
     let mut accounts = accounts();
-    accounts.note_start(at(0));
+    accounts.record_start(at(0));
     let mut admit = |millis, units| is_admitted(&mut accounts, at(millis), urgent(units));
     assert!(!admit(500, 600));
     assert!(admit(500, 300));
@@ -184,7 +184,7 @@
         backlogged: false,
     };
     let mut accounts = accounts();
-    accounts.note_start(at(0));
+    accounts.record_start(at(0));
     let mut admit =
         |millis, units| is_admitted(&mut accounts, at(millis), relative_priority(units));
     assert!(!admit(200, 140));
@@ -240,7 +240,7 @@
 #[test]
 fn a_node_assumes_many_others_while_it_discovers_them() {
     let mut accounts = accounts();
-    accounts.note_start(at(0));
+    accounts.record_start(at(0));
     let mut admit = |millis, units| {
         accounts
             .admit_without_owner(at(millis), CUSTOMER, &QUOTA, urgent(units), reach(1, 0))
@@ -261,7 +261,7 @@
         initial: 1.0 / 3.0,
         ..Options::default()
     });
-    accounts.note_start(at(0));
+    accounts.record_start(at(0));
     accounts
 }
 
--- a/crates/dispatch/tests/dispatch/quota/usage.rs
+++ b/crates/dispatch/tests/dispatch/quota/usage.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_bucket_holds_no_more_than_its_capacity_however_long_it_fills() {
     let mut accounts = accounts();
-    accounts.note_start(at(0));
+    accounts.record_start(at(0));
     take_report(&mut accounts, 0, 0);
     // After 60 s without usage, the other node reports that of a whole bucket.
     take_report(&mut accounts, 60_000, 1_000);
--- a/crates/dispatch/tests/dispatch/rate_limit.rs
+++ b/crates/dispatch/tests/dispatch/rate_limit.rs
@@ -25,7 +25,7 @@
 /// Returns a state with a limit of two requests a second, known since `when`.
 fn limited(when: Time) -> State {
     let mut state = State::default();
-    assert!(state.note_answer(when, when, limit("2")));
+    assert!(state.record_answer(when, when, limit("2")));
     state
 }
 
@@ -67,7 +67,7 @@
 #[case::sent_since(1_001, false)]
 fn an_answer_without_a_limit_ends_it(#[case] sent: u64, #[case] holds: bool) {
     let mut state = limited(at(1_000));
-    assert_eq!(state.note_answer(at(2_000), at(sent), None), !holds);
+    assert_eq!(state.record_answer(at(2_000), at(sent), None), !holds);
     assert_eq!(state.limit_opt().is_some(), holds);
 }
 
@@ -82,14 +82,14 @@
     #[case] known: Option<&str>,
 ) {
     let mut state = limited(at(1_000));
-    state.note_report(at(2_000), report(text, at(when)));
+    state.record_report(at(2_000), report(text, at(when)));
     assert_eq!(state.limit_opt(), known.and_then(limit));
 }
 
 #[test]
 fn the_end_of_an_unknown_limit_is_ignored() {
     let mut state = State::default();
-    assert!(!state.note_report(at(2_000), report(None, at(1_000))));
+    assert!(!state.record_report(at(2_000), report(None, at(1_000))));
     assert_eq!(state.to_announcement_opt(at(2_000), 7), None);
 }
 
@@ -100,7 +100,7 @@
     let mut state = limited(at(1_000));
     assert!(!state.may_start(at(1_499), spacing));
     assert!(state.may_start(at(9_000), spacing));
-    state.note_start(at(9_000), spacing);
+    state.record_start(at(9_000), spacing);
     assert!(!state.may_start(at(9_459), spacing));
     assert!(state.may_start(at(9_460), spacing));
     state.restart_interval(at(9_400));
@@ -110,7 +110,7 @@
 #[test]
 fn the_end_of_a_limit_is_announced_for_a_while() {
     let mut state = limited(at(1_000));
-    state.note_answer(at(2_000), at(1_500), None);
+    state.record_answer(at(2_000), at(1_500), None);
     let told = state.to_announcement_opt(at(2_300), 7).expect("told");
     assert_eq!((told.endpoint, told.limit, told.age_ms), (7, None, 300));
     assert_eq!(told.to_report(at(5_000)).at, at(4_700));
--- a/crates/dispatch/tests/dispatch/rest.rs
+++ b/crates/dispatch/tests/dispatch/rest.rs
@@ -73,9 +73,9 @@
 #[test]
 fn an_endpoint_is_unconfirmed_until_it_accepts_a_later_request() {
     let mut state = rested();
-    state.note_served(at(900));
+    state.record_served(at(900));
     assert!(state.is_unconfirmed(at(2_000)));
-    state.note_served(at(2_001));
+    state.record_served(at(2_001));
     assert!(!state.is_unconfirmed(at(2_002)));
 }
 
@@ -117,7 +117,7 @@
     assert!(state.is_unconfirmed_elsewhere(at(3_500)));
     assert!(!state.is_probe_due(at(2_999)));
     assert!(state.is_probe_due(at(3_000)));
-    state.note_served(at(1_000));
+    state.record_served(at(1_000));
     assert!(!state.is_unconfirmed_elsewhere(at(1_001)));
 }
 
--- a/crates/dispatch/tests/dispatch/retry.rs
+++ b/crates/dispatch/tests/dispatch/retry.rs
@@ -83,10 +83,13 @@
     assert!(!refused.is_empty());
     let most = honoured(Span::from_secs(8));
     for refusal in refused {
-        let wait = refusal.wait.expect("the wait decided it");
+        let wait = refusal.wait.expect("the refusal states a wait");
         let retry_after = refusal.retry_after.expect("there is time to come back");
         assert!(retry_after >= wait.min(most), "{retry_after} before {wait}");
-        assert!(retry_after <= most, "{retry_after} is not heeded");
+        assert!(
+            retry_after <= most,
+            "{retry_after} exceeds {most}"
+        );
     }
 }
 
@@ -115,6 +118,6 @@
     });
     let mut times: Vec<Span> = times.collect();
     times.sort();
-    let apart = Span(times[19].0 - times[0].0);
-    assert!(apart >= Span(honoured(left).0 / 2), "{apart}");
+    let spread = Span(times[19].0 - times[0].0);
+    assert!(spread >= Span(honoured(left).0 / 2), "{spread}");
 }
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -81,21 +81,21 @@
     let snapshot = from.snapshot(&pull);
     let frames: Vec<Frame> = snapshot.into_frames().collect();
     let written = frames.iter().map(wire::frame_to_bytes);
-    let bytes = written.map(|bytes| bytes.expect("it can be written").len());
+    let bytes = written.map(|bytes| bytes.expect("encodes").len());
     let bytes = bytes.sum();
-    let mut head = None;
+    let mut manifest = None;
     for frame in frames {
         match frame {
             Frame::Busy => unreachable!("nobody declines here"),
             Frame::Endpoints(difference) => {
                 to.set_endpoints(at(1), Arc::new(difference.into_list(&base)));
             }
-            Frame::Manifest(newer) => head = Some(newer),
+            Frame::Manifest(newer) => manifest = Some(newer),
             Frame::Part(part) => to.add_part(part),
         }
     }
-    if let Some(head) = head {
-        to.receive_manifest(at(1), &head);
+    if let Some(manifest) = manifest {
+        to.receive_manifest(at(1), &manifest);
     }
     bytes
 }
--- a/crates/dispatch/tests/dispatch/wire/mod.rs
+++ b/crates/dispatch/tests/dispatch/wire/mod.rs
@@ -64,7 +64,7 @@
             stored.get(name.as_str()),
             Some(&bytes),
             "{name} is encoded differently than by builds in service: raise the protocol \
-             version and store the new bytes beside the old"
+             version and keep the new bytes beside the old (docs/PROTOCOL.md)"
         );
     }
 }
@@ -110,7 +110,7 @@
             assert!(rest.is_empty(), "{name}");
             continue;
         };
-        let extension: EraExtension = postcard::from_bytes(rest).expect("an addition");
+        let extension: EraExtension = postcard::from_bytes(rest).expect("an extension");
         assert_eq!(
             extension,
             EraExtension {
@@ -207,7 +207,7 @@
     for (name, mut frame) in samples::frames() {
         match &mut frame {
             Frame::Endpoints(difference) => difference.era = Era::default(),
-            Frame::Manifest(head) => head.restrictions = Restrictions::default(),
+            Frame::Manifest(manifest) => manifest.restrictions = Restrictions::default(),
             Frame::Busy | Frame::Part(_) => {}
         }
         match (wire::frame_from_bytes(&stored[name]), frame) {
