--- a/crates/dispatch/src/dispatcher/apply_notice.rs
+++ b/crates/dispatch/src/dispatcher/apply_notice.rs
@@ -41,7 +41,7 @@
         Some((run, &mut pool.workers[run.worker]))
     }
 
-    /// Records that an endpoint is leaving. Other nodes are told immediately, because
+    /// Records that an endpoint is leaving. This is announced immediately, because
     /// each of them would otherwise learn it only from a request that it sends there.
     fn record_leaving(&mut self, id: job::Id) -> Option<Change> {
         let (_, worker) = self.run_and_worker_mut(id)?;
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -1,5 +1,5 @@
 //! The borrowing side of slot leases: chooses the node that owns the slots a request may
-//! use, and asks it for one.
+//! use, and requests one from it.
 
 use std::net::SocketAddrV4;
 
@@ -29,8 +29,8 @@
 /// datagram.
 const MAX_UNANSWERED: u32 = 2;
 
-/// How often a request that waits at an owner is asked for again, so that an owner that
-/// failed is noticed.
+/// How often the request for a slot is sent again while it waits at an owner, so that an
+/// owner that failed is noticed.
 const RENEW_INTERVAL: Span = Span::from_millis(250);
 
 /// The number of endpoints sampled for each request; the one with the fewest open requests
@@ -38,8 +38,8 @@
 const SAMPLED_ENDPOINTS: usize = 2;
 
 /// The number of endpoints sampled in a fleet of one cell, compared by the expected wait at
-/// their owners. Rate-limited endpoints take only a handful of starts a second, so an
-/// uneven choice shows.
+/// their owners. Rate-limited endpoints accept only a handful of requests a
+/// second, so an uneven choice makes callers wait visibly longer.
 const SAMPLED_ENDPOINTS_IN_ONE_CELL: usize = 4;
 
 /// The maximum number of resting endpoints listed in a request, so that it fits a datagram.
@@ -193,12 +193,12 @@
 
     /// Returns the expected wait, in seconds, at the owner of a rate-limited endpoint: the
     /// requests it last reported as waiting plus this node's own since, divided by the
-    /// total rate of the endpoints whose limits it keeps.
+    /// total rate of the endpoints whose limits it enforces.
     fn owner_wait_seconds(&self, now: Time, pool: &Pool, worker: &Worker) -> f64 {
         let owner_of = |worker: &Worker| self.slot_owner(now, pool, Some(worker.number));
         let owner = owner_of(worker);
-        let kept = pool.workers.iter().filter(|other| owner_of(other) == owner);
-        let limits = kept.filter_map(|other| other.rate_limit.limit_opt());
+        let owned = pool.workers.iter().filter(|other| owner_of(other) == owner);
+        let limits = owned.filter_map(|other| other.rate_limit.limit_opt());
         let rate: f64 = limits.map(Limit::per_second).sum();
         let reported_waiting = match owner {
             Owner::Local => pool.queue.len(),
@@ -265,7 +265,8 @@
         self.outbox.push((open_request.owner, message));
     }
 
-    /// Returns the endpoints of a service that asked this node for rest.
+    /// Returns the endpoints of a service that this node must not use, because they rest or a
+    /// probe is in flight.
     fn avoided(&self, now: Time, pool: &Pool, job: &Job) -> Vec<u32> {
         if job.origin.is_some() {
             return job.avoided.clone();
@@ -361,8 +362,8 @@
             return false;
         }
         if self.is_displaced(pool, job) {
-            let mut hosts = self.fallback_owners(now, pool, job).into_iter();
-            return hosts.any(|(owner, _)| owner == open_request.owner);
+            let mut owners = self.fallback_owners(now, pool, job).into_iter();
+            return owners.any(|(owner, _)| owner == open_request.owner);
         }
         self.slot_owner(now, pool, open_request.endpoint) == Owner::Remote(open_request.owner)
     }
@@ -374,7 +375,7 @@
         Some(open_request)
     }
 
-    /// Tells an owner that a slot, or a place in its queue, is not used.
+    /// Reports to an owner that a slot, or a place in its queue, is not used.
     pub(super) fn release_slot(&mut self, owner: SocketAddrV4, number: u64, end: End) {
         let seen = Observation::default();
         self.send_lease_report(owner, number, lease::Event::Ended { end, seen });
--- a/crates/dispatch/src/dispatcher/decision.rs
+++ b/crates/dispatch/src/dispatcher/decision.rs
@@ -44,7 +44,7 @@
         /// The node that granted the slot, if not this one.
         owner: Option<SocketAddrV4>,
     },
-    /// Refuse the request; the caller is told at once.
+    /// Refuse the request; the caller gets the refusal at once.
     Refuse {
         /// The request.
         job: job::Id,
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -109,11 +109,11 @@
     pub(super) fn restart_limit_intervals(&mut self, now: Time) {
         let targets: Vec<id::Target> = self.pools.keys().cloned().collect();
         for target in targets {
-            let kept = self.limits_kept_elsewhere(now, &target);
+            let enforced_elsewhere = self.limits_enforced_elsewhere(now, &target);
             let Some(pool) = self.pools.get_mut(&target) else {
                 continue;
             };
-            for at in kept {
+            for at in enforced_elsewhere {
                 pool.workers[at].rate_limit.restart_interval(now);
             }
         }
@@ -121,7 +121,7 @@
 
     /// Returns the indices of a service's endpoints whose rate limits other nodes
     /// enforce.
-    fn limits_kept_elsewhere(&self, now: Time, target: &id::Target) -> Vec<usize> {
+    fn limits_enforced_elsewhere(&self, now: Time, target: &id::Target) -> Vec<usize> {
         let pool = self.pools.get(target);
         let permit = pool.and_then(|pool| self.permit_opt(now, pool));
         let Some((pool, permit)) = pool.zip(permit) else {
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -28,9 +28,9 @@
 /// some lost checks.
 const LOST_AFTER: Span = Span::from_millis(3_000);
 
-/// The silence after which a waiting remote request counts as withdrawn. Its node repeats
+/// The silence after which a waiting remote request counts as cancelled. Its node repeats
 /// it several times a second.
-const WITHDRAWN_AFTER: Span = Span::from_millis(1_000);
+const CANCELLED_AFTER: Span = Span::from_millis(1_000);
 
 /// A request of another node that waits here or holds a slot of this node.
 #[derive(Debug)]
@@ -183,7 +183,7 @@
         self.outbox.push((origin.node, Message::Leased(reply)));
     }
 
-    /// Records the slot granted to a remote request, and tells its node.
+    /// Records the slot granted to a remote request, and notifies its node.
     pub(super) fn grant_slot(&mut self, origin: Origin, endpoint: u32, reason: Reason) {
         if let Some(remote) = self.remote_requests.get_mut(&origin) {
             remote.granted = Some((endpoint, reason));
@@ -236,7 +236,7 @@
             pool.queue.remove(remote.id);
         }
         if let Some(mut run) = self.runs.remove(&remote.id) {
-            run.shown = seen.events;
+            run.event_count = seen.events;
             let pool = self.pools.get_mut(&target);
             if let Some((pool, used)) = pool.zip(seen.took) {
                 pool.turnaround.learn(now.since(run.started), used);
@@ -256,7 +256,7 @@
             let silence = now.since(remote.last_heard);
             let limit = match remote.granted {
                 Some(_) => LOST_AFTER,
-                None => WITHDRAWN_AFTER,
+                None => CANCELLED_AFTER,
             };
             if silence > limit {
                 lost.push(*origin);
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -16,11 +16,11 @@
 //! * `start.rs`: records the start of a request at its endpoint.
 //! * `permit.rs`: decides which node may send to an endpoint with a fleet-wide limit.
 //! * `start_cold.rs`: limits the rate of requests to cold endpoints.
-//! * `keep_rate_limit.rs`: enforces the rate limits that endpoints announce.
+//! * `keep_rate_limit.rs`: enforces the rate limits that endpoints state.
 //! * `displace.rs`: queues requests in other data centres when they may not run in this one.
 //! * `predict.rs`: forecasts engine performance.
 //! * `observe.rs`: records the progress and the end of attempts.
-//! * `apply_notice.rs`: applies what endpoints announce about themselves in answers.
+//! * `apply_notice.rs`: applies what endpoints state about themselves in answers.
 //! * `suspect.rs`: tracks requests suspected of crashing endpoints.
 //! * `tick.rs`: periodic work.
 //! * `share.rs`: exchanges status with other nodes.
@@ -145,21 +145,23 @@
     worker: usize,
     started: Time,
     uncached: u64,
-    ahead: u64,
+    /// Prompt tokens of other requests that the endpoint had to read first.
+    tokens_ahead: u64,
     /// Whether it was sent while all slots of the endpoint were in use.
     queued: bool,
     first: Option<Time>,
-    marked: Time,
-    events: u32,
+    /// When the sample of the time between events began, and the events received in it.
+    sample_start: Time,
+    sample_events: u32,
     /// Events received so far.
-    shown: u32,
+    event_count: u32,
     /// When the last event was received.
     last: Time,
     /// The shortest time between two events, in microseconds.
     step: Option<f64>,
     /// The lease, if another node granted the slot.
     lease: Option<Lease>,
-    /// When the granting node was last told of progress.
+    /// When the granting node was last sent a report of progress.
     reported: Time,
 }
 
@@ -223,7 +225,7 @@
     quarantine: Registry,
     /// Changes to the quarantine since they were last taken.
     quarantine_changes: Vec<Change>,
-    /// Endpoints that announced in an answer that they are leaving.
+    /// Endpoints that stated in an answer that they are leaving.
     leaving_endpoints: leaving::Registry,
     /// Changes in endpoint state that did not come from answers to this node.
     endpoint_updates: Vec<notice::Update>,
@@ -233,9 +235,9 @@
     open_requests: HashMap<job::Id, OpenRequest>,
     /// Requests of other nodes that wait for or run in slots of this node.
     remote_requests: HashMap<Origin, RemoteRequest>,
-    /// Rate limits that other nodes reported since the last tick.
+    /// Rate limits that other nodes announced since the last tick.
     received_rate_limits: HashMap<u32, rate_limit::Report>,
-    /// When endpoints stop resting for other nodes, as reported since the last tick.
+    /// When endpoints stop resting for other nodes, as announced since the last tick.
     received_rests: HashMap<u32, Time>,
     /// When the owners in other cells last denied a spare slot.
     spare_denied_at: HashMap<SocketAddrV4, Time>,
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -34,7 +34,7 @@
 /// The longest pause that is counted, in steps. A longer one means that the endpoint has stalled.
 const MAX_PAUSE_STEPS: f64 = 10.0;
 
-/// How often the owner of a slot is told that a stream makes progress: more than twice within the
+/// How often progress of a stream is reported to the owner of its slot: more than twice within the
 /// time after which it would consider the endpoint stalled.
 const REPORT_INTERVAL: Span = Span::from_millis(400);
 
@@ -54,7 +54,7 @@
         if run.job.origin.is_none() {
             pool.workers[run.worker].rest.record_served(run.started);
         }
-        run.shown += events;
+        run.event_count += events;
         let first = run.first.is_none();
         let lease_event = match first {
             true => Some(lease::Event::First),
@@ -69,8 +69,8 @@
                 learn_pause(pool, run, now);
             }
             run.last = now;
-            run.events += events;
-            if run.events >= EVENTS_PER_SAMPLE {
+            run.sample_events += events;
+            if run.sample_events >= EVENTS_PER_SAMPLE {
                 learn_events(pool, run, now);
             }
         }
@@ -170,7 +170,7 @@
     pub(super) fn finish_attempt(&mut self, now: Time, run: Run, end: End) -> Job {
         if let Some(lease) = run.lease {
             let seen = lease::Observation {
-                events: run.shown,
+                events: run.event_count,
                 step: run.step.map(|step| step as u32),
                 took: matches!(end, End::Whole | End::Rejected).then(|| now.since(run.started)),
             };
@@ -271,19 +271,19 @@
 
 fn learn_first(pool: &mut Pool, run: &mut Run, now: Time) {
     run.first = Some(now);
-    run.marked = now;
+    run.sample_start = now;
     run.last = now;
     let after = now.since(run.started).0 as f64;
     pool.first_event_us += (after - pool.first_event_us) * SAMPLE_WEIGHT;
     let worker = &mut pool.workers[run.worker];
     worker.pending = worker.pending.saturating_sub(run.uncached);
-    let tokens = run.uncached + run.ahead;
+    let tokens = run.uncached + run.tokens_ahead;
     // The time includes waiting for a slot if the request was queued at the endpoint.
     if pool.engine && tokens >= MIN_SAMPLE_TOKENS && !run.queued {
-        let reading = after - worker.step_us.unwrap_or(pool.step_us);
-        let seen = reading / tokens as f64 / worker.pace.max(MIN_PACE);
+        let prefill_time_us = after - worker.step_us.unwrap_or(pool.step_us);
+        let sample = prefill_time_us / tokens as f64 / worker.pace.max(MIN_PACE);
         pool.prefill_us +=
-            (seen.clamp(MIN_PREFILL_US, MAX_PREFILL_US) - pool.prefill_us) * SAMPLE_WEIGHT;
+            (sample.clamp(MIN_PREFILL_US, MAX_PREFILL_US) - pool.prefill_us) * SAMPLE_WEIGHT;
     }
 }
 
@@ -303,9 +303,9 @@
 
 /// Learns the step from the time that the last events of a stream took.
 fn learn_events(pool: &mut Pool, run: &mut Run, now: Time) {
-    let gap = now.since(run.marked).0 as f64 / f64::from(run.events);
-    run.marked = now;
-    run.events = 0;
+    let gap = now.since(run.sample_start).0 as f64 / f64::from(run.sample_events);
+    run.sample_start = now;
+    run.sample_events = 0;
     run.step = Some(run.step.map_or(gap, |step| step.min(gap)));
     if pool.engine {
         learn_step(pool, run.worker, gap, now);
@@ -321,8 +321,8 @@
 }
 
 fn learn_length(pool: &mut Pool, run: &Run) {
-    if let Some(estimated) = run.job.prompt.output_hint.filter(|_| run.shown > 0) {
-        pool.lengths.learn(estimated, run.shown);
+    if let Some(estimated) = run.job.prompt.output_hint.filter(|_| run.event_count > 0) {
+        pool.lengths.learn(estimated, run.event_count);
     }
 }
 
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -240,7 +240,7 @@
         let worker = &pool.workers[at];
         let cached = pool.prefix_cache.cached_tokens(now, chain, worker.number);
         let unread = job.prompt.tokens.saturating_sub(cached);
-        let believed = if home && cached == 0 {
+        let expected_unread = if home && cached == 0 {
             // All nodes send a prompt to its home endpoint first, so another node may already have
             // sent this one there. The likelihood is the share of prompts that repeat.
             unread as f64 * (1.0 - pool.repeat_ratio)
@@ -248,14 +248,14 @@
             unread as f64
         };
         let output = job.prompt.output_hint.unwrap_or(job.prompt.output) as f64;
-        let forecast = pool.forecast(worker, believed);
+        let forecast = pool.forecast(worker, expected_unread);
         let decode_us = output * pool.step_us * worker.pace * policy.decode;
         Candidate {
             worker: at,
             uncached: unread,
             first_event_us: forecast.first_event_us,
             cost_us: (forecast.first_event_us + decode_us) * jitter(worker, job)
-                + believed * policy.reread
+                + expected_unread * policy.reread
                 + self.failure_cost(worker),
             should_wait: self.should_wait(now, pool, worker, job, forecast),
             preference: Preference::Normal,
--- a/crates/dispatch/src/dispatcher/predict.rs
+++ b/crates/dispatch/src/dispatcher/predict.rs
@@ -78,10 +78,10 @@
     pub(super) fn forecast(&self, worker: &Worker, unread: f64) -> Forecast {
         let step = self.step_of(worker);
         let before = (worker.pending + worker.remote_pending) as f64;
-        let reading = self.prefill_us * worker.pace * (before + unread);
+        let prefill_time_us = self.prefill_us * worker.pace * (before + unread);
         Forecast {
-            first_event_us: reading + self.slot_wait(worker) + step,
-            pause_us: (step + reading).min(step * self.longest_pause),
+            first_event_us: prefill_time_us + self.slot_wait(worker) + step,
+            pause_us: (step + prefill_time_us).min(step * self.longest_pause),
         }
     }
 
@@ -128,10 +128,10 @@
         let left = job.deadline.since(now).0 as f64 - self.first_event_us;
         let most = left / (events * LENGTH_MARGIN).max(1.0);
         let mut usable = self.workers.iter();
-        let keeps = usable.any(|worker| {
+        let is_achievable = usable.any(|worker| {
             worker.own_cell && worker.accepts_work(now, options) && self.step_of(worker) <= most
         });
-        keeps.then_some(most)
+        is_achievable.then_some(most)
     }
 
     /// The time until a slot of the engine is free for another request, in microseconds.
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -183,8 +183,8 @@
         pool.workers.push(worker);
     }
 
-    /// Marks all endpoints as not listed. Returns those that ended without having announced
-    /// that they leave: the list lacks them, or has a later start of them.
+    /// Marks all endpoints as not listed. Returns those that ended without having stated
+    /// that they leave: the list lacks them, or has a later instance of them.
     fn mark_unlisted(&mut self, list: &List) -> Vec<u32> {
         let listed = list.endpoints.iter();
         let listed: HashSet<u32> = listed.map(Endpoint::to_number).collect();
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -27,7 +27,7 @@
 /// those in use and for nodes that need more than an even share.
 const IDLE_CONNECTION_DIVISOR: usize = 2;
 
-/// Endpoints that are passed over because of what they announced.
+/// Endpoints that are passed over because of what they stated.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PassedOver {
     /// Endpoints that are leaving.
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Returns the endpoints of a service that are passed over because of what they announced in
+    /// Returns the endpoints of a service that are passed over because of what they stated in
     /// answers.
     pub fn passed_over(&self, now: Time, target: &id::Target) -> PassedOver {
         let mut passed_over = PassedOver::default();
--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -30,13 +30,14 @@
 /// customers that were far below their limit.
 const STARTUP_TIME: Span = Span::from_secs(2);
 
-/// The longest wait for a bucket during that time.
+/// The longest wait for a bucket during [`STARTUP_TIME`].
 const MAX_STARTUP_WAIT: Span = Span::from_millis(300);
 
-/// The shortest wait for a bucket during that time.
+/// The shortest wait for a bucket during [`STARTUP_TIME`].
 const MIN_STARTUP_WAIT: Span = Span::from_millis(20);
 
-/// A request waits for less than this fraction of its remaining time: one fourth.
+/// During that time, a request waits for a bucket only if the wait is shorter than its
+/// remaining time divided by this.
 const STARTUP_WAIT_DIVISOR: u64 = 4;
 
 /// How long a request waits until it looks again for an owner of its quota.
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -33,14 +33,14 @@
 /// The maximum number of endpoints in one status, so that it fits a datagram.
 const MAX_LOAD_ENTRIES: usize = 64;
 
-/// The maximum number of endpoint reports of one kind in a status, and in one to a node
-/// that has just joined and may know none of them. Successive statuses rotate through all
-/// reports.
-const MAX_REPORTS: usize = 16;
-const MAX_REPORTS_TO_NEWCOMER: usize = 64;
+/// The maximum number of announcements of one kind in a status, and in one to a node that
+/// has just joined and may know none of them. Successive statuses rotate through all
+/// announcements.
+const MAX_ANNOUNCEMENTS: usize = 16;
+const MAX_ANNOUNCEMENTS_TO_NEWCOMER: usize = 64;
 
-/// The number of endpoints from which on a node that can't connect to them may itself be
-/// cut off.
+/// The number of unreachable endpoints from which on the node that reports them may itself be
+/// disconnected.
 const MIN_UNREACHABLE_IF_DISCONNECTED: usize = 4;
 
 /// What the other nodes report about one endpoint.
@@ -74,14 +74,14 @@
         let quarantine = status.quarantine_digest;
         let incarnation = status.incarnation;
         let usage = status.usage.clone();
-        let news = self.members.record_status(now, from, status);
-        if news == Reception::Stale {
-            return news;
+        let reception = self.members.record_status(now, from, status);
+        if reception == Reception::Stale {
+            return reception;
         }
         let reporter = Reporter {
             address: from,
             incarnation,
-            known: news == Reception::Refreshed,
+            known: reception == Reception::Refreshed,
         };
         let reach = self.members.reach(now);
         let table = self.table.as_ref();
@@ -96,10 +96,10 @@
         self.receive_announcements(now, &notices);
         self.take_findings(now, &findings);
         self.answer_digest(now, from, quarantine);
-        news
+        reception
     }
 
-    /// Sums up the load and the trouble that other nodes report for each endpoint.
+    /// Sums up the load and the unavailability that other nodes report for each endpoint.
     pub(super) fn sum_remote_loads(&mut self, now: Time) {
         let mut sums: HashMap<u32, RemoteLoad> = HashMap::new();
         for (_, member) in self.members.live(now) {
@@ -128,12 +128,12 @@
     /// Returns the statuses that are due, each with the nodes to send it to. Nodes that may
     /// know few others get a longer one.
     pub fn statuses(&mut self, now: Time) -> Vec<(Status, Vec<SocketAddrV4>)> {
-        let occasion = Trigger {
+        let trigger = Trigger {
             urgent: self.urgent,
             usage_high: self.accounts.is_usage_high(now),
             new_documents: self.has_news,
         };
-        let due = self.members.take_due(now, occasion);
+        let due = self.members.take_due(now, trigger);
         if due.is_empty() {
             return Vec::new();
         }
@@ -148,8 +148,8 @@
                 .members
                 .advertised_to_established(&status.members)
                 .to_vec(),
-            rate_limits: limit_reports(&status.rate_limits),
-            notices: limit_reports(&status.notices),
+            rate_limits: limit_announcements(&status.rate_limits),
+            notices: limit_announcements(&status.notices),
             ..status.clone()
         };
         let mut statuses = vec![(to_established, established), (status, newcomers)];
@@ -175,21 +175,21 @@
             quarantine_digest: self.quarantine.digest(),
             findings: self.quarantine.recent_findings(now),
             protocol: Protocol::CURRENT,
-            rate_limits: self.rotate_reports(self.rate_limits_to_announce(now)),
-            notices: self.rotate_reports(self.announcements(now)),
+            rate_limits: self.rotate_announcements(self.rate_limits_to_announce(now)),
+            notices: self.rotate_announcements(self.announcements(now)),
         }
     }
 
-    /// Limits reports to what one status holds; successive statuses rotate through all of
+    /// Limits announcements to what one status holds; successive statuses rotate through all of
     /// them.
-    fn rotate_reports<T>(&self, mut reports: Vec<T>) -> Vec<T> {
-        if reports.len() > MAX_REPORTS {
-            let turn = (self.sequence as usize).wrapping_mul(MAX_REPORTS);
-            let start = turn % reports.len();
-            reports.rotate_left(start);
-            reports.truncate(MAX_REPORTS_TO_NEWCOMER);
+    fn rotate_announcements<T>(&self, mut announcements: Vec<T>) -> Vec<T> {
+        if announcements.len() > MAX_ANNOUNCEMENTS {
+            let turn = (self.sequence as usize).wrapping_mul(MAX_ANNOUNCEMENTS);
+            let start = turn % announcements.len();
+            announcements.rotate_left(start);
+            announcements.truncate(MAX_ANNOUNCEMENTS_TO_NEWCOMER);
         }
-        reports
+        announcements
     }
 
     /// Returns the load on each endpoint, except what the owners of leased slots report.
@@ -252,7 +252,7 @@
             .collect()
     }
 
-    /// Returns what this node has read from the platform and the asking node has not. A
+    /// Returns what this node has read from the platform and the requesting node has not. A
     /// configuration may be a hundred times as large as a list of endpoints and changes
     /// seldom. So the two are sent independently, and of each only the parts that differ.
     pub fn snapshot(&self, pull: &Pull) -> Snapshot {
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Returns what the asking node lacks of the list as the platform publishes it.
+    /// Returns what the requesting node lacks of the list as the platform publishes it.
     /// Corrections that this node keeps after an era began hold only for a while, and their
     /// end wouldn't reach the other nodes, as the platform's list has the same edition.
     fn difference(&self, pull: &Pull) -> Difference {
@@ -346,7 +346,7 @@
         }
     }
 
-    /// Tells the other nodes whether this node is cut off from the platform.
+    /// Announces to the other nodes whether this node can't reach the platform.
     pub fn set_platform_unreachable(&mut self, unreachable: bool) {
         self.urgent |= self.platform_unreachable != unreachable;
         self.platform_unreachable = unreachable;
@@ -361,14 +361,14 @@
 }
 
 /// Whether a node fails to connect to so many endpoints that the node itself is more likely
-/// cut off than the endpoints.
+/// disconnected than the endpoints.
 fn is_disconnected(loads: &[Load]) -> bool {
     let unreachable = |load: &&Load| load.unavailability == Some(Unavailability::Unreachable);
     let unreachable = loads.iter().filter(unreachable).count();
     unreachable >= MIN_UNREACHABLE_IF_DISCONNECTED && unreachable * 2 > loads.len()
 }
 
-/// Shortens the reports for a newcomer to those for a node that is already known.
-fn limit_reports<T: Clone>(reports: &[T]) -> Vec<T> {
-    reports[..reports.len().min(MAX_REPORTS)].to_vec()
+/// Shortens the announcements for a newcomer to those for a node that is already known.
+fn limit_announcements<T: Clone>(announcements: &[T]) -> Vec<T> {
+    announcements[..announcements.len().min(MAX_ANNOUNCEMENTS)].to_vec()
 }
--- a/crates/dispatch/src/dispatcher/start.rs
+++ b/crates/dispatch/src/dispatcher/start.rs
@@ -64,7 +64,7 @@
         if starts.len() > MAX_RECENT_STARTS {
             starts.pop_front();
         }
-        let ahead = worker.pending + worker.remote_pending;
+        let tokens_ahead = worker.pending + worker.remote_pending;
         let queued = worker.busy() >= worker.endpoint.slots;
         worker.start(now, reason.uncached);
         if job.origin.is_none() && worker.is_unconfirmed(now) {
@@ -88,12 +88,12 @@
             worker: at,
             started: now,
             uncached: reason.uncached,
-            ahead,
+            tokens_ahead,
             queued,
             first: None,
-            marked: now,
-            events: 0,
-            shown: 0,
+            sample_start: now,
+            sample_events: 0,
+            event_count: 0,
             last: now,
             step: None,
             lease,
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -24,7 +24,7 @@
 const NEIGHBOUR_COST_US: f64 = 50_000.0;
 
 /// The assumed cost in microseconds of two suspects starting at one endpoint: if it
-/// crashed, the cause could not be told.
+/// crashed, it would be unknown which one was the cause.
 const SUSPECT_NEIGHBOUR_COST_US: f64 = 300_000.0;
 
 /// How long after its start a request may still crash its endpoint. In the logs of
@@ -40,7 +40,7 @@
 /// times.
 const REMOTE_RESPONDERS: u64 = 16;
 
-/// The maximum number of times that the share of nodes allowed to begin a trial is
+/// The maximum number of times that the share of nodes allowed to start a trial is
 /// doubled.
 const MAX_TURN_DOUBLINGS: u64 = 16;
 
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Refuses the waiting requests that are barred from now on. Those that wait on
-    /// behalf of other nodes are withdrawn by these.
+    /// Refuses the waiting requests that are barred from now on. Requests of other nodes
+    /// that wait here are cancelled by those nodes.
     fn refuse_barred(&mut self, now: Time, fingerprint: Fingerprint) {
         let is_it = |job: &Job| job.fingerprint == fingerprint && !job.trial;
         let queues = self.pools.values().map(|pool| &pool.queue);
@@ -204,7 +204,7 @@
     }
 
     /// Returns the refusal if a request of this node's callers is barred. If a trial is
-    /// allowed, begins it instead.
+    /// allowed, starts it instead.
     pub(super) fn check_barred(&mut self, now: Time, job: &mut Job) -> Option<Refusal> {
         if job.trial || !self.is_barred(now, job.fingerprint) {
             return None;
@@ -248,7 +248,7 @@
     /// Whether this node may start a trial of a barred request: the trial is due, no node
     /// is silent that might start one as well, and it is this node's turn. Nodes are
     /// ordered by a hash of the request and their address. The first one starts, and as
-    /// long as no trial is heard of, the number of nodes allowed doubles with each turn.
+    /// long as no other node announces a trial, the number of nodes allowed doubles with each turn.
     fn may_start_trial(&self, now: Time, fingerprint: Fingerprint) -> bool {
         let Some(record) = self.quarantine.get(fingerprint) else {
             return false;
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -1,7 +1,7 @@
 //! Leases of endpoints' slots. In a fleet of several cells each cell's slots have an owner
 //! among its nodes, which alone grants them. The other nodes ask it for a slot for each
 //! request and report the request's progress. Messages may be lost, duplicated or
-//! reordered, so the asking node repeats its request until it is answered, and the owner
+//! reordered, so the borrowing node repeats its request until it is answered, and the owner
 //! checks on leases that last.
 //!
 //! Without owners, nodes of a cell hear of each other 100 ms late and take the same slots.
@@ -30,7 +30,7 @@
 /// Asks an owner for a slot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// The incarnation of the asking node.
+    /// The incarnation of the borrowing node.
     pub incarnation: u64,
     /// Identifies this request within that incarnation.
     pub number: u64,
@@ -124,7 +124,7 @@
         seen: Observation,
     },
     /// Its endpoint's answer named a rate limit, or no longer does. Only sent to nodes that
-    /// keep rate limits.
+    /// enforce rate limits.
     RateLimit {
         /// The limit; `None` if the endpoint has none any more.
         limit: Option<Limit>,
@@ -152,7 +152,7 @@
 /// Identifies another node's request at the owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Origin {
-    /// The asking node.
+    /// The borrowing node.
     pub node: SocketAddrV4,
     /// The number of its request.
     pub number: u64,
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -23,14 +23,14 @@
 //! * [`first_try`]: callers that have tried before.
 //! * [`job`]: one request, from its arrival to its final answer.
 //! * [`lease`]: slots that one node grants to another.
-//! * [`leaving`]: endpoints that announced in an answer that they are leaving.
+//! * [`leaving`]: endpoints that stated in an answer that they are leaving.
 //! * [`rest`]: endpoints that asked to be sent nothing for a while.
 //! * [`length`]: estimates of the number of events of a stream.
 //! * [`quarantine`]: requests that are not run any more because endpoints ended under them.
 //! * [`queue`]: requests that wait for an endpoint.
 //! * [`quota`]: usage limits of customers across all nodes.
 //! * [`notice`]: notices that endpoints send in answers.
-//! * [`rate_limit`]: the request rates that endpoints announce they accept.
+//! * [`rate_limit`]: the request rates that endpoints state they accept.
 //! * [`budget`]: the retry budget across all nodes.
 //! * [`member`]: the other nodes of the fleet.
 //! * [`message`]: messages between nodes.
--- a/crates/dispatch/src/member/mod.rs
+++ b/crates/dispatch/src/member/mod.rs
@@ -51,7 +51,7 @@
     pub members_to_newcomer: usize,
     /// The maximum number of addresses in a status to an established node. It knows the fleet
     /// already, and 16 addresses would take 96 of the 118 bytes of an idle node's status (test
-    /// `a_node_that_knows_the_fleet_is_told_of_few_others`).
+    /// `an_established_node_is_told_of_few_others`).
     pub members_to_established: usize,
     /// How long a node counts as a newcomer after it was first heard.
     pub newcomer_for: Span,
@@ -113,7 +113,7 @@
     pub joined: Option<Time>,
     /// When the same incarnation was last heard again after a silence.
     pub last_returned: Option<Time>,
-    /// When it last failed to answer a question.
+    /// When it last failed to answer a request.
     pub last_unanswered: Option<Time>,
     /// When it was last sent findings, with the digests of the findings that this node and the
     /// other held then.
--- a/crates/dispatch/src/member/owner.rs
+++ b/crates/dispatch/src/member/owner.rs
@@ -36,7 +36,7 @@
     Fleet,
     /// The nodes of this node's cell.
     Cell,
-    /// All nodes whose build enforces the rate limits that endpoints announce.
+    /// All nodes whose build enforces the rate limits that endpoints state.
     RateLimitCapable,
 }
 
@@ -92,7 +92,7 @@
         peers.all(|(address, _)| score(key, address) <= own)
     }
 
-    /// Whether a node's build enforces the rate limits that endpoints announce.
+    /// Whether a node's build enforces the rate limits that endpoints state.
     pub fn supports_rate_limits(&self, address: SocketAddrV4) -> bool {
         let protocol = self.protocol_opt(address);
         protocol.is_some_and(Protocol::supports_rate_limits)
@@ -111,7 +111,7 @@
         heard.map(|member| member.status.protocol)
     }
 
-    /// Records that a node failed to answer a question.
+    /// Records that a node failed to answer a request.
     pub fn record_unanswered(&mut self, now: Time, address: SocketAddrV4) {
         if let Some(member) = self.peers.get_mut(&address) {
             member.last_unanswered = Some(now);
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -107,13 +107,14 @@
 /// Asks the owner of a customer's quota to charge a request's units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reserve {
-    /// Identifies the question on the node that asks.
+    /// Identifies the request on the node that sends it.
     pub number: u64,
     /// The customer's number.
     pub customer: u64,
     /// The number of units.
     pub units: u64,
-    /// How routine the request is, in percent: 0 is the most protected, 100 the least.
+    /// The relative priority of the request, in percent: 0 is the most protected, 100 the
+    /// least.
     pub relative_priority: u8,
     /// Whether requests are waiting for the endpoints that this one needs.
     pub backlogged: bool,
@@ -122,7 +123,7 @@
 /// An owner's answer to a [`Reserve`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Reserved {
-    /// The number of the question.
+    /// The number of the request.
     pub number: u64,
     /// The decision.
     pub verdict: Verdict,
@@ -231,7 +232,7 @@
 }
 
 impl Pull {
-    /// Returns the same question restricted to one document.
+    /// Returns the same request restricted to one document.
     pub fn only(self, document: Document) -> Pull {
         let known = self.known.only(document);
         match document {
--- a/crates/dispatch/src/protocol.rs
+++ b/crates/dispatch/src/protocol.rs
@@ -7,7 +7,7 @@
 
 /// The version of the base layout, which is the first byte of every datagram and stream. Older
 /// builds read no other layout, so it has to stay while any of them may run; additions go after
-/// the part that they read.
+/// the part that they read (docs/PROTOCOL.md).
 pub const LAYOUT: u8 = 8;
 
 /// The protocol version of a build, which says what it supports beyond the base layout.
@@ -16,18 +16,18 @@
 pub struct Protocol(u8);
 
 impl Protocol {
-    /// The version of builds that add nothing to the base layout and do not announce a version.
+    /// The version of builds that add nothing to the base layout and do not state a version.
     pub const FIRST: Protocol = Protocol(LAYOUT);
 
     /// The first version whose lists of endpoints carry the platform's era, and whose
     /// configurations carry region restrictions.
     pub const ERAS: Protocol = Protocol(9);
 
-    /// The first version that enforces the rate limits that endpoints announce, and passes them
-    /// on in statuses.
+    /// The first version that enforces the rate limits that endpoints state, and announces them
+    /// in statuses.
     pub const RATE_LIMITS: Protocol = Protocol(10);
 
-    /// The first version whose statuses pass on the other notices that endpoints send in
+    /// The first version whose statuses announce the other notices that endpoints state in
     /// answers.
     pub const NOTICES: Protocol = Protocol(11);
 
--- a/crates/dispatch/src/quarantine/mod.rs
+++ b/crates/dispatch/src/quarantine/mod.rs
@@ -47,7 +47,7 @@
     /// The time until the first trial of a request that was cleared before. Doubles with
     /// each trial.
     pub cleared_trial_delay: Span,
-    /// How long the nodes whose turn it is may begin a trial before twice as many may.
+    /// How long the nodes whose turn it is may start a trial before twice as many may.
     /// The request may never reach the first ones.
     pub trial_turn_duration: Span,
     /// How long a request that is not barred is remembered after the last crash.
--- a/crates/dispatch/src/quarantine/record.rs
+++ b/crates/dispatch/src/quarantine/record.rs
@@ -26,7 +26,7 @@
     pub last: Time,
 }
 
-/// What one node tells another of a request.
+/// What one node sends another about a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
     /// The request.
--- a/crates/dispatch/src/quota/mod.rs
+++ b/crates/dispatch/src/quota/mod.rs
@@ -89,7 +89,8 @@
 pub struct Demand {
     /// The units to charge.
     pub units: u64,
-    /// From 0 for the most protected requests to 1 for the least protected.
+    /// The relative priority: from 0 for the most protected requests to 1 for the least
+    /// protected.
     pub relative_priority: f64,
     /// Whether requests wait for the endpoints that it needs. No customer then exceeds
     /// its limit, as that would be at the cost of other customers.
--- a/crates/dispatch/src/section.rs
+++ b/crates/dispatch/src/section.rs
@@ -15,7 +15,7 @@
 use crate::endpoint::Endpoint;
 use crate::endpoint::List;
 
-/// The number of sections of a list. A question with their digests takes 0.6 KB. The answer for
+/// The number of sections of a list. A request with their digests takes 0.6 KB. The answer for
 /// one changed entry takes 0.15 KB in a list of 166 and 1.3 KB in one of 3,100, where whole
 /// lists take 4.8 and 90 KB (test `a_changed_entry_transfers_little`).
 pub const COUNT: usize = 64;
--- a/crates/dispatch/src/wire.rs
+++ b/crates/dispatch/src/wire.rs
@@ -1,10 +1,10 @@
 //! Encoding and decoding of messages between nodes.
 //!
 //! A message starts with the base layout, which every build reads. Later builds append to it:
-//! an extension, lists of what endpoints announced, or the region restrictions of a
+//! an extension, lists of announcements about endpoints, or the region restrictions of a
 //! configuration. A build reads the appended parts that it knows, uses defaults for those that
-//! are missing, and ignores the rest. The bytes before an appended part never change (test
-//! `the_encoding_does_not_change`).
+//! are missing, and ignores the rest. The bytes before an appended part never change
+//! (docs/PROTOCOL.md; test `the_encoding_does_not_change`).
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -77,7 +77,7 @@
     Some(message)
 }
 
-/// Encodes a question for documents.
+/// Encodes a request for documents.
 ///
 /// # Errors
 /// If serialisation fails.
@@ -89,10 +89,10 @@
     postcard::to_extend(&extension, postcard::to_extend(pull, Vec::new())?)
 }
 
-/// Decodes a question for documents.
+/// Decodes a request for documents.
 ///
 /// # Errors
-/// If the bytes are not a valid question.
+/// If the bytes are not a valid request.
 pub fn pull_from_bytes(bytes: &[u8]) -> postcard::Result<Pull> {
     let (mut pull, rest): (Pull, _) = postcard::take_from_bytes(bytes)?;
     let (extension, _) = take_extension(rest)?;
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -25,7 +25,7 @@
     pub half_life: Span,
     /// How long an endpoint that reported to be full gets no requests.
     pub full_backoff: Span,
-    /// How long other nodes are told that an endpoint is gone. Covers the time until endpoint lists
+    /// How long an endpoint is reported to other nodes as gone. Covers the time until endpoint lists
     /// no longer contain it.
     pub gone_report_period: Span,
 }
@@ -71,7 +71,7 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
 /// The number of nodes that must report an endpoint as unreachable before a node that saw no
-/// failure itself believes it. A single node may be cut off from the endpoint.
+/// failure itself believes it. A single node may be unable to reach the endpoint.
 const MIN_UNREACHABLE_REPORTS: u32 = 2;
 
 /// How long a successful call outweighs the reports of other nodes.
@@ -107,9 +107,9 @@
     pub evacuated: bool,
     /// Whether it is cold.
     pub cold: cold::State,
-    /// The rate limit that it announced, if any.
+    /// The rate limit that it stated, if any.
     pub rate_limit: rate_limit::State,
-    /// Whether it announced in an answer that it is leaving.
+    /// Whether it stated in an answer that it is leaving.
     pub leaving: bool,
     /// Whether it asked this node to send nothing for a while.
     pub rest: rest::State,
@@ -209,11 +209,11 @@
         let since = now.since(self.updated_at).as_secs_f64();
         let halves = since / options.half_life.as_secs_f64().max(1e-3);
         if self.updated_at == Time(0) || halves > MIN_DECAY_HALF_LIVES {
-            let keep = 0.5f64.powf(halves);
+            let decay_factor = 0.5f64.powf(halves);
             if self.step_us.is_none() {
-                self.pace = 1.0 + (self.pace - 1.0) * keep;
+                self.pace = 1.0 + (self.pace - 1.0) * decay_factor;
             }
-            self.failure_rate *= keep;
+            self.failure_rate *= decay_factor;
             self.updated_at = now;
         }
     }
@@ -285,7 +285,7 @@
         self.running > 0 && now.since(self.last_progress) > options.stall_timeout
     }
 
-    /// Whether it announced a rate limit.
+    /// Whether it stated a rate limit.
     pub fn is_rate_limited(&self) -> bool {
         self.rate_limit.limit_opt().is_some()
     }
--- a/crates/dispatch/tests/dispatch/fleet/rate_limited.rs
+++ b/crates/dispatch/tests/dispatch/fleet/rate_limited.rs
@@ -214,7 +214,7 @@
     }
     // An endpoint that gets one request in ten seconds can report a change only as often.
     world.run_for(Span::from_secs(15));
-    let settled = world.now;
+    let converged_at = world.now;
     world.run_for(Span::from_secs(10));
     if let Some(text) = after {
         assert_limits_respected(&world, &named, text, moved + ENFORCED_AFTER);
@@ -222,7 +222,7 @@
     let wanted = after.map_or(used, |text| limit(text).per_second() * used);
     for name in &named {
         let arrivals = world.arrivals[name].iter();
-        let since = arrivals.filter(|at| **at >= settled).count();
+        let since = arrivals.filter(|at| **at >= converged_at).count();
         let per_second = since as f64 / 10.0;
         assert!(per_second >= wanted, "{per_second} a second at {name}");
     }
--- a/crates/dispatch/tests/dispatch/fleet/world/mod.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/mod.rs
@@ -201,9 +201,9 @@
     pub crash_arrivals: Vec<(Time, u16, Fingerprint)>,
     /// The requests that callers retry once if they break.
     jobs: HashMap<(u16, job::Id), Job>,
-    /// The rate limits that endpoints announce.
+    /// The rate limits that endpoints state.
     pub rate_limits: HashMap<id::Endpoint, Limit>,
-    /// The other conditions that endpoints announce.
+    /// The other conditions that endpoints state.
     pub notices: Notices,
     /// The requests that were retried.
     retried: BTreeSet<Fingerprint>,
--- a/crates/dispatch/tests/dispatch/fleet/world/notices.rs
+++ b/crates/dispatch/tests/dispatch/fleet/world/notices.rs
@@ -1,4 +1,4 @@
-//! Conditions that endpoints announce in answers: leaving, and rest after a rejection.
+//! Conditions that endpoints state in answers: leaving, and rest after a rejection.
 
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
 use super::Event;
 use super::World;
 
-/// How long requests may still be sent to an endpoint after it announced that it leaves.
+/// How long requests may still be sent to an endpoint after it stated that it leaves.
 const LEAVING_GRACE: Span = Span::from_secs(2);
 
 /// The time after a rejection from which the node has to respect the rest.
@@ -36,19 +36,19 @@
 /// A node, its incarnation, and an endpoint that it sends requests to.
 type Pair = (u16, u32, id::Endpoint);
 
-/// What endpoints announce, and the requests that nodes sent afterwards.
+/// What endpoints state, and the requests that nodes sent afterwards.
 #[derive(Debug, Default)]
 pub struct Notices {
-    /// The endpoints that announce that they leave.
+    /// The endpoints that state that they leave.
     pub leaving: Vec<id::Endpoint>,
     /// The endpoints that reject requests.
     pub rejecting: HashMap<id::Endpoint, Rejecting>,
     /// How often each node was started.
     incarnations: HashMap<u16, u32>,
     /// When a node first learnt that an endpoint leaves.
-    told_at: HashMap<Pair, Time>,
+    learnt_at: HashMap<Pair, Time>,
     /// When a node was rejected, and the rest that the endpoint asked for.
-    refusals: HashMap<Pair, Vec<(Time, Span)>>,
+    rejections: HashMap<Pair, Vec<(Time, Span)>>,
     /// When requests of a node reached an endpoint, and when they arrived at the node.
     sent: HashMap<Pair, Vec<(Time, Time)>>,
 }
@@ -59,39 +59,43 @@
         (node, incarnation, endpoint.clone())
     }
 
-    /// Records a start of a node, which forgets all announcements.
+    /// Records a start of a node, which knows none of the earlier statements.
     pub(super) fn start(&mut self, node: u16) {
         *self.incarnations.entry(node).or_default() += 1;
     }
 
     /// Whether an endpoint rejects a request.
-    fn refuses(&self, endpoint: &id::Endpoint, drawn: u64) -> bool {
-        let refusing = self.rejecting.get(endpoint);
-        refusing.is_some_and(|one| hash::of(&drawn.to_le_bytes()).is_multiple_of(one.one_of))
+    fn rejects(&self, endpoint: &id::Endpoint, drawn: u64) -> bool {
+        let rejecting = self.rejecting.get(endpoint);
+        rejecting.is_some_and(|one| hash::of(&drawn.to_le_bytes()).is_multiple_of(one.one_of))
     }
 
     /// Returns the number of requests sent although they arrived later than the grace time
-    /// after the announcement.
+    /// after the node learnt that the endpoint leaves.
     fn late(&self) -> usize {
         let late = self.sent.iter().map(|(pair, sent)| {
-            let told = self.told_at.get(pair);
-            let is_late = |came: &Time| told.is_some_and(|told| *came > *told + LEAVING_GRACE);
-            sent.iter().filter(|(_, came)| is_late(came)).count()
+            let learnt = self.learnt_at.get(pair);
+            let is_late =
+                |arrived: &Time| learnt.is_some_and(|learnt| *arrived > *learnt + LEAVING_GRACE);
+            sent.iter().filter(|(_, arrived)| is_late(arrived)).count()
         });
         late.sum()
     }
 
-    /// Asserts that a leaving endpoint was announced and got no late request.
+    /// Asserts that nodes learnt of a leaving endpoint and sent it no late request.
     pub fn assert_leaving_respected(&self) {
-        assert!(!self.told_at.is_empty(), "no node learnt of it");
+        assert!(
+            !self.learnt_at.is_empty(),
+            "no node learnt that the endpoint leaves"
+        );
         assert_eq!(self.late(), 0);
     }
 
     /// Returns the most requests from one node to an endpoint during a rest.
     fn most_during_rest(&self) -> usize {
-        let most = self.refusals.iter().filter_map(|(pair, refusals)| {
+        let most = self.rejections.iter().filter_map(|(pair, rejections)| {
             let sent = self.sent.get(pair)?;
-            let within = refusals.iter().map(|(at, rest)| {
+            let within = rejections.iter().map(|(at, rest)| {
                 let rests = |when: &Time| *when > *at + REST_GRACE && *when < *at + *rest;
                 sent.iter().filter(|(when, _)| rests(when)).count()
             });
@@ -102,14 +106,14 @@
 
     /// Asserts that requests were rejected and that nodes respected the rest.
     pub fn assert_rest_respected(&self) {
-        assert!(!self.refusals.is_empty(), "no request was rejected");
+        assert!(!self.rejections.is_empty(), "no request was rejected");
         let most = self.most_during_rest();
         assert!(most <= MAX_DURING_REST, "{most} in one rest");
     }
 }
 
 impl World {
-    /// Returns what the head of an endpoint's answer to a node announces.
+    /// Returns what the head of an endpoint's answer to a node states.
     pub(super) fn read_notice(&mut self, node: u16, endpoint: &id::Endpoint) -> Notice {
         if self.previous_build.contains(&node) {
             return Notice::default();
@@ -117,7 +121,7 @@
         let leaving = self.notices.leaving.contains(endpoint);
         if leaving {
             let pair = self.notices.pair(node, endpoint);
-            self.notices.told_at.entry(pair).or_insert(self.now);
+            self.notices.learnt_at.entry(pair).or_insert(self.now);
         }
         let limit = self.rate_limits.get(endpoint).copied();
         Notice {
@@ -130,18 +134,18 @@
     /// Delivers a request to an endpoint, which rejects or runs it.
     pub(super) fn deliver(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let outcome = &self.outcomes[&(node, id)];
-        let (came, decided) = (outcome.arrived, outcome.decided);
+        let (arrived, decided) = (outcome.arrived, outcome.decided);
         let pair = self.notices.pair(node, endpoint);
         let sent = self.notices.sent.entry(pair.clone()).or_default();
-        sent.push((self.now, came));
+        sent.push((self.now, arrived));
         let drawn = hash::chain(id.0 + u64::from(decided), &node.to_le_bytes());
-        if !self.notices.refuses(endpoint, drawn) {
+        if !self.notices.rejects(endpoint, drawn) {
             self.start_run(node, id, endpoint);
             return;
         }
         let rest = self.notices.rejecting[endpoint].rest;
-        let refusals = self.notices.refusals.entry(pair).or_default();
-        refusals.push((self.now, rest));
+        let rejections = self.notices.rejections.entry(pair).or_default();
+        rejections.push((self.now, rest));
         self.outcomes
             .get_mut(&(node, id))
             .expect("the request arrived")
@@ -152,11 +156,11 @@
         self.schedule(heard, Event::Rejected(node, id, endpoint.clone()));
     }
 
-    /// Tells a node that its request was rejected.
+    /// Reports to a node that its request was rejected.
     pub(super) fn handle_rejection(&mut self, node: u16, id: job::Id, endpoint: &id::Endpoint) {
         let reads = !self.previous_build.contains(&node);
-        let refusing = self.notices.rejecting.get(endpoint).filter(|_| reads);
-        let rest = refusing.map(|one| one.rest);
+        let rejecting = self.notices.rejecting.get(endpoint).filter(|_| reads);
+        let rest = rejecting.map(|one| one.rest);
         let notice = Notice {
             rate_limit: Field::Unknown,
             rest,
--- a/crates/dispatch/tests/dispatch/lease/mod.rs
+++ b/crates/dispatch/tests/dispatch/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Tests for slot leases, with one node at a time: the asking node or the owner.
+//! Tests for slot leases, with one node at a time: the borrowing node or the owner.
 
 use std::net::SocketAddrV4;
 
--- a/crates/dispatch/tests/dispatch/members.rs
+++ b/crates/dispatch/tests/dispatch/members.rs
@@ -243,10 +243,10 @@
         new_documents: true,
         ..ROUTINE
     };
-    let told = members.take_due(at(3), news);
-    assert_eq!(told.len(), quiet + Options::default().fan_out);
+    let due = members.take_due(at(3), news);
+    assert_eq!(due.len(), quiet + Options::default().fan_out);
     let others = members.take_due(at(4), news);
-    assert!(others.iter().all(|one| !told.contains(one)));
+    assert!(others.iter().all(|one| !due.contains(one)));
 }
 
 /// Returns the milliseconds until all nodes have the documents that two nodes read first. Each
@@ -270,9 +270,9 @@
                 usage_high: false,
                 new_documents: now < since + 20,
             };
-            for told in views[one].take_due(at(now), trigger) {
-                let told = usize::from(told.ip().octets()[3]) - 1;
-                has_at[told].get_or_insert(now + transfer_ms);
+            for recipient in views[one].take_due(at(now), trigger) {
+                let recipient = usize::from(recipient.ip().octets()[3]) - 1;
+                has_at[recipient].get_or_insert(now + transfer_ms);
             }
         }
         if has_at.iter().all(Option::is_some) {
--- a/crates/dispatch/tests/dispatch/order.rs
+++ b/crates/dispatch/tests/dispatch/order.rs
@@ -385,10 +385,10 @@
     for _ in 0..3 {
         dispatcher.enter(at(0), job(target, 2, at(0)));
     }
-    let newcomer = Job {
+    let new_request = Job {
         objective: Span::from_millis(200),
         ..job(target, 2, at(1))
     };
-    dispatcher.enter(at(1), newcomer);
+    dispatcher.enter(at(1), new_request);
     assert_eq!(refusals(&mut dispatcher).len(), usize::from(refused));
 }
--- a/crates/dispatch/tests/dispatch/outcomes.rs
+++ b/crates/dispatch/tests/dispatch/outcomes.rs
@@ -220,8 +220,8 @@
     assert_eq!(starts(&mut dispatcher).len(), starts_then);
 }
 
-/// Builds the status of a node that reports trouble with some endpoints.
-fn trouble_report(
+/// Builds the status of a node that reports some endpoints as unavailable.
+fn unavailability_report(
     number: u8,
     unavailability: Unavailability,
     names: &[&str],
@@ -253,14 +253,14 @@
 }
 
 #[rstest]
-#[case::gone_for_one(vec![trouble_report(2, Unavailability::Gone, &["e"])], false)]
-#[case::unreachable_for_two(vec![trouble_report(2, Unavailability::Unreachable, &["e"]), trouble_report(3, Unavailability::Unreachable, &["e"])], false)]
-#[case::unreachable_for_one(vec![trouble_report(2, Unavailability::Unreachable, &["e"])], true)]
-#[case::failing_for_two(vec![trouble_report(2, Unavailability::Failing, &["e"]), trouble_report(3, Unavailability::Failing, &["e"])], true)]
+#[case::gone_for_one(vec![unavailability_report(2, Unavailability::Gone, &["e"])], false)]
+#[case::unreachable_for_two(vec![unavailability_report(2, Unavailability::Unreachable, &["e"]), unavailability_report(3, Unavailability::Unreachable, &["e"])], false)]
+#[case::unreachable_for_one(vec![unavailability_report(2, Unavailability::Unreachable, &["e"])], true)]
+#[case::failing_for_two(vec![unavailability_report(2, Unavailability::Failing, &["e"]), unavailability_report(3, Unavailability::Failing, &["e"])], true)]
 #[case::unreachable_for_two_isolated_nodes(
     vec![
-        trouble_report(2, Unavailability::Unreachable, &["e", "f", "g", "h"]),
-        trouble_report(3, Unavailability::Unreachable, &["e", "f", "g", "h"]),
+        unavailability_report(2, Unavailability::Unreachable, &["e", "f", "g", "h"]),
+        unavailability_report(3, Unavailability::Unreachable, &["e", "f", "g", "h"]),
     ],
     true
 )]
@@ -277,7 +277,7 @@
     let id = dispatcher.enter(at(0), non_repeatable(1));
     dispatcher.end(at(10), id, End::Whole);
     for number in [2, 3] {
-        let (from, status) = trouble_report(number, Unavailability::Unreachable, &["e"]);
+        let (from, status) = unavailability_report(number, Unavailability::Unreachable, &["e"]);
         dispatcher.receive_status(at(20), from, status);
     }
     dispatcher.tick(at(21));
--- a/crates/dispatch/tests/dispatch/quota_fleet/world.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/world.rs
@@ -60,7 +60,7 @@
     pub admitted: Vec<(u64, u64)>,
     /// The node of each waiting request, and when it is charged again.
     pub waiting: Vec<(u8, Time)>,
-    /// The number of questions to owners.
+    /// The number of requests to owners.
     pub reservations: u64,
 }
 
--- a/crates/dispatch/tests/dispatch/rate_limit.rs
+++ b/crates/dispatch/tests/dispatch/rate_limit.rs
@@ -111,9 +111,18 @@
 fn the_end_of_a_limit_is_announced_for_a_while() {
     let mut state = limited(at(1_000));
     state.record_answer(at(2_000), at(1_500), None);
-    let told = state.to_announcement_opt(at(2_300), 7).expect("told");
-    assert_eq!((told.endpoint, told.limit, told.age_ms), (7, None, 300));
-    assert_eq!(told.to_report(at(5_000)).at, at(4_700));
+    let announcement = state
+        .to_announcement_opt(at(2_300), 7)
+        .expect("the end of the limit is announced");
+    assert_eq!(
+        (
+            announcement.endpoint,
+            announcement.limit,
+            announcement.age_ms
+        ),
+        (7, None, 300)
+    );
+    assert_eq!(announcement.to_report(at(5_000)).at, at(4_700));
     assert_eq!(state.to_announcement_opt(at(7_001), 7), None);
 }
 
--- a/crates/dispatch/tests/dispatch/retry.rs
+++ b/crates/dispatch/tests/dispatch/retry.rs
@@ -40,15 +40,15 @@
 fn the_queue_position_of_a_retry(#[case] since_first_try: u64, #[case] goes_first: bool) {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
-    let back = Job {
+    let retry = Job {
         first_try: at(1) - Span::from_millis(since_first_try),
         ..job(MODEL, 2, at(1))
     };
-    let back = dispatcher.enter(at(1), back);
-    let newcomer = dispatcher.enter(at(2), job(MODEL, 2, at(2)));
+    let retry = dispatcher.enter(at(1), retry);
+    let new_request = dispatcher.enter(at(2), job(MODEL, 2, at(2)));
     starts(&mut dispatcher);
     dispatcher.end(at(3), running, End::Whole);
-    let first = if goes_first { back } else { newcomer };
+    let first = if goes_first { retry } else { new_request };
     assert_eq!(starts(&mut dispatcher), [(first, "e".to_owned())]);
 }
 
@@ -86,10 +86,7 @@
         let wait = refusal.wait.expect("the refusal states a wait");
         let retry_after = refusal.retry_after.expect("there is time to come back");
         assert!(retry_after >= wait.min(most), "{retry_after} before {wait}");
-        assert!(
-            retry_after <= most,
-            "{retry_after} exceeds {most}"
-        );
+        assert!(retry_after <= most, "{retry_after} exceeds {most}");
     }
 }
 
--- a/crates/dispatch/tests/dispatch/section.rs
+++ b/crates/dispatch/tests/dispatch/section.rs
@@ -40,7 +40,7 @@
 }
 
 /// One of many endpoints starts to leave. Answers measured 151 and 1,253 bytes, where whole
-/// lists take 4,818 and 89,904; a question takes 569 and 610.
+/// lists take 4,818 and 89,904; a request takes 569 and 610.
 #[rstest]
 #[case::of_166(166, 200)]
 #[case::of_3100(3_100, 2_000)]
--- a/crates/dispatch/tests/dispatch/share.rs
+++ b/crates/dispatch/tests/dispatch/share.rs
@@ -92,9 +92,9 @@
 fn status_size_to(dispatcher: &mut Dispatcher, now: Time, to: u8) -> Option<(usize, usize)> {
     let mut statuses = dispatcher.statuses(now).into_iter();
     let (status, _) = statuses.find(|(_, due)| due.contains(&node(to)))?;
-    let told = status.members.len();
+    let addresses = status.members.len();
     let bytes = wire::to_datagram(&Message::Status(Box::new(status)));
-    Some((bytes.expect("encodes").len(), told))
+    Some((bytes.expect("encodes").len(), addresses))
 }
 
 /// Sixteen addresses make up most of an idle node's status: with them it takes 118 bytes,
@@ -110,8 +110,8 @@
         };
         own.receive_status(at(0), node(other), other_status);
     }
-    let (first, told) = status_size_to(&mut own, at(1), 2).expect("a status is due");
-    assert_eq!(told, 16);
+    let (first, addresses) = status_size_to(&mut own, at(1), 2).expect("a status is due");
+    assert_eq!(addresses, 16);
     for millis in (100..6_000).step_by(100) {
         own.tick(at(millis));
         for other in 2..40 {
@@ -125,8 +125,8 @@
         own.statuses(at(millis));
     }
     let later = (6_000..8_000).find_map(|millis| status_size_to(&mut own, at(millis), 2));
-    let (later, told) = later.expect("a status is due");
-    assert_eq!(told, 2);
+    let (later, addresses) = later.expect("a status is due");
+    assert_eq!(addresses, 2);
     assert!(later + 14 * 6 <= first, "{later} of {first} bytes");
 }
 
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -112,7 +112,10 @@
         quarantine_digest: 0x1234,
         findings: vec![finding()],
         protocol: Protocol::CURRENT,
-        rate_limits: vec![told(5, Some("2.75")), told(6, None)],
+        rate_limits: vec![
+            limit_announcement(5, Some("2.75")),
+            limit_announcement(6, None),
+        ],
         notices: vec![
             notice(7, Condition::Leaving),
             notice(8, Condition::Rest { left_ms: 2_500 }),
@@ -127,7 +130,7 @@
     }
 }
 
-fn told(endpoint: u32, limit: Option<&str>) -> rate_limit::Announcement {
+fn limit_announcement(endpoint: u32, limit: Option<&str>) -> rate_limit::Announcement {
     rate_limit::Announcement {
         endpoint,
         limit: limit.map(to_limit),
@@ -341,7 +344,7 @@
     }
 }
 
-/// Returns every question for documents, by name.
+/// Returns every request for documents, by name.
 pub fn pulls() -> Vec<(&'static str, Pull)> {
     let held = vec![parts::Part::default().to_digest()];
     let known = Versions {
