--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -86,13 +86,13 @@
     /// Chooses the owner in another cell in whose queue a displaced request waits. The choice
     /// varies with `turn` and is weighted by the slots of each cell.
     pub(super) fn fallback_owner(&self, now: Time, pool: &Pool, job: &Job, turn: u64) -> Owner {
-        let hosts = self.fallback_owners(now, pool, job);
-        let all: u64 = hosts.iter().map(|(_, slots)| u64::from(*slots)).sum();
+        let owners = self.fallback_owners(now, pool, job);
+        let all: u64 = owners.iter().map(|(_, slots)| u64::from(*slots)).sum();
         let drawn = hash::chain(self.options.incarnation, &turn.to_le_bytes());
         let Some(mut at) = drawn.checked_rem(all) else {
             return Owner::Unreachable;
         };
-        for (owner, slots) in hosts {
+        for (owner, slots) in owners {
             let slots = u64::from(slots);
             if at < slots {
                 return Owner::Remote(owner);
@@ -119,7 +119,7 @@
             let allowed = self.options.regions.allows_number(&job.constraint, centre);
             allowed.then_some((owner, centre))
         });
-        let hosts = centres.map(|(owner, centre)| {
+        let weighted_owners = centres.map(|(owner, centre)| {
             let workers = pool.workers.iter();
             let near = workers.filter(|worker| {
                 worker.is_open()
@@ -129,6 +129,6 @@
             let cells = cells.get(&centre).copied().unwrap_or(1).max(1);
             (owner, slots / cells as u32)
         });
-        hosts.filter(|(_, slots)| *slots > 0).collect()
+        weighted_owners.filter(|(_, slots)| *slots > 0).collect()
     }
 }
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -38,7 +38,7 @@
 /// time after which it would consider the endpoint stalled.
 const REPORT_INTERVAL: Span = Span::from_millis(400);
 
-/// The number of events over which the time between events is measured.
+/// The number of events over which the time between events is averaged.
 const EVENTS_PER_SAMPLE: u32 = 4;
 
 impl Dispatcher {
--- a/crates/dispatch/src/dispatcher/predict.rs
+++ b/crates/dispatch/src/dispatcher/predict.rs
@@ -77,8 +77,8 @@
     /// Forecasts a request at an engine that has to read `unread` tokens of its prompt.
     pub(super) fn forecast(&self, worker: &Worker, unread: f64) -> Forecast {
         let step = self.step_of(worker);
-        let before = (worker.pending + worker.remote_pending) as f64;
-        let prefill_time_us = self.prefill_us * worker.pace * (before + unread);
+        let tokens_ahead = (worker.pending + worker.remote_pending) as f64;
+        let prefill_time_us = self.prefill_us * worker.pace * (tokens_ahead + unread);
         Forecast {
             first_event_us: prefill_time_us + self.slot_wait(worker) + step,
             pause_us: (step + prefill_time_us).min(step * self.longest_pause),
--- a/crates/dispatch/src/dispatcher/retry.rs
+++ b/crates/dispatch/src/dispatcher/retry.rs
@@ -32,8 +32,8 @@
     pub fn retry_after(&self, now: Time, wait: Span, left: Span) -> Span {
         let wait = wait.max(MIN_RETRY_AFTER);
         let spread = wait.0 as f64 * JITTER * self.jitter_fraction(now);
-        let at = wait + Span(spread as u64);
-        at.min(self.max_retry_after(left))
+        let delay = wait + Span(spread as u64);
+        delay.min(self.max_retry_after(left))
     }
 
     /// Like [`Dispatcher::retry_after`], but `wait` is an estimate: of a queue that
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -182,15 +182,16 @@
     /// Refuses the waiting requests that are barred from now on. Requests of other nodes
     /// that wait here are cancelled by those nodes.
     fn refuse_barred(&mut self, now: Time, fingerprint: Fingerprint) {
-        let is_it = |job: &Job| job.fingerprint == fingerprint && !job.trial;
+        let matches = |job: &Job| job.fingerprint == fingerprint && !job.trial;
         let queues = self.pools.values().map(|pool| &pool.queue);
         let waiting = queues.flat_map(|queue| queue.iter());
-        let waiting = waiting.filter(|(_, job)| job.origin.is_none() && is_it(job));
-        let asked = self.open_requests.iter();
-        let asked = asked.filter(|(_, open_request)| open_request.job.as_ref().is_some_and(is_it));
+        let waiting = waiting.filter(|(_, job)| job.origin.is_none() && matches(job));
+        let requested = self.open_requests.iter();
+        let requested =
+            requested.filter(|(_, open_request)| open_request.job.as_ref().is_some_and(matches));
         let ids: Vec<job::Id> = waiting
             .map(|(id, _)| id)
-            .chain(asked.map(|(id, _)| *id))
+            .chain(requested.map(|(id, _)| *id))
             .collect();
         for id in ids {
             let target = self.targets.get(&id).cloned();
--- a/crates/dispatch/src/endpoint.rs
+++ b/crates/dispatch/src/endpoint.rs
@@ -29,7 +29,7 @@
     pub data_centre: id::DataCentre,
     /// The number of requests it works on concurrently.
     pub slots: u32,
-    /// Whether it stated that it is leaving.
+    /// Whether it is listed as leaving.
     pub leaving: bool,
     /// How much longer it will be cold, as of its last record; zero if it is not cold.
     pub cold_for: Span,
--- a/crates/dispatch/src/first_try.rs
+++ b/crates/dispatch/src/first_try.rs
@@ -55,7 +55,7 @@
 }
 
 impl Histogram {
-    /// Records that a caller was told to retry.
+    /// Records that a caller was refused, and may retry.
     pub fn record_refused(&mut self, now: Time) {
         self.last_refusal = Some(now);
     }
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/rest.rs
@@ -31,8 +31,8 @@
 /// The maximum number of doublings of both.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// The fraction of a rest (one part in this many), and the maximum time, over which the
-/// nodes that rest until the same moment come back.
+/// Nodes for which an endpoint rests until the same moment return to it over a span of the
+/// rest divided by this, up to a maximum.
 const JITTER_DIVISOR: u64 = 8;
 const MAX_JITTER: Span = Span::from_millis(250);
 
--- a/crates/dispatch/tests/dispatch/quota/mod.rs
+++ b/crates/dispatch/tests/dispatch/quota/mod.rs
@@ -109,15 +109,15 @@
 
 #[test]
 fn the_last_part_is_reserved_for_protected_or_small_requests() {
-    let relative_priority = |units| Demand {
+    let least_protected = |units| Demand {
         units,
         relative_priority: 1.0,
         backlogged: false,
     };
     let mut accounts = accounts();
     assert!(is_admitted(&mut accounts, at(0), urgent(600)));
-    assert!(!is_admitted(&mut accounts, at(0), relative_priority(100)));
-    assert!(is_admitted(&mut accounts, at(0), relative_priority(10)));
+    assert!(!is_admitted(&mut accounts, at(0), least_protected(100)));
+    assert!(is_admitted(&mut accounts, at(0), least_protected(10)));
     assert!(is_admitted(&mut accounts, at(0), urgent(100)));
 }
 
@@ -178,15 +178,14 @@
 /// admitted for the first 350 ms.
 #[test]
 fn a_filling_bucket_admits_unprotected_requests_at_once() {
-    let relative_priority = |units| Demand {
+    let least_protected = |units| Demand {
         units,
         relative_priority: 1.0,
         backlogged: false,
     };
     let mut accounts = accounts();
     accounts.record_start(at(0));
-    let mut admit =
-        |millis, units| is_admitted(&mut accounts, at(millis), relative_priority(units));
+    let mut admit = |millis, units| is_admitted(&mut accounts, at(millis), least_protected(units));
     assert!(!admit(200, 140));
     assert!(admit(200, 120));
     assert!(!admit(400, 200));
--- a/crates/dispatch/tests/dispatch/retry.rs
+++ b/crates/dispatch/tests/dispatch/retry.rs
@@ -56,12 +56,12 @@
 fn late_requests_are_ordered_by_their_first_attempt() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
-    let since_first_try = |millis, seconds| Job {
+    let late_job = |millis, seconds| Job {
         first_try: at(millis) - Span::from_secs(seconds),
         ..job(MODEL, 2, at(millis))
     };
-    dispatcher.enter(at(1), since_first_try(1, 2));
-    let longer = dispatcher.enter(at(2), since_first_try(2, 3));
+    dispatcher.enter(at(1), late_job(1, 2));
+    let longer = dispatcher.enter(at(2), late_job(2, 3));
     starts(&mut dispatcher);
     dispatcher.end(at(3), running, End::Whole);
     assert_eq!(starts(&mut dispatcher), [(longer, "e".to_owned())]);
