--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -30,13 +30,14 @@
 /// customers that were far below their limit.
 const STARTUP_TIME: Span = Span::from_secs(2);
 
-/// The longest wait for a bucket during that time.
+/// The longest wait for a bucket during [`STARTUP_TIME`].
 const MAX_STARTUP_WAIT: Span = Span::from_millis(300);
 
-/// The shortest wait for a bucket during that time.
+/// The shortest wait for a bucket during [`STARTUP_TIME`].
 const MIN_STARTUP_WAIT: Span = Span::from_millis(20);
 
-/// A request waits for less than this fraction of its remaining time: one fourth.
+/// During that time, a request waits for a bucket only if the wait is shorter than its
+/// remaining time divided by this.
 const STARTUP_WAIT_DIVISOR: u64 = 4;
 
 /// How long a request waits until it looks again for an owner of its quota.
@@ -72,7 +73,7 @@
         let Some(quota) = &customer.quota else {
             return Charge::Admitted;
         };
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         let number = customer.name.to_number();
         let reach = self.members.reach(now);
         let accounts = &mut self.accounts;
@@ -126,8 +127,8 @@
             number: self.next_reserve,
             customer,
             units: demand.units,
-            routine: (demand.routine * 100.0) as u8,
-            pressed: demand.pressed,
+            relative_priority: (demand.relative_priority * 100.0) as u8,
+            backlogged: demand.backlogged,
         }
     }
 
@@ -143,7 +144,7 @@
         if self.may_wait(now, denied.wait, remaining) {
             return Charge::Wait(now + denied.wait.max(MIN_STARTUP_WAIT));
         }
-        self.first_tries.note_refused(now);
+        self.first_tries.record_refused(now);
         let refusal = Refusal {
             code: Code::CustomerLimit,
             retry_after: Some(self.retry_after(now, denied.wait, remaining)),
@@ -155,7 +156,7 @@
 
     /// Answers the reservation of a node that considers this one the owner of a quota.
     pub fn reserve(&mut self, now: Time, reserve: &Reserve) -> Verdict {
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         let customer = self
             .table
             .as_ref()
@@ -165,8 +166,8 @@
         };
         let demand = Demand {
             units: reserve.units,
-            routine: f64::from(reserve.routine) / 100.0,
-            pressed: reserve.pressed,
+            relative_priority: f64::from(reserve.relative_priority) / 100.0,
+            backlogged: reserve.backlogged,
         };
         match self.grant(now, reserve.customer, &quota, demand) {
             Ok(()) => Verdict::Granted,
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -33,22 +33,22 @@
 /// The maximum number of endpoints in one status, so that it fits a datagram.
 const MAX_LOAD_ENTRIES: usize = 64;
 
-/// The maximum number of endpoint reports of one kind in a status, and in one to a node
-/// that has just joined and may know none of them. Successive statuses rotate through all
-/// reports.
-const MAX_REPORTS: usize = 16;
-const MAX_REPORTS_TO_NEWCOMER: usize = 64;
+/// The maximum number of announcements of one kind in a status, and in one to a node that
+/// has just joined and may know none of them. Successive statuses rotate through all
+/// announcements.
+const MAX_ANNOUNCEMENTS: usize = 16;
+const MAX_ANNOUNCEMENTS_TO_NEWCOMER: usize = 64;
 
-/// The number of endpoints from which on a node that can't connect to them may itself be
-/// cut off.
-const MIN_UNREACHABLE_IF_CUT_OFF: usize = 4;
+/// The number of unreachable endpoints from which on the node that reports them may itself be
+/// disconnected.
+const MIN_UNREACHABLE_IF_DISCONNECTED: usize = 4;
 
 /// What the other nodes report about one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 struct RemoteLoad {
     running: u32,
     pending: u64,
-    trouble: Reports,
+    reports: Reports,
 }
 
 /// The load that this node puts on one endpoint in slots that other nodes own and count.
@@ -67,21 +67,21 @@
         from: SocketAddrV4,
         mut status: Status,
     ) -> Reception {
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         let findings = std::mem::take(&mut status.findings);
         let rate_limits = std::mem::take(&mut status.rate_limits);
         let notices = std::mem::take(&mut status.notices);
         let quarantine = status.quarantine_digest;
         let incarnation = status.incarnation;
         let usage = status.usage.clone();
-        let news = self.members.record_status(now, from, status);
-        if news == Reception::Stale {
-            return news;
+        let reception = self.members.record_status(now, from, status);
+        if reception == Reception::Stale {
+            return reception;
         }
         let reporter = Reporter {
             address: from,
             incarnation,
-            known: news == Reception::Refreshed,
+            known: reception == Reception::Refreshed,
         };
         let reach = self.members.reach(now);
         let table = self.table.as_ref();
@@ -96,23 +96,23 @@
         self.receive_announcements(now, &notices);
         self.take_findings(now, &findings);
         self.answer_digest(now, from, quarantine);
-        news
+        reception
     }
 
-    /// Sums up the load and the trouble that other nodes report for each endpoint.
+    /// Sums up the load and the unavailability that other nodes report for each endpoint.
     pub(super) fn sum_remote_loads(&mut self, now: Time) {
         let mut sums: HashMap<u32, RemoteLoad> = HashMap::new();
         for (_, member) in self.members.live(now) {
             let loads = &member.status.loads;
-            let credible = !is_cut_off(loads);
+            let credible = !is_disconnected(loads);
             for load in loads {
                 let sum = sums.entry(load.endpoint).or_default();
                 sum.running += u32::from(load.running);
                 sum.pending += u64::from(load.pending_tokens);
                 match load.unavailability {
-                    Some(Unavailability::Gone) => sum.trouble.gone += 1,
-                    Some(Unavailability::Failing) => sum.trouble.failing += 1,
-                    Some(Unavailability::Unreachable) if credible => sum.trouble.unreachable += 1,
+                    Some(Unavailability::Gone) => sum.reports.gone += 1,
+                    Some(Unavailability::Failing) => sum.reports.failing += 1,
+                    Some(Unavailability::Unreachable) if credible => sum.reports.unreachable += 1,
                     Some(Unavailability::Unreachable) | None => {}
                 }
             }
@@ -121,19 +121,19 @@
             let sum = sums.get(&worker.number).copied().unwrap_or_default();
             worker.remote_running = sum.running;
             worker.remote_pending = sum.pending;
-            worker.remote_reports = sum.trouble;
+            worker.remote_reports = sum.reports;
         }
     }
 
     /// Returns the statuses that are due, each with the nodes to send it to. Nodes that may
     /// know few others get a longer one.
     pub fn statuses(&mut self, now: Time) -> Vec<(Status, Vec<SocketAddrV4>)> {
-        let occasion = Trigger {
+        let trigger = Trigger {
             urgent: self.urgent,
             usage_high: self.accounts.is_usage_high(now),
             new_documents: self.has_news,
         };
-        let due = self.members.take_due(now, occasion);
+        let due = self.members.take_due(now, trigger);
         if due.is_empty() {
             return Vec::new();
         }
@@ -148,8 +148,8 @@
                 .members
                 .advertised_to_established(&status.members)
                 .to_vec(),
-            rate_limits: limit_reports(&status.rate_limits),
-            notices: limit_reports(&status.notices),
+            rate_limits: limit_announcements(&status.rate_limits),
+            notices: limit_announcements(&status.notices),
             ..status.clone()
         };
         let mut statuses = vec![(to_established, established), (status, newcomers)];
@@ -167,7 +167,7 @@
             endpoints: self.list.edition(),
             data_centre: endpoint::number_of(self.options.data_centre.as_str()),
             leaving: self.leaving,
-            platform_unreachable: self.is_partitioned,
+            platform_unreachable: self.platform_unreachable,
             loads: self.loads(now),
             waiting: self.waiting(),
             usage: self.accounts.usage(now, MAX_USAGE_ENTRIES),
@@ -175,21 +175,21 @@
             quarantine_digest: self.quarantine.digest(),
             findings: self.quarantine.recent_findings(now),
             protocol: Protocol::CURRENT,
-            rate_limits: self.rotate_reports(self.rate_limits_to_announce(now)),
-            notices: self.rotate_reports(self.announcements(now)),
+            rate_limits: self.rotate_announcements(self.rate_limits_to_announce(now)),
+            notices: self.rotate_announcements(self.announcements(now)),
         }
     }
 
-    /// Limits reports to what one status holds; successive statuses rotate through all of
+    /// Limits announcements to what one status holds; successive statuses rotate through all of
     /// them.
-    fn rotate_reports<T>(&self, mut reports: Vec<T>) -> Vec<T> {
-        if reports.len() > MAX_REPORTS {
-            let turn = (self.sequence as usize).wrapping_mul(MAX_REPORTS);
-            let start = turn % reports.len();
-            reports.rotate_left(start);
-            reports.truncate(MAX_REPORTS_TO_NEWCOMER);
+    fn rotate_announcements<T>(&self, mut announcements: Vec<T>) -> Vec<T> {
+        if announcements.len() > MAX_ANNOUNCEMENTS {
+            let turn = (self.sequence as usize).wrapping_mul(MAX_ANNOUNCEMENTS);
+            let start = turn % announcements.len();
+            announcements.rotate_left(start);
+            announcements.truncate(MAX_ANNOUNCEMENTS_TO_NEWCOMER);
         }
-        reports
+        announcements
     }
 
     /// Returns the load on each endpoint, except what the owners of leased slots report.
@@ -207,7 +207,7 @@
                 endpoint: worker.number,
                 running: running.min(u32::from(u16::MAX)) as u16,
                 pending_tokens: pending.min(u64::from(u32::MAX)) as u32,
-                unavailability: worker.trouble(now, &self.options.worker),
+                unavailability: worker.unavailability_opt(now, &self.options.worker),
             }
         });
         let reported = loads.filter(|load| load.running > 0 || load.unavailability.is_some());
@@ -252,7 +252,7 @@
             .collect()
     }
 
-    /// Returns what this node has read from the platform and the asking node has not. A
+    /// Returns what this node has read from the platform and the requesting node has not. A
     /// configuration may be a hundred times as large as a list of endpoints and changes
     /// seldom. So the two are sent independently, and of each only the parts that differ.
     pub fn snapshot(&self, pull: &Pull) -> Snapshot {
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Returns what the asking node lacks of the list as the platform publishes it.
+    /// Returns what the requesting node lacks of the list as the platform publishes it.
     /// Corrections that this node keeps after an era began hold only for a while, and their
     /// end wouldn't reach the other nodes, as the platform's list has the same edition.
     fn difference(&self, pull: &Pull) -> Difference {
@@ -346,10 +346,10 @@
         }
     }
 
-    /// Tells the other nodes whether this node is cut off from the platform.
-    pub fn set_platform_unreachable(&mut self, cut_off: bool) {
-        self.urgent |= self.is_partitioned != cut_off;
-        self.is_partitioned = cut_off;
+    /// Announces to the other nodes whether this node can't reach the platform.
+    pub fn set_platform_unreachable(&mut self, unreachable: bool) {
+        self.urgent |= self.platform_unreachable != unreachable;
+        self.platform_unreachable = unreachable;
     }
 
     /// Announces to the other nodes that this node is stopping.
@@ -361,14 +361,14 @@
 }
 
 /// Whether a node fails to connect to so many endpoints that the node itself is more likely
-/// cut off than the endpoints.
-fn is_cut_off(loads: &[Load]) -> bool {
+/// disconnected than the endpoints.
+fn is_disconnected(loads: &[Load]) -> bool {
     let unreachable = |load: &&Load| load.unavailability == Some(Unavailability::Unreachable);
     let unreachable = loads.iter().filter(unreachable).count();
-    unreachable >= MIN_UNREACHABLE_IF_CUT_OFF && unreachable * 2 > loads.len()
+    unreachable >= MIN_UNREACHABLE_IF_DISCONNECTED && unreachable * 2 > loads.len()
 }
 
-/// Shortens the reports for a newcomer to those for a node that is already known.
-fn limit_reports<T: Clone>(reports: &[T]) -> Vec<T> {
-    reports[..reports.len().min(MAX_REPORTS)].to_vec()
+/// Shortens the announcements for a newcomer to those for a node that is already known.
+fn limit_announcements<T: Clone>(announcements: &[T]) -> Vec<T> {
+    announcements[..announcements.len().min(MAX_ANNOUNCEMENTS)].to_vec()
 }
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -24,7 +24,7 @@
 const NEIGHBOUR_COST_US: f64 = 50_000.0;
 
 /// The assumed cost in microseconds of two suspects starting at one endpoint: if it
-/// crashed, the cause could not be told.
+/// crashed, it would be unknown which one was the cause.
 const SUSPECT_NEIGHBOUR_COST_US: f64 = 300_000.0;
 
 /// How long after its start a request may still crash its endpoint. In the logs of
@@ -40,7 +40,7 @@
 /// times.
 const REMOTE_RESPONDERS: u64 = 16;
 
-/// The maximum number of times that the share of nodes allowed to begin a trial is
+/// The maximum number of times that the share of nodes allowed to start a trial is
 /// doubled.
 const MAX_TURN_DOUBLINGS: u64 = 16;
 
@@ -135,21 +135,21 @@
 
     /// Records that an endpoint crashed: nothing listens at its address, or the platform
     /// no longer lists it although it was not leaving.
-    pub fn note_endpoint_ended(&mut self, now: Time, endpoint: u32) {
-        for fingerprint in self.quarantine.note_ended(now, endpoint) {
-            self.note_change(now, fingerprint, Evidence::Charged);
+    pub fn record_endpoint_ended(&mut self, now: Time, endpoint: u32) {
+        for fingerprint in self.quarantine.record_ended(now, endpoint) {
+            self.record_change(now, fingerprint, Evidence::Charged);
         }
     }
 
     /// Records that an endpoint at which an attempt broke is alive.
-    pub fn note_endpoint_alive(&mut self, endpoint: u32) {
-        self.quarantine.note_alive(endpoint);
+    pub fn record_endpoint_alive(&mut self, endpoint: u32) {
+        self.quarantine.record_alive(endpoint);
     }
 
     /// Records that a request was answered completely.
-    pub(super) fn note_whole(&mut self, now: Time, fingerprint: Fingerprint) {
-        if self.quarantine.note_whole(now, fingerprint) {
-            self.note_change(now, fingerprint, Evidence::Cleared);
+    pub(super) fn record_whole(&mut self, now: Time, fingerprint: Fingerprint) {
+        if self.quarantine.record_whole(now, fingerprint) {
+            self.record_change(now, fingerprint, Evidence::Cleared);
         }
     }
 
@@ -157,12 +157,12 @@
     pub fn take_findings(&mut self, now: Time, findings: &[Finding]) {
         for finding in findings {
             if self.quarantine.merge(now, finding) {
-                self.note_change(now, finding.fingerprint, Evidence::Heard);
+                self.record_change(now, finding.fingerprint, Evidence::Heard);
             }
         }
     }
 
-    fn note_change(&mut self, now: Time, fingerprint: Fingerprint, what: Evidence) {
+    fn record_change(&mut self, now: Time, fingerprint: Fingerprint, what: Evidence) {
         let barred = self.is_barred(now, fingerprint);
         let record = self.quarantine.get(fingerprint);
         self.quarantine_changes.push(Change {
@@ -179,18 +179,19 @@
         }
     }
 
-    /// Refuses the waiting requests that are barred from now on. Those that wait on
-    /// behalf of other nodes are withdrawn by these.
+    /// Refuses the waiting requests that are barred from now on. Requests of other nodes
+    /// that wait here are cancelled by those nodes.
     fn refuse_barred(&mut self, now: Time, fingerprint: Fingerprint) {
-        let is_it = |job: &Job| job.fingerprint == fingerprint && !job.trial;
+        let matches = |job: &Job| job.fingerprint == fingerprint && !job.trial;
         let queues = self.pools.values().map(|pool| &pool.queue);
         let waiting = queues.flat_map(|queue| queue.iter());
-        let waiting = waiting.filter(|(_, job)| job.origin.is_none() && is_it(job));
-        let asked = self.open_requests.iter();
-        let asked = asked.filter(|(_, question)| question.job.as_ref().is_some_and(is_it));
+        let waiting = waiting.filter(|(_, job)| job.origin.is_none() && matches(job));
+        let requested = self.open_requests.iter();
+        let requested =
+            requested.filter(|(_, open_request)| open_request.job.as_ref().is_some_and(matches));
         let ids: Vec<job::Id> = waiting
             .map(|(id, _)| id)
-            .chain(asked.map(|(id, _)| *id))
+            .chain(requested.map(|(id, _)| *id))
             .collect();
         for id in ids {
             let target = self.targets.get(&id).cloned();
@@ -204,7 +205,7 @@
     }
 
     /// Returns the refusal if a request of this node's callers is barred. If a trial is
-    /// allowed, begins it instead.
+    /// allowed, starts it instead.
     pub(super) fn check_barred(&mut self, now: Time, job: &mut Job) -> Option<Refusal> {
         if job.trial || !self.is_barred(now, job.fingerprint) {
             return None;
@@ -213,7 +214,7 @@
             return Some(self.barred_refusal(now, job.fingerprint));
         }
         job.trial = true;
-        self.quarantine.note_trial(now, job.fingerprint);
+        self.quarantine.record_trial(now, job.fingerprint);
         let record = self.quarantine.get(job.fingerprint);
         self.quarantine_changes.push(Change {
             fingerprint: job.fingerprint,
@@ -248,7 +249,7 @@
     /// Whether this node may start a trial of a barred request: the trial is due, no node
     /// is silent that might start one as well, and it is this node's turn. Nodes are
     /// ordered by a hash of the request and their address. The first one starts, and as
-    /// long as no trial is heard of, the number of nodes allowed doubles with each turn.
+    /// long as no other node announces a trial, the number of nodes allowed doubles with each turn.
     fn may_start_trial(&self, now: Time, fingerprint: Fingerprint) -> bool {
         let Some(record) = self.quarantine.get(fingerprint) else {
             return false;
@@ -286,15 +287,16 @@
                 && now.since(run.started) < CRASH_WINDOW
                 && self.quarantine.is_suspect(run.job.fingerprint)
         });
-        let mut apart = Isolation {
+        let mut isolation = Isolation {
             is_starting: false,
             suspect_starts: HashSet::new(),
         };
         for run in begun {
-            apart.is_starting |= run.job.fingerprint == job.fingerprint && !record.was_cleared();
-            apart.suspect_starts.insert(run.worker);
+            isolation.is_starting |=
+                run.job.fingerprint == job.fingerprint && !record.was_cleared();
+            isolation.suspect_starts.insert(run.worker);
         }
-        Some(apart)
+        Some(isolation)
     }
 
     /// Sends this node's findings to a node whose digest differs.
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -39,7 +39,7 @@
             self.members.clear_loads();
         }
         self.ticked_at = now;
-        self.accounts.note_start(now);
+        self.accounts.record_start(now);
         self.members.remove_expired(now);
         self.quarantine.expire(now);
         self.expire_corrections(now);
@@ -136,7 +136,7 @@
         let outage = now.since(job.arrived).max(closed_for);
         let retry_after = self.retry_after_estimate(now, outage, job.deadline.since(now));
         Refusal {
-            code: match job.bound.is_unrestricted() {
+            code: match job.constraint.is_unrestricted() {
                 true => Code::NoEndpoint,
                 false => Code::RegionClosed,
             },
--- a/crates/dispatch/src/quota/mod.rs
+++ b/crates/dispatch/src/quota/mod.rs
@@ -89,11 +89,12 @@
 pub struct Demand {
     /// The units to charge.
     pub units: u64,
-    /// From 0 for the most protected requests to 1 for the least protected.
-    pub routine: f64,
+    /// The relative priority: from 0 for the most protected requests to 1 for the least
+    /// protected.
+    pub relative_priority: f64,
     /// Whether requests wait for the endpoints that it needs. No customer then exceeds
     /// its limit, as that would be at the cost of other customers.
-    pub pressed: bool,
+    pub backlogged: bool,
 }
 
 /// Which part of the fleet a node hears.
@@ -209,7 +210,7 @@
     /// Records when this node started; only the first call has an effect. Every entry
     /// point calls this first, as a bucket created before would count as filling since
     /// time zero.
-    pub fn note_start(&mut self, now: Time) {
+    pub fn record_start(&mut self, now: Time) {
         if self.started == Time(0) {
             self.started = now;
         }
--- a/crates/dispatch/tests/dispatch/first_try.rs
+++ b/crates/dispatch/tests/dispatch/first_try.rs
@@ -26,7 +26,10 @@
 }
 
 fn tried_ms(histogram: &Histogram, left_ms: u64) -> u64 {
-    histogram.tried_for(Span::from_millis(left_ms), TIMEOUT).0 / 1_000
+    histogram
+        .since_first_try(Span::from_millis(left_ms), TIMEOUT)
+        .0
+        / 1_000
 }
 
 #[rstest]
@@ -56,7 +59,7 @@
 #[test]
 fn nothing_is_learnt_for_a_while_after_a_refusal() {
     let mut histogram = sampled(100, 99);
-    histogram.note_refused(at(0));
+    histogram.record_refused(at(0));
     learn(&mut histogram, 4_000, 300, 70);
     assert!(tried_ms(&histogram, 9_600) > 0);
     learn(&mut histogram, 6_000, 300, 70);
--- a/crates/dispatch/tests/dispatch/quota_fleet/world.rs
+++ b/crates/dispatch/tests/dispatch/quota_fleet/world.rs
@@ -60,7 +60,7 @@
     pub admitted: Vec<(u64, u64)>,
     /// The node of each waiting request, and when it is charged again.
     pub waiting: Vec<(u8, Time)>,
-    /// The number of questions to owners.
+    /// The number of requests to owners.
     pub reservations: u64,
 }
 
@@ -192,8 +192,8 @@
     pub(super) fn request(&mut self, millis: u64, number: u8) {
         let demand = Demand {
             units: REQUEST_UNITS,
-            routine: 0.0,
-            pressed: false,
+            relative_priority: 0.0,
+            backlogged: false,
         };
         let customer = self.customer.clone();
         let index = usize::from(number);
--- a/crates/dispatch/tests/dispatch/retry.rs
+++ b/crates/dispatch/tests/dispatch/retry.rs
@@ -37,18 +37,18 @@
 #[rstest]
 #[case::still_in_time_goes_first(500, true)]
 #[case::already_late_goes_last(3_000, false)]
-fn the_queue_position_of_a_retry(#[case] tried_for: u64, #[case] goes_first: bool) {
+fn the_queue_position_of_a_retry(#[case] since_first_try: u64, #[case] goes_first: bool) {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
-    let back = Job {
-        first_try: at(1) - Span::from_millis(tried_for),
+    let retry = Job {
+        first_try: at(1) - Span::from_millis(since_first_try),
         ..job(MODEL, 2, at(1))
     };
-    let back = dispatcher.enter(at(1), back);
-    let newcomer = dispatcher.enter(at(2), job(MODEL, 2, at(2)));
+    let retry = dispatcher.enter(at(1), retry);
+    let new_request = dispatcher.enter(at(2), job(MODEL, 2, at(2)));
     starts(&mut dispatcher);
     dispatcher.end(at(3), running, End::Whole);
-    let first = if goes_first { back } else { newcomer };
+    let first = if goes_first { retry } else { new_request };
     assert_eq!(starts(&mut dispatcher), [(first, "e".to_owned())]);
 }
 
@@ -56,12 +56,12 @@
 fn late_requests_are_ordered_by_their_first_attempt() {
     let mut dispatcher = dispatcher(&[endpoint("e", MODEL, 1)]);
     let running = dispatcher.enter(at(0), job(MODEL, 2, at(0)));
-    let tried_for = |millis, seconds| Job {
+    let late_job = |millis, seconds| Job {
         first_try: at(millis) - Span::from_secs(seconds),
         ..job(MODEL, 2, at(millis))
     };
-    dispatcher.enter(at(1), tried_for(1, 2));
-    let longer = dispatcher.enter(at(2), tried_for(2, 3));
+    dispatcher.enter(at(1), late_job(1, 2));
+    let longer = dispatcher.enter(at(2), late_job(2, 3));
     starts(&mut dispatcher);
     dispatcher.end(at(3), running, End::Whole);
     assert_eq!(starts(&mut dispatcher), [(longer, "e".to_owned())]);
@@ -83,10 +83,10 @@
     assert!(!refused.is_empty());
     let most = honoured(Span::from_secs(8));
     for refusal in refused {
-        let wait = refusal.wait.expect("the wait decided it");
+        let wait = refusal.wait.expect("the refusal states a wait");
         let retry_after = refusal.retry_after.expect("there is time to come back");
         assert!(retry_after >= wait.min(most), "{retry_after} before {wait}");
-        assert!(retry_after <= most, "{retry_after} is not heeded");
+        assert!(retry_after <= most, "{retry_after} exceeds {most}");
     }
 }
 
@@ -115,6 +115,6 @@
     });
     let mut times: Vec<Span> = times.collect();
     times.sort();
-    let apart = Span(times[19].0 - times[0].0);
-    assert!(apart >= Span(honoured(left).0 / 2), "{apart}");
+    let spread = Span(times[19].0 - times[0].0);
+    assert!(spread >= Span(honoured(left).0 / 2), "{spread}");
 }
--- a/crates/dispatch/tests/dispatch/support.rs
+++ b/crates/dispatch/tests/dispatch/support.rs
@@ -81,21 +81,21 @@
     let snapshot = from.snapshot(&pull);
     let frames: Vec<Frame> = snapshot.into_frames().collect();
     let written = frames.iter().map(wire::frame_to_bytes);
-    let bytes = written.map(|bytes| bytes.expect("it can be written").len());
+    let bytes = written.map(|bytes| bytes.expect("encodes").len());
     let bytes = bytes.sum();
-    let mut head = None;
+    let mut manifest = None;
     for frame in frames {
         match frame {
             Frame::Busy => unreachable!("nobody declines here"),
             Frame::Endpoints(difference) => {
                 to.set_endpoints(at(1), Arc::new(difference.into_list(&base)));
             }
-            Frame::Manifest(newer) => head = Some(newer),
+            Frame::Manifest(newer) => manifest = Some(newer),
             Frame::Part(part) => to.add_part(part),
         }
     }
-    if let Some(head) = head {
-        to.receive_manifest(at(1), &head);
+    if let Some(manifest) = manifest {
+        to.receive_manifest(at(1), &manifest);
     }
     bytes
 }
@@ -124,7 +124,7 @@
         kind,
         timeout: Span::from_secs(8),
         objective: Span::from_secs(1),
-        patience: Span::from_secs(8),
+        caller_timeout: Span::from_secs(8),
         pause: None,
         attempts: 2,
         priority,
@@ -203,7 +203,7 @@
         first_try: arrived,
         deadline: arrived + Span::from_secs(8),
         objective: Span::from_secs(1),
-        patience: Span::from_secs(8),
+        caller_timeout: Span::from_secs(8),
         pause: None,
         prompt: Prompt::default(),
         history: History::default(),
@@ -211,7 +211,7 @@
         only_endpoint: None,
         avoided: Vec::new(),
         trial: false,
-        bound: Constraint::default(),
+        constraint: Constraint::default(),
     }
 }
 
--- a/crates/dispatch/tests/dispatch/wire/samples.rs
+++ b/crates/dispatch/tests/dispatch/wire/samples.rs
@@ -112,7 +112,10 @@
         quarantine_digest: 0x1234,
         findings: vec![finding()],
         protocol: Protocol::CURRENT,
-        rate_limits: vec![told(5, Some("2.75")), told(6, None)],
+        rate_limits: vec![
+            limit_announcement(5, Some("2.75")),
+            limit_announcement(6, None),
+        ],
         notices: vec![
             notice(7, Condition::Leaving),
             notice(8, Condition::Rest { left_ms: 2_500 }),
@@ -127,7 +130,7 @@
     }
 }
 
-fn told(endpoint: u32, limit: Option<&str>) -> rate_limit::Announcement {
+fn limit_announcement(endpoint: u32, limit: Option<&str>) -> rate_limit::Announcement {
     rate_limit::Announcement {
         endpoint,
         limit: limit.map(to_limit),
@@ -155,11 +158,11 @@
         endpoint: Some(3),
         spare: true,
         rank: rank(),
-        tried_for: Span::from_millis(10),
+        since_first_try: Span::from_millis(10),
         age: Span::from_millis(20),
         time_limit: Span::from_millis(4_000),
         objective: Span::from_millis(800),
-        patience: Span::from_millis(3_200),
+        caller_timeout: Span::from_millis(3_200),
         pause: Some(Span::from_millis(600)),
         prompt: Prompt {
             tokens: 1_460,
@@ -222,8 +225,8 @@
         number: 4,
         customer: 99,
         units: 1_500,
-        routine: 50,
-        pressed: true,
+        relative_priority: 50,
+        backlogged: true,
     };
     let release = Release {
         customer: 99,
@@ -304,7 +307,7 @@
             kind: Kind::Stream,
             timeout: Span::from_secs(4),
             objective: Span::from_millis(800),
-            patience: Span::from_secs(4),
+            caller_timeout: Span::from_secs(4),
             pause: Some(Span::from_millis(600)),
             attempts: 2,
             priority: 1,
@@ -341,7 +344,7 @@
     }
 }
 
-/// Returns every question for documents, by name.
+/// Returns every request for documents, by name.
 pub fn pulls() -> Vec<(&'static str, Pull)> {
     let held = vec![parts::Part::default().to_digest()];
     let known = Versions {
--- a/crates/gateway/src/upstream/probe.rs
+++ b/crates/gateway/src/upstream/probe.rs
@@ -52,10 +52,10 @@
         shell.upstream.probing.borrow_mut().remove(&number);
         match liveness {
             Liveness::Ended => {
-                shell.command(|dispatcher, now| dispatcher.note_endpoint_ended(now, number));
+                shell.command(|dispatcher, now| dispatcher.record_endpoint_ended(now, number));
             }
             Liveness::Alive => {
-                shell.command(|dispatcher, _| dispatcher.note_endpoint_alive(number))
+                shell.command(|dispatcher, _| dispatcher.record_endpoint_alive(number))
             }
             Liveness::Unknown => {}
         }
