--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -114,8 +114,8 @@
         self.charged_by = charge::charge(&shell, &self.admitted, self.units).await?;
         let caller_timeout = self.admitted.caller_deadline.since(self.admitted.arrived);
         let timeout = self.admitted.route.timeout;
-        let since_first_try =
-            shell.command(|dispatcher, now| dispatcher.since_first_try(now, caller_timeout, timeout));
+        let since_first_try = shell
+            .command(|dispatcher, now| dispatcher.since_first_try(now, caller_timeout, timeout));
         let fingerprint = fingerprint::of(&self.admitted, &self.head, self.payload.as_ref());
         let job = self
             .admitted
