--- a/crates/bench/src/bin/availability.rs
+++ b/crates/bench/src/bin/availability.rs
@@ -72,7 +72,7 @@
     match way {
         Way::Owner => {
             let random = world.rng().random();
-            Some(id::Request(id::to_v7(world.now(), random)).to_string())
+            Some(id::Request(id::new_v7(world.now(), random)).to_string())
         }
         Way::Ticket => {
             let node = ready(world)?;
--- a/crates/bench/src/bin/state.rs
+++ b/crates/bench/src/bin/state.rs
@@ -169,7 +169,7 @@
     let held = sample::document();
     let start = Instant::now();
     let intent = "[[customers]]\nname = \"customer-2\"\nlimit = \"7/s\"\n";
-    plan::make(&held, intent).map_err(|faults| anyhow::anyhow!("{faults}"))?;
+    plan::build(&held, intent).map_err(|faults| anyhow::anyhow!("{faults}"))?;
     println!(
         "a plan over five customers: {} us",
         start.elapsed().as_micros()
--- a/crates/body/src/lib.rs
+++ b/crates/body/src/lib.rs
@@ -13,25 +13,25 @@
 
 /// How long and how slow a body may be.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct Limits {
     /// Longest body, in bytes.
-    pub length: usize,
+    pub max_bytes: usize,
     /// Longest pause before each piece.
-    pub pause: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Reads a body to its end.
 ///
 /// # Errors
 /// Where it breaks off, is too long, or nothing comes within the pause.
-pub async fn collect<B>(mut body: B, bounds: Bounds) -> anyhow::Result<Bytes>
+pub async fn collect<B>(mut body: B, limits: Limits) -> anyhow::Result<Bytes>
 where
     B: Body<Data = Bytes> + Unpin,
     B::Error: std::error::Error + Send + Sync + 'static,
 {
     let mut whole = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(bounds.pause, body.frame()).await;
+        let frame = tokio::time::timeout(limits.idle_timeout, body.frame()).await;
         let frame =
             frame.map_err(|_| anyhow::anyhow!("the answer stopped after {} bytes", whole.len()))?;
         let Some(frame) = frame.transpose()? else {
@@ -43,9 +43,9 @@
         };
         whole.extend_from_slice(&piece);
         anyhow::ensure!(
-            whole.len() <= bounds.length,
+            whole.len() <= limits.max_bytes,
             "an answer of over {} bytes",
-            bounds.length
+            limits.max_bytes
         );
     }
 }
--- a/crates/body/tests/body/main.rs
+++ b/crates/body/tests/body/main.rs
@@ -8,7 +8,7 @@
 use http_body_util::StreamBody;
 use hyper::body::Frame;
 use rstest::rstest;
-use woadstage_body::Bounds;
+use woadstage_body::Limits;
 use woadstage_body::collect;
 
 /// What the body does after a pause in milliseconds.
@@ -18,9 +18,9 @@
     Break(u64),
 }
 
-const BOUNDS: Bounds = Bounds {
-    length: 64,
-    pause: Duration::from_millis(1_000),
+const LIMITS: Limits = Limits {
+    max_bytes: 64,
+    idle_timeout: Duration::from_millis(1_000),
 };
 
 async fn read(steps: Vec<Step>) -> anyhow::Result<usize> {
@@ -33,7 +33,7 @@
         }
     });
     let body = StreamBody::new(Box::pin(frames));
-    Ok(collect(body, BOUNDS).await?.len())
+    Ok(collect(body, LIMITS).await?.len())
 }
 
 macro_rules! bodies {
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -49,11 +49,11 @@
 impl Clock {
     /// Starts counting.
     pub fn start() -> Clock {
-        Clock::reading(since_boot)
+        Clock::from_source(since_boot)
     }
 
     /// Starts counting by another clock, as for a test that suspends its host.
-    pub fn reading(read: impl Fn() -> Duration + 'static) -> Clock {
+    pub fn from_source(read: impl Fn() -> Duration + 'static) -> Clock {
         Clock {
             start: read(),
             read: Rc::new(read),
--- a/crates/clock/tests/clock/main.rs
+++ b/crates/clock/tests/clock/main.rs
@@ -16,7 +16,7 @@
 fn suspendable() -> (Clock, Rc<Cell<Duration>>) {
     let suspended = Rc::new(Cell::new(Duration::ZERO));
     let (start, counted) = (Instant::now(), suspended.clone());
-    let clock = Clock::reading(move || start.elapsed() + counted.get());
+    let clock = Clock::from_source(move || start.elapsed() + counted.get());
     (clock, suspended)
 }
 
@@ -32,7 +32,7 @@
 fn a_suspension_counts_and_is_told() {
     let suspended = Rc::new(Cell::new(Duration::ZERO));
     let counted = suspended.clone();
-    let clock = Clock::reading(move || since_boot() + counted.get());
+    let clock = Clock::from_source(move || since_boot() + counted.get());
     suspended.set(Duration::from_secs(7));
     assert!(clock.elapsed() >= Duration::from_secs(7));
     let told = clock.suspended();
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// The path of the field, such as `classes.recap.tier`.
-    pub place: String,
+    pub path: String,
     /// The numbered result code.
     pub code: Code,
     /// What to do about it.
-    pub mend: String,
+    pub remedy: String,
 }
 
 impl fmt::Display for Fault {
@@ -21,9 +21,9 @@
             f,
             "{} {}: {} {}",
             self.code,
-            self.place,
+            self.path,
             self.code.text(),
-            self.mend
+            self.remedy
         )
     }
 }
@@ -34,11 +34,11 @@
 
 impl Faults {
     /// Notes one fault.
-    pub fn add(&mut self, place: &str, code: Code, mend: impl Into<String>) {
+    pub fn add(&mut self, path: &str, code: Code, remedy: impl Into<String>) {
         self.0.push(Fault {
-            place: place.into(),
+            path: path.into(),
             code,
-            mend: mend.into(),
+            remedy: remedy.into(),
         });
     }
 
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// Its path, such as `classes.recap`.
-    pub place: String,
+    pub path: String,
     /// The value in force, if any.
     pub from: Option<String>,
     /// The value after confirming, if any.
@@ -35,7 +35,7 @@
 }
 
 /// Makes the plan for `intent` over `in_force`, a whole document or nothing.
-pub fn make(in_force: &str, intent: &str) -> Result<Plan, Faults> {
+pub fn build(in_force: &str, intent: &str) -> Result<Plan, Faults> {
     let (base, body) = match in_force.is_empty() {
         true => (Confirmation::default(), Table::new()),
         false => {
@@ -65,9 +65,9 @@
         .map_err(|error: toml::de::Error| invalid("file", error.to_string()))
 }
 
-fn invalid(place: &str, mend: impl Into<String>) -> Faults {
+fn invalid(path: &str, remedy: impl Into<String>) -> Faults {
     let mut faults = Faults::default();
-    faults.add(place, Code::IntentInvalid, mend);
+    faults.add(path, Code::IntentInvalid, remedy);
     faults
 }
 
@@ -96,8 +96,8 @@
 }
 
 fn lay_item(items: &mut Vec<Value>, item: Value) {
-    let place = items.iter().position(|old| name_of(old) == name_of(&item));
-    let Some(Value::Table(old)) = place.map(|at| &mut items[at]) else {
+    let index = items.iter().position(|old| name_of(old) == name_of(&item));
+    let Some(Value::Table(old)) = index.map(|at| &mut items[at]) else {
         items.push(item);
         return;
     };
@@ -113,11 +113,11 @@
         .get_mut(field)
         .and_then(Value::as_array_mut)
         .ok_or_else(unknown)?;
-    let place = items
+    let index = items
         .iter()
         .position(|item| name_of(item) == Some(name))
         .ok_or_else(unknown)?;
-    items.remove(place);
+    items.remove(index);
     Ok(())
 }
 
@@ -142,24 +142,20 @@
 fn compare(before: &Table, after: &Table) -> Vec<Change> {
     let before = flatten(before);
     let after = flatten(after);
-    let find = |all: &[(String, String)], place: &str| {
+    let find = |all: &[(String, String)], path: &str| {
         all.iter()
-            .find(|(at, _)| at == place)
+            .find(|(at, _)| at == path)
             .map(|(_, text)| text.clone())
     };
-    let mut places: Vec<&String> = before
-        .iter()
-        .chain(&after)
-        .map(|(place, _)| place)
-        .collect();
-    places.sort();
-    places.dedup();
-    let change = |place: &String| Change {
-        place: place.clone(),
-        from: find(&before, place),
-        to: find(&after, place),
+    let mut paths: Vec<&String> = before.iter().chain(&after).map(|(path, _)| path).collect();
+    paths.sort();
+    paths.dedup();
+    let change = |path: &String| Change {
+        path: path.clone(),
+        from: find(&before, path),
+        to: find(&after, path),
     };
-    places
+    paths
         .into_iter()
         .map(change)
         .filter(|change| change.from != change.to)
--- a/crates/config/src/published/mod.rs
+++ b/crates/config/src/published/mod.rs
@@ -20,7 +20,7 @@
 pub use parse::parse_body;
 
 /// Largest document, as the platform holds values up to a megabyte.
-pub const DOCUMENT_LIMIT: usize = 1 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
 /// A tier's place in the order of protection: 0 is shed last.
 pub type Tier = u8;
@@ -146,7 +146,7 @@
     }
 
     /// The share of slots kept from `tier` at `now`, in percent.
-    pub fn reserve(&self, tier: Tier, now: Time) -> u32 {
+    pub fn reserved_percent(&self, tier: Tier, now: Time) -> u32 {
         let lasting = self
             .events
             .iter()
--- a/crates/config/src/published/parse.rs
+++ b/crates/config/src/published/parse.rs
@@ -14,9 +14,9 @@
 use super::Class;
 use super::Config;
 use super::Customer;
-use super::DOCUMENT_LIMIT;
 use super::Event;
 use super::Kind;
+use super::MAX_DOCUMENT_BYTES;
 use super::Target;
 use super::Tier;
 use super::confirm;
@@ -26,7 +26,7 @@
 /// Parses a whole document and checks its confirmation.
 pub fn parse(text: &str) -> Result<Config, Faults> {
     let mut faults = Faults::default();
-    if text.len() > DOCUMENT_LIMIT {
+    if text.len() > MAX_DOCUMENT_BYTES {
         faults.add(
             "file",
             Code::DocumentTooLarge,
@@ -47,7 +47,7 @@
     let mut reader = Reader::parse(body)?;
     let tiers: Vec<Arc<str>> = reader.take("tiers");
     if tiers.is_empty() || tiers.len() > usize::from(Tier::MAX) {
-        reader.fault(
+        reader.add_fault(
             "tiers",
             Code::SettingsValue,
             "Name between 1 and 255 tiers.",
@@ -56,13 +56,13 @@
     let mut faults = Faults::default();
     let mut targets = HashMap::new();
     for (field, kind) in [("models", Kind::Model), ("services", Kind::Service)] {
-        for (name, sub) in reader.named(field) {
+        for (name, sub) in reader.take_named_tables(field) {
             let target = target(&name, kind, sub, &mut faults);
             targets.insert(target.name.clone(), Arc::new(target));
         }
     }
     let mut classes = HashMap::new();
-    for (name, sub) in reader.named("classes") {
+    for (name, sub) in reader.take_named_tables("classes") {
         let class = class(&name, sub, &tiers, &targets, &mut faults);
         classes.insert(class.name.clone(), Arc::new(class));
     }
@@ -78,7 +78,7 @@
         }
     }
     let mut customers = HashMap::new();
-    for (name, sub) in reader.named("customers") {
+    for (name, sub) in reader.take_named_tables("customers") {
         let (token, customer) = customer(&name, sub, &classes, &mut faults);
         if customers.insert(token, Arc::new(customer)).is_some() {
             let place = format!("customers.{name}.token_sha256");
@@ -90,7 +90,7 @@
         }
     }
     let mut events = Vec::new();
-    for (name, sub) in reader.named("events") {
+    for (name, sub) in reader.take_named_tables("events") {
         events.push(event(&name, sub, &tiers, &mut faults));
     }
     let mut all = reader.finish();
@@ -111,7 +111,7 @@
     match tiers.iter().position(|tier| **tier == *name) {
         Some(index) => index as Tier,
         None => {
-            sub.fault(field, Code::NameUnknown, "Name one of `tiers`.");
+            sub.add_fault(field, Code::NameUnknown, "Name one of `tiers`.");
             0
         }
     }
@@ -139,17 +139,17 @@
         priority: sub.take_or("priority", false),
     };
     if found.slots == 0 || found.slots > 4_096 {
-        sub.fault(
+        sub.add_fault(
             "slots",
             Code::SettingsValue,
             "Give a number from 1 to 4096.",
         );
     }
     if found.prefill.0 == 0 {
-        sub.fault("prefill", Code::SettingsValue, "Give a rate above zero.");
+        sub.add_fault("prefill", Code::SettingsValue, "Give a rate above zero.");
     }
     if found.step == Span::ZERO {
-        sub.fault("step", Code::SettingsValue, "Give a time above zero.");
+        sub.add_fault("step", Code::SettingsValue, "Give a time above zero.");
     }
     end(sub, faults);
     found
@@ -172,14 +172,14 @@
         output: sub.take_or("output", Tokens(64)),
     };
     if !targets.contains_key(&found.target) {
-        sub.fault(
+        sub.add_fault(
             "target",
             Code::NameUnknown,
             "Name a declared model or service.",
         );
     }
     if found.timeout == Span::ZERO {
-        sub.fault("timeout", Code::SettingsValue, "Give a time above zero.");
+        sub.add_fault("timeout", Code::SettingsValue, "Give a time above zero.");
     }
     end(sub, faults);
     found
@@ -195,7 +195,7 @@
     let allowed: Option<Vec<id::Class>> = sub.take_opt("classes");
     for class in allowed.iter().flatten() {
         if !classes.contains_key(class) {
-            sub.fault(
+            sub.add_fault(
                 "classes",
                 Code::NameUnknown,
                 format!("Declare \"{class}\" or drop it."),
@@ -209,7 +209,7 @@
         classes: allowed,
     };
     if found.weight == 0 || found.limit.0 == 0 {
-        sub.fault(
+        sub.add_fault(
             "weight",
             Code::SettingsValue,
             "Give weight and limit above zero.",
@@ -233,7 +233,7 @@
         Some(digits) => bytes.copy_from_slice(&digits),
         None => {
             let mend = "Give the SHA-256 of the bearer token as 64 hex digits.";
-            sub.fault("token_sha256", Code::SettingsValue, mend);
+            sub.add_fault("token_sha256", Code::SettingsValue, mend);
         }
     }
     bytes
@@ -243,7 +243,7 @@
     let start = time(&mut sub, "start");
     let end_time = time(&mut sub, "end");
     if end_time <= start {
-        sub.fault(
+        sub.add_fault(
             "end",
             Code::SettingsValue,
             "Let the event end after its start.",
@@ -257,7 +257,7 @@
         reserve: sub.take_or("reserve", 25),
     };
     if found.reserve > 90 {
-        sub.fault(
+        sub.add_fault(
             "reserve",
             Code::SettingsValue,
             "Reserve at most 90 in a hundred.",
@@ -272,7 +272,7 @@
         Some(time) => time,
         None => {
             let mend = "Give a UTC time such as 2026-12-04T17:00:00Z.";
-            sub.fault(field, Code::SettingsValue, mend);
+            sub.add_fault(field, Code::SettingsValue, mend);
             Time(0)
         }
     }
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Reader {
     table: Table,
-    place: String,
+    path: String,
     /// What was found wrong so far.
     pub faults: Faults,
 }
@@ -36,26 +36,26 @@
         }
     }
 
-    fn new(table: Table, place: String) -> Reader {
+    fn new(table: Table, path: String) -> Reader {
         Reader {
             table,
-            place,
+            path,
             faults: Faults::default(),
         }
     }
 
     /// The path of a field of this table.
-    pub fn at(&self, field: &str) -> String {
-        match self.place.as_str() {
+    pub fn path_of(&self, field: &str) -> String {
+        match self.path.as_str() {
             "" => field.into(),
-            place => format!("{place}.{field}"),
+            path => format!("{path}.{field}"),
         }
     }
 
     /// Notes a fault at a field of this table.
-    pub fn fault(&mut self, field: &str, code: Code, mend: impl Into<String>) {
-        let place = self.at(field);
-        self.faults.add(&place, code, mend);
+    pub fn add_fault(&mut self, field: &str, code: Code, remedy: impl Into<String>) {
+        let path = self.path_of(field);
+        self.faults.add(&path, code, remedy);
     }
 
     /// Takes a field, or none with no fault where it is absent.
@@ -64,8 +64,8 @@
         match value.try_into() {
             Ok(value) => Some(value),
             Err(error) => {
-                let mend = format!("Mend the value: {}.", error.to_string().trim());
-                self.fault(field, Code::SettingsValue, mend);
+                let remedy = format!("Mend the value: {}.", error.to_string().trim());
+                self.add_fault(field, Code::SettingsValue, remedy);
                 None
             }
         }
@@ -79,7 +79,7 @@
     /// Takes a field that must be there; its absence is a fault.
     pub fn take<T: DeserializeOwned + Default>(&mut self, field: &str) -> T {
         if !self.table.contains_key(field) {
-            self.fault(
+            self.add_fault(
                 field,
                 Code::SettingsValue,
                 "Give this field; it has no default.",
@@ -89,29 +89,25 @@
     }
 
     /// Takes a table within this one; an absent one reads as empty.
-    pub fn sub(&mut self, field: &str) -> Reader {
-        let place = self.at(field);
+    pub fn take_table(&mut self, field: &str) -> Reader {
+        let path = self.path_of(field);
         match self.table.remove(field) {
-            Some(Value::Table(table)) => Reader::new(table, place),
-            None => Reader::new(Table::new(), place),
+            Some(Value::Table(table)) => Reader::new(table, path),
+            None => Reader::new(Table::new(), path),
             Some(_) => {
-                self.fault(
-                    field,
-                    Code::SettingsValue,
-                    format!("Write it as [{place}]."),
-                );
-                Reader::new(Table::new(), place)
+                self.add_fault(field, Code::SettingsValue, format!("Write it as [{path}]."));
+                Reader::new(Table::new(), path)
             }
         }
     }
 
     /// Takes an array of named tables, each with its name.
-    pub fn named(&mut self, field: &str) -> Vec<(String, Reader)> {
+    pub fn take_named_tables(&mut self, field: &str) -> Vec<(String, Reader)> {
         let Some(value) = self.table.remove(field) else {
             return Vec::new();
         };
         let Value::Array(items) = value else {
-            self.fault(
+            self.add_fault(
                 field,
                 Code::SettingsValue,
                 format!("Write each as [[{field}]]."),
@@ -122,18 +118,18 @@
         let mut names = HashSet::new();
         for (index, item) in items.into_iter().enumerate() {
             let Value::Table(table) = item else {
-                self.fault(
+                self.add_fault(
                     field,
                     Code::SettingsValue,
                     format!("Write each as [[{field}]]."),
                 );
                 continue;
             };
-            let mut sub = Reader::new(table, format!("{}.{index}", self.at(field)));
+            let mut sub = Reader::new(table, format!("{}.{index}", self.path_of(field)));
             let name: String = sub.take("name");
-            sub.place = format!("{}.{name}", self.at(field));
+            sub.path = format!("{}.{name}", self.path_of(field));
             if !names.insert(name.clone()) {
-                sub.fault("name", Code::NameTwice, "Rename or remove one of the two.");
+                sub.add_fault("name", Code::NameTwice, "Rename or remove one of the two.");
             }
             found.push((name, sub));
         }
@@ -144,7 +140,7 @@
     pub fn finish(mut self) -> Faults {
         let left: Vec<String> = self.table.keys().cloned().collect();
         for field in left {
-            self.fault(
+            self.add_fault(
                 &field,
                 Code::SettingsValue,
                 "Remove it: there is no such field here.",
--- a/crates/config/src/settings/parse.rs
+++ b/crates/config/src/settings/parse.rs
@@ -28,11 +28,11 @@
 /// Parses the settings of one node.
 pub fn parse(text: &str) -> Result<Settings, Faults> {
     let mut reader = Reader::parse(text)?;
-    let mut node = reader.sub("node");
-    let mut listen = reader.sub("listen");
-    let mut platform = reader.sub("platform");
-    let mut identity = reader.sub("identity");
-    let mut limits = reader.sub("limits");
+    let mut node = reader.take_table("node");
+    let mut listen = reader.take_table("listen");
+    let mut platform = reader.take_table("platform");
+    let mut identity = reader.take_table("identity");
+    let mut limits = reader.take_table("limits");
     let settings = Settings {
         host: id::Host::new(&name(&mut node, "host")),
         data_centre: id::DataCentre::new(&name(&mut node, "data_centre")),
@@ -51,14 +51,14 @@
         limits: read_limits(&mut limits),
     };
     if settings.heartbeat < Span::from_millis(10) || settings.heartbeat > Span::from_secs(5) {
-        node.fault(
+        node.add_fault(
             "heartbeat",
             Code::SettingsValue,
             "Give a time from 10ms to 5s.",
         );
     }
     if settings.platform_wait < WAIT_LEAST || settings.platform_wait > WAIT_MOST {
-        platform.fault("wait", Code::SettingsValue, "Give a time from 1s to 30s.");
+        platform.add_fault("wait", Code::SettingsValue, "Give a time from 1s to 30s.");
     }
     let mut faults = reader.finish();
     for sub in [node, listen, platform, identity, limits] {
@@ -70,7 +70,7 @@
 fn name(sub: &mut Reader, field: &str) -> String {
     let text: String = sub.take(field);
     if text.is_empty() {
-        sub.fault(field, Code::SettingsValue, "Give a name.");
+        sub.add_fault(field, Code::SettingsValue, "Give a name.");
     }
     text
 }
@@ -80,7 +80,7 @@
     match text.parse() {
         Ok(address) => address,
         Err(_) => {
-            sub.fault(
+            sub.add_fault(
                 field,
                 Code::SettingsValue,
                 "Give an address such as \"10.0.0.1:8080\".",
@@ -101,10 +101,10 @@
     };
     if found.bodies < found.body || found.bodies > BODIES_MOST {
         let mend = "Give at least the size of one body and at most 1024MiB.";
-        sub.fault("bodies", Code::SettingsValue, mend);
+        sub.add_fault("bodies", Code::SettingsValue, mend);
     }
     if found.requests == 0 {
-        sub.fault("requests", Code::SettingsValue, "Give a number above zero.");
+        sub.add_fault("requests", Code::SettingsValue, "Give a number above zero.");
     }
     found
 }
--- a/crates/config/tests/config/main.rs
+++ b/crates/config/tests/config/main.rs
@@ -35,7 +35,7 @@
     faults
         .0
         .iter()
-        .map(|fault| (fault.place.as_str(), fault.code))
+        .map(|fault| (fault.path.as_str(), fault.code))
         .collect()
 }
 
@@ -101,8 +101,8 @@
 
     a_plan_changes_what_the_intent_names_and_nothing_else => {
         let intent = "[[customers]]\nname = \"customer-2\"\nlimit = \"7/s\"\n";
-        let plan = plan::make(&sample::document(), intent).expect("a plan");
-        let places: Vec<&str> = plan.changes.iter().map(|change| change.place.as_str()).collect();
+        let plan = plan::build(&sample::document(), intent).expect("a plan");
+        let places: Vec<&str> = plan.changes.iter().map(|change| change.path.as_str()).collect();
         assert_eq!(places, ["customers.customer-2"]);
         let before = published::parse(&sample::document()).expect("no faults");
         let after = published::parse(&plan.document).expect("no faults");
@@ -123,28 +123,28 @@
     };
 
     an_intent_removes_what_it_names => {
-        let plan = plan::make(&sample::document(), "remove = [\"classes.booking\"]");
+        let plan = plan::build(&sample::document(), "remove = [\"classes.booking\"]");
         let faults = plan.expect_err("a service would be left without its class");
         assert_eq!(places(&faults)[0].1, Code::NameUnknown);
         let both = "remove = [\"classes.booking\", \"services.ledger\"]";
-        let plan = plan::make(&sample::document(), both).expect("a plan");
+        let plan = plan::build(&sample::document(), both).expect("a plan");
         assert_eq!(plan.changes.len(), 2);
-        let none = plan::make(&sample::document(), "remove = [\"classes.other\"]");
+        let none = plan::build(&sample::document(), "remove = [\"classes.other\"]");
         assert_eq!(places(&none.expect_err("faults"))[0].1, Code::IntentInvalid);
     };
 
     a_first_plan_needs_no_base => {
         let body = format!("{}{}", sample::ROSTER, sample::customers());
-        let plan = plan::make("", &body).expect("a plan");
+        let plan = plan::build("", &body).expect("a plan");
         assert_eq!(plan.confirmation.revision, 1);
     };
 
     an_event_keeps_a_reserve_while_it_lasts => {
         let intent = "[[events]]\nname = \"call-out\"\nstart = 1970-01-01T00:01:40Z\nend = 1970-01-01T02:03:20+02:00\nprotect = \"rescue\"\nreserve = 30\n";
-        let plan = plan::make(&sample::document(), intent).expect("a plan");
+        let plan = plan::build(&sample::document(), intent).expect("a plan");
         let config = published::parse(&plan.document).expect("no faults");
         let at = |secs: u64| Time(secs * 1_000_000);
-        let reserves = |secs| (0..3).map(|tier| config.reserve(tier, at(secs))).collect::<Vec<_>>();
+        let reserves = |secs| (0..3).map(|tier| config.reserved_percent(tier, at(secs))).collect::<Vec<_>>();
         assert_eq!(reserves(99), [0, 0, 0]);
         assert_eq!(reserves(100), [0, 30, 30]);
         assert_eq!(reserves(200), [0, 0, 0]);
@@ -172,6 +172,6 @@
         let _ = settings::parse(&text);
         let _ = published::parse(&text);
         let _ = published::parse_body(&text);
-        let _ = plan::make(&sample::document(), &text);
+        let _ = plan::build(&sample::document(), &text);
     }
 }
--- a/crates/core/src/ledger/claim.rs
+++ b/crates/core/src/ledger/claim.rs
@@ -102,7 +102,7 @@
 
     fn take_plain(&mut self, now: Time, text: &str, by: Use) -> Option<Code> {
         if !by.endpoint_checks {
-            let Some(born) = id::try_birth(text) else {
+            let Some(born) = id::v7_timestamp_opt(text) else {
                 return Some(Code::TicketNeeded);
             };
             let known = born > self.plain_floor + CLOCKS_DIFFER;
@@ -123,7 +123,7 @@
         let Some((text, customer)) = self.plain.pop_front() else {
             return;
         };
-        let born = id::try_birth(&text).unwrap_or(Time(0));
+        let born = id::v7_timestamp_opt(&text).unwrap_or(Time(0));
         self.plain_floor = self.plain_floor.max(born);
         self.forget_ended(&Key::Plain(customer, text));
     }
--- a/crates/core/src/node/arrive.rs
+++ b/crates/core/src/node/arrive.rs
@@ -32,7 +32,7 @@
 impl Refusal {
     /// The refusal that a code means by itself.
     pub fn new(code: Code) -> Refusal {
-        let retry_after = code.mends().then_some(SOON);
+        let retry_after = code.is_transient().then_some(SOON);
         Refusal {
             code,
             outcome: code.outcome(),
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/ask.rs
@@ -370,7 +370,7 @@
 
     /// Code and outcome of a refusal that a holder sent.
     pub(super) fn to_refusal(code: Code, retry_after: Span) -> Refusal {
-        let retry_after = code.mends().then_some(retry_after);
+        let retry_after = code.is_transient().then_some(retry_after);
         Refusal {
             retry_after,
             ..Refusal::new(code)
--- a/crates/core/src/node/platform.rs
+++ b/crates/core/src/node/platform.rs
@@ -173,7 +173,7 @@
         };
         let tiers = 0..document.config.tiers.len() as u8;
         tiers
-            .map(|tier| document.config.reserve(tier, now))
+            .map(|tier| document.config.reserved_percent(tier, now))
             .collect()
     }
 
--- a/crates/core/tests/core/at_most_once.rs
+++ b/crates/core/tests/core/at_most_once.rs
@@ -279,7 +279,7 @@
     a_cut_doubles_owned_plain_keys_and_not_tickets => {
         let fresh = |world: &mut World| {
             let born = world.now() + Span::from_secs(4) + Span::from_millis(400);
-            uuid::Uuid::from_u128(id::to_v7(born, 5)).to_string()
+            uuid::Uuid::from_u128(id::new_v7(born, 5)).to_string()
         };
         let named = |world: &mut World| ticket(world, 0).expect("a ticket");
         // The hole that `plain_keys` opens, named in docs/PROMISES.md.
--- a/crates/core/tests/core/document.rs
+++ b/crates/core/tests/core/document.rs
@@ -17,7 +17,7 @@
 
 fn next(base: &str, limit: u64) -> Arc<str> {
     let intent = format!("[[customers]]\nname = \"customer-1\"\nlimit = \"{limit}/s\"\n");
-    plan::make(base, &intent).expect("a plan").document.into()
+    plan::build(base, &intent).expect("a plan").document.into()
 }
 
 fn revisions(world: &World) -> Vec<u64> {
--- a/crates/core/tests/core/ledger.rs
+++ b/crates/core/tests/core/ledger.rs
@@ -34,7 +34,7 @@
 }
 
 fn plain(born: Time) -> Key {
-    let text = uuid::Uuid::from_u128(id::to_v7(born, 5)).to_string();
+    let text = uuid::Uuid::from_u128(id::new_v7(born, 5)).to_string();
     Key::Plain(7, text)
 }
 
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -71,7 +71,7 @@
 
     fn from_str(text: &str) -> Result<Limit, unit::Error> {
         let expected = "requests a second such as \"2.75\"";
-        let per_second = unit::parse_from_zero(text, expected)?;
+        let per_second = unit::parse_non_negative(text, expected)?;
         // A value that cannot be represented saturates, which limits nothing.
         Ok(Limit((per_second * STEPS_PER_REQUEST) as u32))
     }
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/rest.rs
@@ -41,7 +41,7 @@
 /// # Errors
 /// Fails if the text is not a non-negative number, such as a date.
 pub fn parse(text: &str) -> Result<Span, unit::Error> {
-    let seconds = unit::parse_from_zero(text, "seconds such as \"2.5\"")?;
+    let seconds = unit::parse_non_negative(text, "seconds such as \"2.5\"")?;
     let micros = seconds * MICROS_PER_SECOND as f64;
     // Caps values that cannot be represented.
     Ok(Span(micros as u64).min(MAX_REST))
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -24,7 +24,7 @@
     /// Starts counting by another clock, as for a test that suspends its host.
     pub fn reading(read: impl Fn() -> Duration + 'static) -> Clock {
         Clock {
-            clock: woadstage_clock::Clock::reading(read),
+            clock: woadstage_clock::Clock::from_source(read),
         }
     }
 
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -127,7 +127,7 @@
 fn parse_name(reader: &mut Reader, field: &str, text: &str) -> Option<HeaderName> {
     let name = text.parse().ok();
     if name.is_none() {
-        reader.fault(field, Code::SettingsValue, "Give the name of a header.");
+        reader.add_fault(field, Code::SettingsValue, "Give the name of a header.");
     }
     name
 }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -42,7 +42,7 @@
     number
         .filter(|number| number.is_finite() && *number >= 0.0)
         .unwrap_or_else(|| {
-            reader.fault(field, Code::SettingsValue, "Give a number from zero up.");
+            reader.add_fault(field, Code::SettingsValue, "Give a number from zero up.");
             usual
         })
 }
--- a/crates/gateway/src/serve/handle.rs
+++ b/crates/gateway/src/serve/handle.rs
@@ -103,7 +103,7 @@
         || shell.query(|dispatcher, now| dispatcher.retry_after_estimate(now, wait, left));
     let reply = Reply {
         code,
-        retry_after: code.mends().then(retry_after),
+        retry_after: code.is_transient().then(retry_after),
         wait: None,
         owner: None,
     };
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -73,15 +73,15 @@
 /// Every fault found, each with its place and code.
 pub fn parse(text: &str) -> Result<Settings, Faults> {
     let mut reader = Reader::parse(text)?;
-    let mut node = reader.sub("node");
+    let mut node = reader.take_table("node");
     let regions = reader.take_or("regions", HashMap::new());
-    let mut listen = reader.sub("listen");
-    let mut peers = reader.sub("peers");
-    let mut platform = reader.sub("platform");
-    let mut quota = reader.sub("quota");
-    let mut retry = reader.sub("retry");
-    let mut policy = reader.sub("policy");
-    let mut headers = reader.sub("headers");
+    let mut listen = reader.take_table("listen");
+    let mut peers = reader.take_table("peers");
+    let mut platform = reader.take_table("platform");
+    let mut quota = reader.take_table("quota");
+    let mut retry = reader.take_table("retry");
+    let mut policy = reader.take_table("policy");
+    let mut headers = reader.take_table("headers");
     let settings = Settings {
         host: id::Host::new(&name(&mut node, "host")),
         data_centre: id::DataCentre::new(&name(&mut node, "data_centre")),
@@ -102,7 +102,7 @@
         headers: Headers::read(&mut headers),
     };
     if settings.memory < MEMORY_LEAST {
-        node.fault("memory", Code::SettingsValue, "Give at least 32MiB.");
+        node.add_fault("memory", Code::SettingsValue, "Give at least 32MiB.");
     }
     let mut faults = reader.finish();
     for sub in [node, listen, peers, platform, quota, retry, policy, headers] {
@@ -114,7 +114,7 @@
 fn name(sub: &mut Reader, field: &str) -> String {
     let text: String = sub.take(field);
     if text.is_empty() {
-        sub.fault(field, Code::SettingsValue, "Give a name.");
+        sub.add_fault(field, Code::SettingsValue, "Give a name.");
     }
     text
 }
@@ -123,7 +123,7 @@
     let text: String = sub.take(field);
     text.parse().unwrap_or_else(|_| {
         let mend = "Give an address such as \"10.0.0.1:8080\".";
-        sub.fault(field, Code::SettingsValue, mend);
+        sub.add_fault(field, Code::SettingsValue, mend);
         UNSET
     })
 }
@@ -137,7 +137,7 @@
     for text in texts {
         match text.parse::<SocketAddrV4>() {
             Ok(seed) => found.push(SocketAddrV4::new(*seed.ip(), port.unwrap_or(seed.port()))),
-            Err(_) => peers.fault(
+            Err(_) => peers.add_fault(
                 "seeds",
                 Code::SettingsValue,
                 "Give addresses such as [\"10.0.0.1:7600\"].",
--- a/crates/gateway/tests/gateway/settings.rs
+++ b/crates/gateway/tests/gateway/settings.rs
@@ -82,10 +82,7 @@
     let text = WHOLE.replace(right, wrong);
     assert_ne!(text, WHOLE);
     let faults = settings::parse(&text).expect_err("something is wrong");
-    assert!(
-        faults.0.iter().any(|fault| fault.place == place),
-        "{faults}"
-    );
+    assert!(faults.0.iter().any(|fault| fault.path == place), "{faults}");
 }
 
 #[test]
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -92,7 +92,7 @@
             reply::refuse(response, None, &Refusal::new(Code::NodeBusy));
             return;
         };
-        let id = id::Request(id::to_v7(shared.clock.now(), rand::random()));
+        let id = id::Request(id::new_v7(shared.clock.now(), rand::random()));
         let read = match self.route {
             Route::Chat => read::chat(request, id, shared).await,
             _ => read::service(request, id, shared).await,
--- a/crates/node/src/commands/serve.rs
+++ b/crates/node/src/commands/serve.rs
@@ -65,7 +65,7 @@
 
 async fn serve(settings: Settings) -> anyhow::Result<()> {
     let clock = Clock::start();
-    let incarnation = id::Incarnation(id::to_v7(clock.now(), rand::random()));
+    let incarnation = id::Incarnation(id::new_v7(clock.now(), rand::random()));
     let own = Peer {
         host: settings.host.clone(),
         incarnation,
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -142,9 +142,9 @@
         .0
         .iter()
         .map(|fault| Fault {
-            place: fault.place.clone(),
+            place: fault.path.clone(),
             code: fault.code.to_string(),
-            mend: fault.mend.clone(),
+            mend: fault.remedy.clone(),
         })
         .collect();
     json(response, status, &shown);
@@ -227,10 +227,14 @@
             .await
             .flatten();
         let base = held.as_ref().map_or("", |held| &held.text);
-        match plan::make(base, &intent) {
+        match plan::build(base, &intent) {
             Ok(plan) => {
                 let change = |change: plan::Change| {
-                    let plan::Change { place, from, to } = change;
+                    let plan::Change {
+                        path: place,
+                        from,
+                        to,
+                    } = change;
                     Change { place, from, to }
                 };
                 let shown = Plan {
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -17,9 +17,9 @@
 use hyper_util::rt::TokioExecutor;
 use serde::Deserialize;
 use spdlog::warn;
-use woadstage_body::Bounds;
+use woadstage_body::Limits;
 use woadstage_config::hosts;
-use woadstage_config::published::DOCUMENT_LIMIT;
+use woadstage_config::published::MAX_DOCUMENT_BYTES;
 use woadstage_core::node::Event;
 use woadstage_types::unit::Span;
 
@@ -39,12 +39,12 @@
 const MARGIN: Duration = Duration::from_secs(2);
 
 /// A value as the platform gives it, base64 and all around it.
-const ANSWER_LIMIT: usize = DOCUMENT_LIMIT * 2;
+const ANSWER_LIMIT: usize = MAX_DOCUMENT_BYTES * 2;
 
 /// How an answer's body is read.
-const BODY: Bounds = Bounds {
-    length: ANSWER_LIMIT,
-    pause: MARGIN,
+const BODY: Limits = Limits {
+    max_bytes: ANSWER_LIMIT,
+    idle_timeout: MARGIN,
 };
 
 /// The platform.
--- a/crates/standin/src/world/fault.rs
+++ b/crates/standin/src/world/fault.rs
@@ -17,7 +17,7 @@
 impl World {
     /// Starts a host that is dead, as a new run that remembers nothing.
     pub fn start(&mut self, at: usize) {
-        let incarnation = id::Incarnation(id::to_v7(self.now, self.rng.random()));
+        let incarnation = id::Incarnation(id::new_v7(self.now, self.rng.random()));
         let now = self.clock(at);
         let host = &mut self.hosts[at];
         host.incarnation = incarnation;
--- a/crates/standin/src/world/mod.rs
+++ b/crates/standin/src/world/mod.rs
@@ -282,7 +282,7 @@
 
     /// Notes a caller's request that no core is told of, for baselines.
     pub fn note(&mut self, node: usize, timeout: Span, work: endpoint::Work) -> id::Request {
-        let request = id::Request(id::to_v7(self.now, self.rng.random()));
+        let request = id::Request(id::new_v7(self.now, self.rng.random()));
         let asked = Asked {
             node,
             run: self.hosts[node].incarnation,
--- a/crates/types/src/code.rs
+++ b/crates/types/src/code.rs
@@ -127,7 +127,7 @@
     }
 
     /// True where time can mend the refusal, so that `Retry-After` is given.
-    pub fn mends(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(self.number(), 2001..=2008 | 2010 | 2011 | 2012)
     }
 }
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -116,7 +116,7 @@
 }
 
 /// Makes a version 7 uuid number from a time and 80 random bits.
-pub fn to_v7(now: Time, random: u128) -> u128 {
+pub fn new_v7(now: Time, random: u128) -> u128 {
     let millis = now.0 / 1_000;
     let bytes = random.to_le_bytes();
     let mut ten = [0; 10];
@@ -127,7 +127,7 @@
 }
 
 /// The time at which a version 7 uuid says it was made, or none for another text.
-pub fn try_birth(text: &str) -> Option<Time> {
+pub fn v7_timestamp_opt(text: &str) -> Option<Time> {
     let id = Uuid::parse_str(text).ok()?;
     if id.get_version_num() != 7 {
         return None;
--- a/crates/types/src/unit.rs
+++ b/crates/types/src/unit.rs
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// For anything else, with the form that is `expected`.
-pub fn parse_from_zero(text: &str, expected: &'static str) -> Result<f64, Error> {
+pub fn parse_non_negative(text: &str, expected: &'static str) -> Result<f64, Error> {
     let number: Option<f64> = text.trim().parse().ok();
     let usable = number.filter(|number| number.is_finite() && *number >= 0.0);
     usable.ok_or_else(|| Error {
--- a/crates/types/tests/types/main.rs
+++ b/crates/types/tests/types/main.rs
@@ -42,10 +42,10 @@
 
     a_version_7_id_tells_its_birth => {
         let now = Time(1_796_000_000_123_000);
-        let text = uuid::Uuid::from_u128(id::to_v7(now, 77)).to_string();
-        assert_eq!(id::try_birth(&text), Some(now));
-        assert_eq!(id::try_birth("order-17"), None);
-        assert_eq!(id::try_birth("9b2f8a60-6b1c-4b8e-9d53-000000000000"), None);
+        let text = uuid::Uuid::from_u128(id::new_v7(now, 77)).to_string();
+        assert_eq!(id::v7_timestamp_opt(&text), Some(now));
+        assert_eq!(id::v7_timestamp_opt("order-17"), None);
+        assert_eq!(id::v7_timestamp_opt("9b2f8a60-6b1c-4b8e-9d53-000000000000"), None);
     };
 
     code_numbers_are_not_used_twice => {
--- a/crates/woadstage/tests/e2e/failure.rs
+++ b/crates/woadstage/tests/e2e/failure.rs
@@ -51,7 +51,7 @@
 
 fn second_document() -> String {
     let intent = "[[customers]]\nname = \"customer-5\"\nlimit = \"9/s\"\n";
-    plan::make(&sample::document(), intent)
+    plan::build(&sample::document(), intent)
         .expect("a plan")
         .document
 }
