--- a/crates/body/src/lib.rs
+++ b/crates/body/src/lib.rs
@@ -1,8 +1,7 @@
-//! Reads whole bodies for as long as they keep coming.
+//! Reads complete HTTP bodies with a limit on the time between two frames.
 //!
-//! A bound on the time of a whole answer fails where the answer is long and the
-//! link slow, and fails again each time it is asked for anew. Here the bound is
-//! on the pauses between two pieces.
+//! A limit on the total time would fail for a long body on a slow link, and would fail
+//! again on every retry.
 
 use std::time::Duration;
 
@@ -11,40 +10,41 @@
 use http_body_util::BodyExt;
 use hyper::body::Body;
 
-/// How long and how slow a body may be.
+/// Limits on the size and the pauses of a body.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Longest body, in bytes.
+    /// The maximum size of the body.
     pub max_bytes: usize,
-    /// Longest pause before each piece.
+    /// The maximum time to wait for each frame.
     pub idle_timeout: Duration,
 }
 
-/// Reads a body to its end.
+/// Reads a body to its end and returns its data.
 ///
 /// # Errors
-/// Where it breaks off, is too long, or nothing comes within the pause.
+/// If the connection breaks, the body exceeds `max_bytes`, or no frame arrives within
+/// `idle_timeout`.
 pub async fn collect<B>(mut body: B, limits: Limits) -> anyhow::Result<Bytes>
 where
     B: Body<Data = Bytes> + Unpin,
     B::Error: std::error::Error + Send + Sync + 'static,
 {
-    let mut whole = BytesMut::new();
+    let mut content = BytesMut::new();
     loop {
         let frame = tokio::time::timeout(limits.idle_timeout, body.frame()).await;
-        let frame =
-            frame.map_err(|_| anyhow::anyhow!("the answer stopped after {} bytes", whole.len()))?;
+        let frame = frame
+            .map_err(|_| anyhow::anyhow!("response body stalled after {} bytes", content.len()))?;
         let Some(frame) = frame.transpose()? else {
-            return Ok(whole.freeze());
+            return Ok(content.freeze());
         };
-        // Trailers are of no use here.
-        let Ok(piece) = frame.into_data() else {
+        // Trailers are ignored.
+        let Ok(data) = frame.into_data() else {
             continue;
         };
-        whole.extend_from_slice(&piece);
+        content.extend_from_slice(&data);
         anyhow::ensure!(
-            whole.len() <= limits.max_bytes,
-            "an answer of over {} bytes",
+            content.len() <= limits.max_bytes,
+            "response body exceeds {} bytes",
             limits.max_bytes
         );
     }
--- a/crates/body/tests/body/main.rs
+++ b/crates/body/tests/body/main.rs
@@ -1,4 +1,4 @@
-//! Bodies that come slowly, stop, break off or are too long.
+//! Tests of reading bodies that are slow, stall, break or are too long.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 /// What the body does after a pause in milliseconds.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Piece(u64),
+    Data(u64),
     Break(u64),
 }
 
@@ -25,10 +25,10 @@
 
 async fn read(steps: Vec<Step>) -> anyhow::Result<usize> {
     let frames = stream::iter(steps).then(|step| async move {
-        let (Step::Piece(pause) | Step::Break(pause)) = step;
+        let (Step::Data(pause) | Step::Break(pause)) = step;
         tokio::time::sleep(Duration::from_millis(pause)).await;
         match step {
-            Step::Piece(_) => Ok(Frame::data(Bytes::from_static(b"12345678"))),
+            Step::Data(_) => Ok(Frame::data(Bytes::from_static(b"12345678"))),
             Step::Break(_) => Err(std::io::Error::other("broken")),
         }
     });
@@ -37,25 +37,25 @@
 }
 
 macro_rules! bodies {
-    ($($name:ident: $steps:expr => $seen:expr;)*) => {
+    ($($name:ident: $steps:expr => $expected:expr;)*) => {
         #[rstest]
-        $(#[case::$name($steps, $seen)])*
-        fn a_body_is_read(#[case] steps: Vec<Step>, #[case] seen: Result<usize, &str>) {
+        $(#[case::$name($steps, $expected)])*
+        fn body_is_read_or_rejected(#[case] steps: Vec<Step>, #[case] expected: Result<usize, &str>) {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_time()
                 .start_paused(true)
                 .build()
                 .expect("a runtime");
             let read = runtime.block_on(read(steps));
-            assert_eq!(read.map_err(|error| error.to_string()), seen.map_err(str::to_owned));
+            assert_eq!(read.map_err(|error| error.to_string()), expected.map_err(str::to_owned));
         }
     };
 }
 
 bodies! {
     empty: vec![] => Ok(0);
-    slow_but_coming: vec![Step::Piece(900); 8] => Ok(64);
-    stopped: vec![Step::Piece(10), Step::Piece(1_100)] => Err("the answer stopped after 8 bytes");
-    broken: vec![Step::Piece(10), Step::Break(10)] => Err("broken");
-    too_long: vec![Step::Piece(10); 9] => Err("an answer of over 64 bytes");
+    slow: vec![Step::Data(900); 8] => Ok(64);
+    stalled: vec![Step::Data(10), Step::Data(1_100)] => Err("response body stalled after 8 bytes");
+    broken: vec![Step::Data(10), Step::Break(10)] => Err("broken");
+    too_long: vec![Step::Data(10); 9] => Err("response body exceeds 64 bytes");
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,13 +1,13 @@
-//! Time that goes on while the host is suspended.
+//! A monotonic clock that includes the time during which the host is suspended.
 //!
-//! The steady clock of the standard library (`CLOCK_MONOTONIC` on Linux) stands still
-//! for that time, and with it every timer of the runtime: a caller's deadline would be
-//! taken to lie as much later as the host was suspended, an answer would be waited for
-//! beyond it, and an endpoint would be given time that its caller has not got. `CLOCK_BOOTTIME`
-//! counts that time and, as the steady clock, never steps.
+//! The monotonic clock of the standard library (`CLOCK_MONOTONIC` on Linux) stops while
+//! the host is suspended, and so do the timers of the runtime. A caller's deadline would
+//! then move back by the duration of the suspension: this node would wait for the response
+//! beyond the deadline, and would grant an endpoint time that the caller does not have.
+//! `CLOCK_BOOTTIME` includes suspension and never steps either.
 //!
 //! * [`Clock`]: the time since a process started.
-//! * [`timeout`]: a bound on how long something takes.
+//! * [`timeout`]: a time limit for a future.
 
 use std::fmt;
 use std::rc::Rc;
@@ -22,20 +22,20 @@
 pub use timeout::Elapsed;
 pub use timeout::timeout;
 
-/// The time since the host was started, with all times of suspension.
+/// Returns the time since the host booted, including suspension.
 pub fn since_boot() -> Duration {
-    let read = clock_gettime(ClockId::Boottime);
-    let seconds = u64::try_from(read.tv_sec).unwrap_or_default();
-    let nanos = u32::try_from(read.tv_nsec).unwrap_or_default();
+    let boot_time = clock_gettime(ClockId::Boottime);
+    let seconds = u64::try_from(boot_time.tv_sec).unwrap_or_default();
+    let nanos = u32::try_from(boot_time.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanos)
 }
 
-/// The time since a process started.
+/// A clock that counts from its creation and includes suspension of the host.
 #[derive(Clone)]
 pub struct Clock {
-    read: Rc<dyn Fn() -> Duration>,
+    source: Rc<dyn Fn() -> Duration>,
     start: Duration,
-    steady: Instant,
+    monotonic_start: Instant,
 }
 
 impl fmt::Debug for Clock {
@@ -47,27 +47,28 @@
 }
 
 impl Clock {
-    /// Starts counting.
+    /// Creates a clock that starts now.
     pub fn start() -> Clock {
         Clock::from_source(since_boot)
     }
 
-    /// Starts counting by another clock, as for a test that suspends its host.
-    pub fn from_source(read: impl Fn() -> Duration + 'static) -> Clock {
+    /// Creates a clock that reads another source of time, such as a simulated suspension in tests.
+    pub fn from_source(source: impl Fn() -> Duration + 'static) -> Clock {
         Clock {
-            start: read(),
-            read: Rc::new(read),
-            steady: Instant::now(),
+            start: source(),
+            source: Rc::new(source),
+            monotonic_start: Instant::now(),
         }
     }
 
-    /// The time since this clock started.
+    /// Returns the time since the clock was created.
     pub fn elapsed(&self) -> Duration {
-        (self.read)().saturating_sub(self.start)
+        (self.source)().saturating_sub(self.start)
     }
 
-    /// For how long the host was suspended since then.
+    /// Returns how long the host has been suspended since the clock was created.
     pub fn suspended(&self) -> Duration {
-        self.elapsed().saturating_sub(self.steady.elapsed())
+        self.elapsed()
+            .saturating_sub(self.monotonic_start.elapsed())
     }
 }
--- a/crates/clock/tests/clock/main.rs
+++ b/crates/clock/tests/clock/main.rs
@@ -1,4 +1,4 @@
-//! Time goes on while the host is suspended.
+//! Tests of the clock and of time limits across a suspension of the host.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -12,7 +12,8 @@
 use woadstage_clock::since_boot;
 use woadstage_clock::timeout;
 
-/// A clock by the runtime's paused time, and what it was ahead by suspensions.
+/// Returns a clock based on the runtime's paused time, and the duration of simulated
+/// suspensions that it adds.
 fn suspendable() -> (Clock, Rc<Cell<Duration>>) {
     let suspended = Rc::new(Cell::new(Duration::ZERO));
     let (start, counted) = (Instant::now(), suspended.clone());
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn the_time_since_boot_goes_on() {
+fn the_time_since_boot_does_not_go_back() {
     let before = since_boot();
     std::thread::yield_now();
     assert!(since_boot() >= before);
@@ -29,28 +30,28 @@
 }
 
 #[test]
-fn a_suspension_counts_and_is_told() {
+fn a_suspension_is_included_and_reported() {
     let suspended = Rc::new(Cell::new(Duration::ZERO));
     let counted = suspended.clone();
     let clock = Clock::from_source(move || since_boot() + counted.get());
     suspended.set(Duration::from_secs(7));
     assert!(clock.elapsed() >= Duration::from_secs(7));
-    let told = clock.suspended();
+    let reported = clock.suspended();
     // The two clocks are read one after the other.
     assert!(
-        told > Duration::from_secs(6) && told <= Duration::from_secs(8),
-        "{told:?}"
+        reported > Duration::from_secs(6) && reported <= Duration::from_secs(8),
+        "{reported:?}"
     );
 }
 
-/// Of 10 s, a little over four pass before the host is suspended. That the time has
-/// passed meanwhile is noticed within half a second.
+/// The host is suspended 4.1 s into a time limit of 10 s. A limit that expires during the
+/// suspension is detected within half a second after it.
 #[rstest]
-#[case::not_at_all(0, 10_000)]
-#[case::for_two_seconds(2, 8_000)]
-#[case::beyond_the_bound(30, 4_500)]
+#[case::no_suspension(0, 10_000)]
+#[case::two_seconds(2, 8_000)]
+#[case::beyond_the_limit(30, 4_500)]
 #[tokio::test(start_paused = true)]
-async fn a_bound_holds_across_a_suspension(#[case] seconds: u64, #[case] awake_ms: u64) {
+async fn a_time_limit_includes_a_suspension(#[case] seconds: u64, #[case] awake_ms: u64) {
     let (clock, suspended) = suspendable();
     let start = Instant::now();
     let sleeper = async {
@@ -58,15 +59,15 @@
         suspended.set(Duration::from_secs(seconds));
         pending::<()>().await
     };
-    let ended = timeout(&clock, Duration::from_secs(10), sleeper).await;
-    assert_eq!(ended, Err(Elapsed));
-    // The runtime's timers count in milliseconds and fire a little late.
+    let result = timeout(&clock, Duration::from_secs(10), sleeper).await;
+    assert_eq!(result, Err(Elapsed));
+    // The runtime's timers have a resolution of a millisecond and fire slightly late.
     let awake = start.elapsed().as_millis() as u64;
     assert!(awake.abs_diff(awake_ms) <= 20, "{awake}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_there_in_time_is_given() {
+async fn a_future_that_completes_in_time_returns_its_output() {
     let (clock, _) = suspendable();
     let sleeper = async {
         tokio::time::sleep(Duration::from_secs(4)).await;
--- a/crates/types/src/code.rs
+++ b/crates/types/src/code.rs
@@ -1,21 +1,21 @@
-//! Numbered result codes: what happened, what the caller may believe, and
-//! the HTTP status that carries it. `docs/CODES.md` is tested against this.
+//! Numbered result codes, each with its HTTP status and with what it tells the
+//! caller about its request. A test compares `docs/CODES.md` with this table.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a caller may believe about its request.
+/// Whether an endpoint ran a request, as stated to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// An endpoint ran the request and this is its answer.
+    /// An endpoint ran the request and this is its response.
     Ran,
-    /// A promise: no endpoint was given the request or ever will be.
+    /// A guarantee that the request was not sent to any endpoint and will not be.
     NotRun,
-    /// It cannot be known here whether the request ran.
+    /// This node cannot determine whether the request ran.
     Unknown,
-    /// Not about a request: a fault in settings or configuration.
+    /// The code reports a fault in settings or configuration, not in a request.
     None,
 }
 
@@ -30,10 +30,10 @@
     }
 }
 
-/// Declares the codes once: number, HTTP status, outcome, sentence.
-macro_rules! codes {
+/// Declares [`Code`] from one table of number, HTTP status, outcome and meaning.
+macro_rules! define_codes {
     ($($name:ident = $number:literal, $status:literal, $outcome:ident, $text:literal;)*) => {
-        /// A numbered result code. Numbers are never used again for another meaning.
+        /// A numbered result code. A number is never reused for another meaning.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[repr(u16)]
         pub enum Code {
@@ -41,20 +41,20 @@
         }
 
         impl Code {
-            /// Every code, in the order of its number.
+            /// All codes, in the order of their declaration.
             pub const ALL: &'static [Code] = &[$(Code::$name),*];
 
-            /// The HTTP status that carries the code; 0 where it never meets a caller.
+            /// Returns the HTTP status of a response with this code; 0 where no caller receives it.
             pub fn status(self) -> u16 {
                 match self { $(Code::$name => $status),* }
             }
 
-            /// What the caller may believe.
+            /// Returns whether the request ran.
             pub fn outcome(self) -> Outcome {
                 match self { $(Code::$name => Outcome::$outcome),* }
             }
 
-            /// One plain sentence.
+            /// Returns the meaning of the code in one sentence.
             pub fn text(self) -> &'static str {
                 match self { $(Code::$name => $text),* }
             }
@@ -62,7 +62,7 @@
     };
 }
 
-codes! {
+define_codes! {
     Ran = 0, 200, Ran, "The request ran and this is the endpoint's answer.";
 
     BodyTooLarge = 1001, 413, NotRun, "The body is larger than this node takes.";
@@ -116,17 +116,17 @@
     IntentInvalid = 5009, 0, None, "The intent cannot be laid over the document in force.";
     RequestUnknown = 5010, 0, None, "This node remembers no such request.";
 
-    // Codes go from node to node by their place in this list: later ones stand here.
+    // Nodes exchange codes by their index in this list, so new codes are appended here.
     RegionClosed = 2012, 503, NotRun, "No endpoint is live in the regions where this request may run.";
 }
 
 impl Code {
-    /// The number, as it stands in `Woadstage-Code`.
+    /// Returns the number, as sent in the `Woadstage-Code` header.
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// True where time can mend the refusal, so that `Retry-After` is given.
+    /// Whether a later attempt may succeed, so that the response carries `Retry-After`.
     pub fn is_transient(self) -> bool {
         matches!(self.number(), 2001..=2008 | 2010 | 2011 | 2012)
     }
--- a/crates/types/src/hash.rs
+++ b/crates/types/src/hash.rs
@@ -1,20 +1,21 @@
-//! Hashing that agrees between hosts and releases.
+//! Hash functions whose results are the same on all hosts and in all releases.
 
 use xxhash_rust::xxh3::xxh3_64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Hashes bytes. The answer is part of the protocol between nodes.
+/// Hashes bytes. The result is part of the protocol between nodes.
 pub fn of(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// Hashes bytes on top of an earlier hash, for chains and for pairs.
+/// Hashes bytes with an earlier hash as the seed, for the hash of a sequence or a pair.
 pub fn chain(seed: u64, bytes: &[u8]) -> u64 {
     xxh3_64_with_seed(bytes, seed)
 }
 
-/// Picks the member with the highest score for `subject` (rendezvous hashing,
-/// Thaler and Ravishankar 1996): when a member goes, only its share moves.
+/// Returns the owner of `subject`: the member with the highest score (rendezvous
+/// hashing, Thaler and Ravishankar 1996). When a member is removed, only the subjects
+/// that it owned get another owner.
 pub fn owner<'a, T: AsRef<str> + ?Sized + 'a>(
     subject: &str,
     members: impl Iterator<Item = &'a T>,
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Names are shared text; numbers are uuids of version 7.
+//! Identifiers: names as shared text, and 128-bit ids as UUIDs of version 7.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,8 +11,8 @@
 use crate::hash;
 use crate::unit::Time;
 
-/// Declares names that differ only in what they name.
-macro_rules! name {
+/// Declares name types, which differ only in what they identify.
+macro_rules! define_names {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -20,12 +20,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Takes a text as the name.
+            /// Creates a name from a text.
             pub fn new(text: &str) -> $name {
                 $name(text.into())
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -53,12 +53,12 @@
     )*};
 }
 
-name! {
+define_names! {
     /// The name of an entry host.
     Host;
     /// The name of a data centre.
     DataCentre;
-    /// The name of a region, which holds data centres.
+    /// The name of a region, a group of data centres.
     Region;
     /// The name of an endpoint: an engine's worker or a plain service.
     Endpoint;
@@ -66,19 +66,19 @@
     Customer;
     /// The name of a class of work.
     Class;
-    /// The name of a model or a service, which is what requests are for.
+    /// The name of a model or a service that requests are addressed to.
     Target;
 }
 
 impl Customer {
-    /// The number that stands for the customer inside a ticket and a limit table.
+    /// Returns the hash of the name that identifies the customer in tickets and limit tables.
     pub fn to_number(&self) -> u64 {
         hash::of(self.as_str().as_bytes())
     }
 }
 
-/// Declares ids that are 128 bits and read as a uuid.
-macro_rules! number {
+/// Declares 128-bit ids whose text form is a UUID.
+macro_rules! define_ids {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -107,26 +107,26 @@
     )*};
 }
 
-number! {
-    /// One request as one entry host received it.
+define_ids! {
+    /// The id of one request as received by one entry host.
     Request;
-    /// One run of one process on an entry host. A replaced or restarted
-    /// process is another incarnation and remembers nothing of the last.
+    /// The id of one run of a process on an entry host. A restarted or replaced process
+    /// has a new incarnation and none of the state of the previous one.
     Incarnation;
 }
 
-/// Makes a version 7 uuid number from a time and 80 random bits.
+/// Creates a version 7 UUID from a time and the lower 80 bits of `random`.
 pub fn new_v7(now: Time, random: u128) -> u128 {
     let millis = now.0 / 1_000;
     let bytes = random.to_le_bytes();
-    let mut ten = [0; 10];
-    ten.copy_from_slice(&bytes[..10]);
-    uuid::Builder::from_unix_timestamp_millis(millis, &ten)
+    let mut random_bytes = [0; 10];
+    random_bytes.copy_from_slice(&bytes[..10]);
+    uuid::Builder::from_unix_timestamp_millis(millis, &random_bytes)
         .into_uuid()
         .as_u128()
 }
 
-/// The time at which a version 7 uuid says it was made, or none for another text.
+/// Returns the creation time in a version 7 UUID, or `None` for any other text.
 pub fn v7_timestamp_opt(text: &str) -> Option<Time> {
     let id = Uuid::parse_str(text).ok()?;
     if id.get_version_num() != 7 {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,10 +1,10 @@
-//! The small values every other crate speaks in: ids, times, sizes, rates and
-//! the numbered result codes.
+//! Basic value types that all other crates use: identifiers, times, sizes, rates
+//! and the numbered result codes.
 //!
-//! * [`code`]: the table of result codes and outcomes.
-//! * [`id`]: names and numbers that identify hosts, customers, requests.
-//! * [`mod@unit`]: times, spans, sizes and rates with their text forms.
-//! * [`hash`]: the one hash that gives the same answer on every host.
+//! * [`code`]: result codes and the outcomes that they state.
+//! * [`id`]: names and 128-bit ids of hosts, customers and requests, among others.
+//! * [`mod@unit`]: times, durations, sizes and rates with their text forms.
+//! * [`hash`]: hash functions that give the same result on every host and in every release.
 
 pub mod code;
 pub mod hash;
--- a/crates/types/src/unit.rs
+++ b/crates/types/src/unit.rs
@@ -1,4 +1,4 @@
-//! Times, spans, sizes and rates, each with its unit and its text form.
+//! Times, durations, sizes and rates, each with its unit and its text form.
 
 use std::fmt;
 use std::ops::Add;
@@ -12,15 +12,15 @@
 use serde::Serializer;
 use serde::de;
 
-/// Microseconds in a second.
+/// The microseconds in one second.
 pub const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Says why a text is not a value of the unit it was read as.
+/// The error of a text that is not a value of the expected unit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// The text as given.
+    /// The text that was parsed.
     pub text: String,
-    /// The form that is expected, with an example.
+    /// The expected form, with an example.
     pub expected: &'static str,
 }
 
@@ -32,23 +32,23 @@
 
 impl std::error::Error for Error {}
 
-/// Reads a number from 0 on that others wrote, as `2`, `2.75` or `1e3`.
+/// Parses a non-negative finite number from another system, such as `2`, `2.75` or `1e3`.
 ///
 /// # Errors
-/// For anything else, with the form that is `expected`.
+/// Any other text, reported with the `expected` form.
 pub fn parse_non_negative(text: &str, expected: &'static str) -> Result<f64, Error> {
     let number: Option<f64> = text.trim().parse().ok();
-    let usable = number.filter(|number| number.is_finite() && *number >= 0.0);
-    usable.ok_or_else(|| Error {
+    let valid = number.filter(|number| number.is_finite() && *number >= 0.0);
+    valid.ok_or_else(|| Error {
         text: text.into(),
         expected,
     })
 }
 
-/// Digits behind the point that a number may have.
-const PLACES: usize = 6;
+/// The maximum number of digits after the decimal point.
+const MAX_DECIMAL_PLACES: usize = 6;
 
-/// A number as it was written: its whole part, and millionths.
+/// A decimal number: its integer part and its millionths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Number {
     whole: u64,
@@ -56,36 +56,37 @@
 }
 
 impl Number {
-    /// The number times a factor, rounded down, if that can be held.
-    fn times(self, factor: u64) -> Option<u64> {
+    /// Returns the number times a factor, rounded down, or `None` on overflow.
+    fn checked_mul(self, factor: u64) -> Option<u64> {
         let whole = self.whole.checked_mul(factor)?;
-        let part = u128::from(self.millionths) * u128::from(factor) / 1_000_000;
-        whole.checked_add(u64::try_from(part).ok()?)
+        let fraction = u128::from(self.millionths) * u128::from(factor) / 1_000_000;
+        whole.checked_add(u64::try_from(fraction).ok()?)
     }
 
-    /// The number, if it is a whole one.
-    fn to_whole(self) -> Option<u64> {
+    /// Returns the number if it is an integer.
+    fn to_integer_opt(self) -> Option<u64> {
         (self.millionths == 0).then_some(self.whole)
     }
 }
 
-/// Cuts a text into its number and its unit.
-fn split(text: &str) -> Option<(Number, &str)> {
+/// Splits a text into its number and its unit.
+fn split_unit(text: &str) -> Option<(Number, &str)> {
     let end = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
         .unwrap_or(text.len());
-    let (whole, part) = text[..end].split_once('.').unwrap_or((&text[..end], "0"));
-    if part.is_empty() || part.len() > PLACES || part.contains('.') {
+    let (whole, fraction) = text[..end].split_once('.').unwrap_or((&text[..end], "0"));
+    if fraction.is_empty() || fraction.len() > MAX_DECIMAL_PLACES || fraction.contains('.') {
         return None;
     }
     let number = Number {
         whole: whole.parse().ok()?,
-        millionths: format!("{part:0<PLACES$}").parse().ok()?,
+        millionths: format!("{fraction:0<MAX_DECIMAL_PLACES$}").parse().ok()?,
     };
     Some((number, text[end..].trim()))
 }
 
-/// Makes a unit read and write itself as text in settings.
+/// Implements serialisation of a unit: text in human-readable formats such as the
+/// settings, a number in binary formats.
 macro_rules! serde_as_text {
     ($name:ident) => {
         impl Serialize for $name {
@@ -109,15 +110,15 @@
     };
 }
 
-/// A point in time: microseconds since the Unix epoch, read once at the start
-/// of a process and then driven by the monotonic clock, so it never steps.
+/// A point in time in microseconds since the Unix epoch. A process reads the system
+/// clock once at its start and adds the time on a monotonic clock, so its time never steps.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The span from `earlier` to this time, or zero if it lies later.
+    /// Returns the duration from `earlier` to this time, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -139,30 +140,30 @@
     }
 }
 
-/// A length of time in microseconds. Text form: `250ms`, `6us`, `30s`, `2m`.
+/// A duration in microseconds. Text form: `250ms`, `6us`, `30s`, `2m`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(pub u64);
 
 impl Span {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Span = Span(0);
 
-    /// A span of whole milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(millis: u64) -> Span {
         Span(millis * 1_000)
     }
 
-    /// A span of whole seconds.
+    /// Creates a duration from seconds.
     pub const fn from_secs(secs: u64) -> Span {
         Span(secs * MICROS_PER_SECOND)
     }
 
-    /// The span in seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// The span in whole seconds, rounded up, as `Retry-After` wants it.
+    /// Returns the duration in seconds, rounded up, as `Retry-After` requires.
     pub fn to_secs_ceil(self) -> u64 {
         self.0.div_ceil(MICROS_PER_SECOND)
     }
@@ -197,19 +198,19 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Span, Error> {
-        let fault = || Error {
+        let error = || Error {
             text: text.into(),
             expected: "a length of time such as \"250ms\"",
         };
-        let (number, unit) = split(text).ok_or_else(fault)?;
+        let (number, unit) = split_unit(text).ok_or_else(error)?;
         let factor = match unit {
             "us" => 1,
             "ms" => 1_000,
             "s" => MICROS_PER_SECOND,
             "m" => 60 * MICROS_PER_SECOND,
-            _ => return Err(fault()),
+            _ => return Err(error()),
         };
-        number.times(factor).map(Span).ok_or_else(fault)
+        number.checked_mul(factor).map(Span).ok_or_else(error)
     }
 }
 
@@ -220,12 +221,12 @@
 pub struct Size(pub u64);
 
 impl Size {
-    /// A size of whole kibibytes.
+    /// Creates a size from kibibytes.
     pub const fn from_kib(kib: u64) -> Size {
         Size(kib << 10)
     }
 
-    /// A size of whole mebibytes.
+    /// Creates a size from mebibytes.
     pub const fn from_mib(mib: u64) -> Size {
         Size(mib << 20)
     }
@@ -245,24 +246,24 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Size, Error> {
-        let fault = || Error {
+        let error = || Error {
             text: text.into(),
             expected: "a size such as \"8MiB\"",
         };
-        let (number, unit) = split(text).ok_or_else(fault)?;
+        let (number, unit) = split_unit(text).ok_or_else(error)?;
         let factor = match unit {
             "B" => 1,
             "KiB" => 1 << 10,
             "MiB" => 1 << 20,
-            _ => return Err(fault()),
+            _ => return Err(error()),
         };
-        number.times(factor).map(Size).ok_or_else(fault)
+        number.checked_mul(factor).map(Size).ok_or_else(error)
     }
 }
 
 serde_as_text!(Size);
 
-/// A rate in events (requests, tokens) a second. Text form: `50/s`.
+/// A rate in events (such as requests or tokens) per second. Text form: `50/s`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rate(pub u64);
 
@@ -276,20 +277,20 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Rate, Error> {
-        let fault = || Error {
+        let error = || Error {
             text: text.into(),
             expected: "a rate such as \"50/s\"",
         };
-        match split(text).ok_or_else(fault)? {
-            (number, "/s") => number.to_whole().map(Rate).ok_or_else(fault),
-            _ => Err(fault()),
+        match split_unit(text).ok_or_else(error)? {
+            (number, "/s") => number.to_integer_opt().map(Rate).ok_or_else(error),
+            _ => Err(error()),
         }
     }
 }
 
 serde_as_text!(Rate);
 
-/// A count of tokens, the measure of model work.
+/// A number of tokens, the unit of a model's work.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/types/tests/types/main.rs
+++ b/crates/types/tests/types/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the small values.
+//! Tests of result codes, units, ids and hashes.
 
 use woadstage_standin::cases;
 use woadstage_types::code::Code;
@@ -10,7 +10,7 @@
 use woadstage_types::unit::Time;
 
 cases! {
-    units_read_as_they_were_written => {
+    units_round_trip_through_text => {
         for text in ["250ms", "30s", "6us", "0s"] {
             assert_eq!(text.parse::<Span>().map(|span| span.to_string()), Ok(text.into()));
         }
@@ -20,7 +20,7 @@
         assert_eq!("50/s".parse(), Ok(Rate(50)));
     };
 
-    units_without_a_unit_are_refused => {
+    malformed_units_are_rejected => {
         for text in ["", "250", "ms", "-1s", "1.s", ".5s", "1.5", "1.5.5s", "1.1234567s", "99999999999999999999s", "9999999999999999m"] {
             assert!(text.parse::<Span>().is_err(), "{text}");
             assert!(text.parse::<Size>().is_err(), "{text}");
@@ -28,19 +28,19 @@
         }
     };
 
-    units_may_have_a_fraction => {
+    units_accept_decimal_fractions => {
         assert_eq!("1.5s".parse(), Ok(Span::from_millis(1_500)));
         assert_eq!("0.000001s".parse(), Ok(Span(1)));
         assert_eq!("2.50ms".parse(), Ok(Span(2_500)));
         assert_eq!("0.5us".parse(), Ok(Span(0)));
         assert_eq!("1.5KiB".parse(), Ok(Size(1_536)));
         assert_eq!("110.0MiB".parse(), Ok(Size::from_mib(110)));
-        // Rates are counts.
+        // Rates are integers.
         assert!("1.5/s".parse::<Rate>().is_err());
         assert_eq!("2.0/s".parse(), Ok(Rate(2)));
     };
 
-    a_version_7_id_tells_its_birth => {
+    a_version_7_id_contains_its_creation_time => {
         let now = Time(1_796_000_000_123_000);
         let text = uuid::Uuid::from_u128(id::new_v7(now, 77)).to_string();
         assert_eq!(id::v7_timestamp_opt(&text), Some(now));
@@ -48,7 +48,7 @@
         assert_eq!(id::v7_timestamp_opt("9b2f8a60-6b1c-4b8e-9d53-000000000000"), None);
     };
 
-    code_numbers_are_not_used_twice => {
+    code_numbers_are_unique => {
         let mut numbers: Vec<u16> = Code::ALL.iter().map(|code| code.number()).collect();
         let count = numbers.len();
         numbers.sort();
@@ -56,7 +56,7 @@
         assert_eq!(numbers.len(), count);
     };
 
-    the_table_of_codes_in_the_docs_is_the_codes_own => {
+    the_documented_codes_match_the_code_table => {
         let page = include_str!("../../../../docs/CODES.md");
         for code in Code::ALL {
             let status = match code.status() {
@@ -64,11 +64,11 @@
                 status => status.to_string(),
             };
             let row = format!("| {code} | {status} | {} | {} |", code.outcome(), code.text());
-            assert!(page.contains(&row), "docs/CODES.md lacks: {row}");
+            assert!(page.contains(&row), "docs/CODES.md has no row: {row}");
         }
     };
 
-    an_owner_that_goes_moves_only_its_share => {
+    removing_a_member_moves_only_its_subjects => {
         let all: Vec<String> = (0..8).map(|at| format!("entry-{at}")).collect();
         for subject in 0..1_000 {
             let subject = format!("subject-{subject}");
