--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,17 +1,17 @@
-//! One thing wrong with a file.
+//! Faults found in a file.
 
 use std::fmt;
 
 use woadstage_types::code::Code;
 
-/// A fault: where it is, what kind it is, and how to mend it.
+/// A fault in a file: its location, its kind and how to correct it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// The path of the field, such as `classes.recap.tier`.
     pub path: String,
     /// The numbered result code.
     pub code: Code,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -28,12 +28,12 @@
     }
 }
 
-/// Every fault found in one file.
+/// All faults found in one file.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Notes one fault.
+    /// Adds a fault.
     pub fn add(&mut self, path: &str, code: Code, remedy: impl Into<String>) {
         self.0.push(Fault {
             path: path.into(),
@@ -42,7 +42,7 @@
         });
     }
 
-    /// Gives `value` if nothing was wrong, else all that was.
+    /// Returns `value` if there are no faults, else the faults.
     pub fn into_result<T>(self, value: T) -> Result<T, Faults> {
         if self.0.is_empty() {
             Ok(value)
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -1,51 +1,52 @@
-//! The platform's lagging list of live and leaving hosts. Fields that this
-//! release does not know are passed over: the list is the platform's, not ours.
+//! The platform's list of live and leaving hosts, which lags behind their actual state.
+//! Unknown fields are ignored, since the platform defines the format and may extend it.
 
 use serde::Deserialize;
 use serde::Serialize;
 use woadstage_types::id;
 
-/// What stands on a host.
+/// What a host runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// A node of woadstage.
+    /// A woadstage node.
     Entry,
     /// An engine's worker or a plain service.
     Endpoint,
 }
 
-/// What the platform says of a host.
+/// The state of a host as reported by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It takes work.
+    /// The host accepts work.
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// The host finishes its work in progress and accepts no new work.
     Leaving,
 }
 
-/// One host.
+/// A host in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// The name of the host.
     pub name: String,
-    /// What stands on it.
+    /// What the host runs.
     pub role: Role,
-    /// `ip:port`: between nodes for an entry host, HTTP for an endpoint.
+    /// The address as `ip:port`: of the protocol between nodes for an entry host, of HTTP
+    /// for an endpoint.
     pub address: String,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: id::DataCentre,
-    /// Live or leaving.
+    /// Whether the host is live or leaving.
     pub state: State,
-    /// The model or service an endpoint serves.
+    /// The model or service that an endpoint serves.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub serves: Option<id::Target>,
 }
 
-/// The list.
+/// The list of hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Every host the platform knows of.
+    /// All hosts known to the platform.
     pub hosts: Vec<Host>,
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
-//! What is read from outside and checked before it is believed.
+//! Parsers for settings and configuration, which report every fault in their input.
 //!
-//! * [`fault`]: one thing wrong with a file: its place, code and mend.
-//! * [`read`]: takes fields from a TOML table and collects every fault.
+//! * [`fault`]: a fault in a file: its path, result code and remedy.
+//! * [`read`]: reads fields from a TOML table and collects every fault.
 //! * [`published`]: the configuration that operators publish and confirm.
-//! * [`plan`]: lays an intent over the configuration in force.
-//! * [`settings`]: what one process is told about itself.
-//! * [`hosts`]: the platform's lagging list of live and leaving hosts.
+//! * [`plan`]: merges an intent into the active configuration.
+//! * [`settings`]: the settings of one node.
+//! * [`hosts`]: the platform's list of live and leaving hosts.
 
 pub mod fault;
 pub mod hosts;
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -1,5 +1,5 @@
-//! Lays an intent over the document in force and says what would change.
-//! Nothing is published here: confirming is the operator's own act.
+//! Plans a configuration change: merges an intent into the active document and lists
+//! the changes. Nothing is published here: the operator confirms a plan separately.
 
 use toml::Table;
 use toml::Value;
@@ -9,38 +9,39 @@
 use crate::published;
 use crate::published::Confirmation;
 
-/// The field of an intent that lists what goes, as `table.name`.
-const REMOVE: &str = "remove";
+/// The field of an intent that lists the items to remove, as `table.name`.
+const REMOVE_FIELD: &str = "remove";
 
-/// One thing that would change.
+/// A change to one item of the document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Its path, such as `classes.recap`.
+    /// The path of the item, such as `classes.recap`.
     pub path: String,
-    /// The value in force, if any.
+    /// The active value, if any.
     pub from: Option<String>,
-    /// The value after confirming, if any.
+    /// The planned value, if any.
     pub to: Option<String>,
 }
 
-/// An answer to an intent.
+/// The plan for an intent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// What would change, in the order of the paths.
+    /// The changes, sorted by path.
     pub changes: Vec<Change>,
-    /// The document that confirming means publishing.
+    /// The document to publish on confirmation.
     pub document: String,
-    /// Its confirmation.
+    /// The confirmation in the document.
     pub confirmation: Confirmation,
 }
 
-/// Makes the plan for `intent` over `in_force`, a whole document or nothing.
-pub fn build(in_force: &str, intent: &str) -> Result<Plan, Faults> {
-    let (base, body) = match in_force.is_empty() {
+/// Creates the plan that applies `intent` to `active`, a complete document, or an empty
+/// text if none has been published.
+pub fn build(active: &str, intent: &str) -> Result<Plan, Faults> {
+    let (base, body) = match active.is_empty() {
         true => (Confirmation::default(), Table::new()),
         false => {
-            let config = published::parse(in_force)?;
-            let mut table = parse(in_force)?;
+            let config = published::parse(active)?;
+            let mut table = parse(active)?;
             for field in ["revision", "base", "digest"] {
                 table.remove(field);
             }
@@ -48,7 +49,7 @@
         }
     };
     let mut after = body.clone();
-    lay(&mut after, parse(intent)?)?;
+    merge(&mut after, parse(intent)?)?;
     let text = toml::to_string(&after).map_err(|error| invalid("file", error.to_string()))?;
     let revision = base.revision + 1;
     let document = published::write(revision, &base.digest, &text);
@@ -75,15 +76,15 @@
     item.as_table()?.get("name")?.as_str()
 }
 
-fn lay(onto: &mut Table, mut intent: Table) -> Result<(), Faults> {
-    let removed = intent.remove(REMOVE);
+fn merge(document: &mut Table, mut intent: Table) -> Result<(), Faults> {
+    let removed = intent.remove(REMOVE_FIELD);
     for (field, value) in intent {
-        match (onto.get_mut(&field), value) {
+        match (document.get_mut(&field), value) {
             (Some(Value::Array(items)), Value::Array(new)) if new.iter().all(Value::is_table) => {
-                new.into_iter().for_each(|item| lay_item(items, item));
+                new.into_iter().for_each(|item| merge_item(items, item));
             }
             (_, value) => {
-                onto.insert(field, value);
+                document.insert(field, value);
             }
         }
     }
@@ -92,10 +93,10 @@
     };
     paths
         .iter()
-        .try_for_each(|path| remove(onto, path.as_str().unwrap_or_default()))
+        .try_for_each(|path| remove(document, path.as_str().unwrap_or_default()))
 }
 
-fn lay_item(items: &mut Vec<Value>, item: Value) {
+fn merge_item(items: &mut Vec<Value>, item: Value) {
     let index = items.iter().position(|old| name_of(old) == name_of(&item));
     let Some(Value::Table(old)) = index.map(|at| &mut items[at]) else {
         items.push(item);
@@ -106,10 +107,10 @@
     }
 }
 
-fn remove(onto: &mut Table, path: &str) -> Result<(), Faults> {
+fn remove(document: &mut Table, path: &str) -> Result<(), Faults> {
     let unknown = || invalid(path, "Name what to remove as \"table.name\".");
     let (field, name) = path.split_once('.').ok_or_else(unknown)?;
-    let items = onto
+    let items = document
         .get_mut(field)
         .and_then(Value::as_array_mut)
         .ok_or_else(unknown)?;
@@ -121,30 +122,32 @@
     Ok(())
 }
 
-/// Flattens a document to `table.name` and its text.
+/// Flattens a document to pairs of a path and the text of the value. The path of an item
+/// of an array of tables is `table.name`.
 fn flatten(table: &Table) -> Vec<(String, String)> {
-    let mut all = Vec::new();
+    let mut entries = Vec::new();
     for (field, value) in table {
         match value {
             Value::Array(items) if items.iter().any(Value::is_table) => {
                 for item in items {
                     let name = name_of(item).unwrap_or("?");
-                    all.push((format!("{field}.{name}"), item.to_string()));
+                    entries.push((format!("{field}.{name}"), item.to_string()));
                 }
             }
-            value => all.push((field.clone(), value.to_string())),
+            value => entries.push((field.clone(), value.to_string())),
         }
     }
-    all.sort();
-    all
+    entries.sort();
+    entries
 }
 
 fn compare(before: &Table, after: &Table) -> Vec<Change> {
     let before = flatten(before);
     let after = flatten(after);
-    let find = |all: &[(String, String)], path: &str| {
-        all.iter()
-            .find(|(at, _)| at == path)
+    let find = |entries: &[(String, String)], path: &str| {
+        entries
+            .iter()
+            .find(|(entry_path, _)| entry_path == path)
             .map(|(_, text)| text.clone())
     };
     let mut paths: Vec<&String> = before.iter().chain(&after).map(|(path, _)| path).collect();
--- a/crates/config/src/published/mod.rs
+++ b/crates/config/src/published/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration that operators publish: tiers, customers, classes of
-//! work, models, services and events, with the confirmation in its first lines.
+//! The configuration that operators publish: tiers, customers, classes of work, models,
+//! services and events. Its first lines hold the confirmation.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,43 +19,43 @@
 pub use parse::parse;
 pub use parse::parse_body;
 
-/// Largest document, as the platform holds values up to a megabyte.
+/// The maximum size of a document: the platform stores values of up to 1 MiB.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
-/// A tier's place in the order of protection: 0 is shed last.
+/// The index of a tier in the order of protection: 0 is shed last.
 pub type Tier = u8;
 
-/// The configuration in force.
+/// A parsed configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Config {
-    /// Which document this is and what it was planned against.
+    /// The revision of the document, its base and its digest.
     pub confirmation: Confirmation,
-    /// Names of the tiers, the most protected first.
+    /// The names of the tiers, the most protected first.
     pub tiers: Vec<Arc<str>>,
-    /// Customers by the SHA-256 of their bearer token.
+    /// The customers by the SHA-256 of their bearer token.
     pub customers: HashMap<[u8; 32], Arc<Customer>>,
-    /// Classes of work by name.
+    /// The classes of work by name.
     pub classes: HashMap<id::Class, Arc<Class>>,
-    /// Models and services by name.
+    /// The models and services by name.
     pub targets: HashMap<id::Target, Arc<Target>>,
-    /// Declared events, in the order of the document.
+    /// The declared events, in the order of the document.
     pub events: Vec<Event>,
 }
 
-/// A customer.
+/// A customer with its limits and permissions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Customer {
     /// Its name.
     pub name: id::Customer,
-    /// The requests a second it may send through the whole fleet.
+    /// The maximum rate of requests, summed over the whole fleet.
     pub limit: Rate,
-    /// Its share against the others when work waits.
+    /// The weight of its share relative to other customers when requests queue.
     pub weight: u32,
-    /// The classes it may declare; none means all.
+    /// The classes it may use; `None` allows all.
     pub classes: Option<Vec<id::Class>>,
 }
 
-/// A class of work.
+/// A class of work, which sets the priority and the handling of its requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// Its name.
@@ -64,53 +64,53 @@
     pub tier: Tier,
     /// The model or service it is for.
     pub target: id::Target,
-    /// True where running it twice does no harm.
+    /// Whether it is safe to run a request twice.
     pub repeatable: bool,
-    /// True where callers' own keys are taken for an endpoint that does not
-    /// check them. Opens the hole named in `docs/PROMISES.md`.
+    /// Whether keys chosen by callers are accepted for an endpoint that does not check them.
+    /// This weakens the guarantees as described in `docs/PROMISES.md`.
     pub plain_keys: bool,
-    /// How long an answer is of use unless the caller says otherwise.
+    /// The time limit of a request for which the caller sets none.
     pub timeout: Span,
-    /// The length of answer to expect until one has been seen.
+    /// The expected length of a response until one has been observed.
     pub output: Tokens,
 }
 
-/// What kind of endpoint serves a target.
+/// The kind of endpoint that serves a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A model on engines that batch.
+    /// A model on engines that batch requests.
     Model,
     /// A plain service.
     Service,
 }
 
-/// A model or a service.
+/// A model or a service with the properties of its endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
     /// Its name.
     pub name: id::Target,
-    /// Model or service.
+    /// Whether it is a model or a service.
     pub kind: Kind,
-    /// Version and adapter; part of the identity of a cached prefix.
+    /// The version and adapter; part of the key of a cached prefix.
     pub version: String,
-    /// The class of a request that declares none.
+    /// The class of requests that declare none.
     pub default_class: id::Class,
-    /// Requests one endpoint runs at once.
+    /// The maximum number of requests that one endpoint runs at once.
     pub slots: u32,
-    /// Prompt tokens a second to expect of an endpoint not yet seen.
+    /// The prefill rate, in prompt tokens per second, assumed for an endpoint until measured.
     pub prefill: Rate,
-    /// Time between tokens (model) or a call's time (service) to expect.
+    /// The expected time between tokens (model) or duration of a call (service).
     pub step: Span,
-    /// Prompt tokens whose state an endpoint keeps.
+    /// The prefix cache size of an endpoint, in prompt tokens.
     pub cache: Tokens,
-    /// True where the endpoint refuses a key it has seen.
+    /// Whether the endpoint rejects an idempotency key that it has seen before.
     pub checks_keys: bool,
-    /// True where the engine honours `priority` in the body.
+    /// Whether the engine supports `priority` in the body.
     pub priority: bool,
 }
 
-/// A declared event: while it lasts, part of every endpoint is kept free for
-/// the tiers that matter.
+/// A declared event, during which a share of the slots of every endpoint is reserved for
+/// the more protected tiers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
     /// Its name.
@@ -119,14 +119,15 @@
     pub start: Time,
     /// When it ends.
     pub end: Time,
-    /// The least protected tier that may use the reserve.
+    /// The least protected tier that may use the reserved slots.
     pub protect: Tier,
-    /// The share of slots kept free, in percent.
+    /// The share of reserved slots, in percent.
     pub reserve: u32,
 }
 
 impl Config {
-    /// The class a request runs under, or none where it may not.
+    /// Returns the class of a request, or `None` if the class is unknown, belongs to another
+    /// target or is not allowed for the customer.
     pub fn class_opt(
         &self,
         customer: &Customer,
@@ -145,13 +146,13 @@
         allowed.then_some(class)
     }
 
-    /// The share of slots kept from `tier` at `now`, in percent.
+    /// Returns the share of slots that `tier` may not use at `now`, in percent.
     pub fn reserved_percent(&self, tier: Tier, now: Time) -> u32 {
-        let lasting = self
+        let active_events = self
             .events
             .iter()
             .filter(|event| event.start <= now && now < event.end);
-        lasting
+        active_events
             .filter(|event| tier > event.protect)
             .map(|event| event.reserve)
             .max()
--- a/crates/config/src/published/parse.rs
+++ b/crates/config/src/published/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a document and reports every fault in it.
+//! Parses a published configuration and reports every fault in it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 use crate::fault::Faults;
 use crate::read::Reader;
 
-/// Parses a whole document and checks its confirmation.
+/// Parses a complete document and checks its confirmation.
 pub fn parse(text: &str) -> Result<Config, Faults> {
     let mut faults = Faults::default();
     if text.len() > MAX_DOCUMENT_BYTES {
@@ -42,7 +42,7 @@
     })
 }
 
-/// Parses the part after the confirmation.
+/// Parses the body of a document, without the confirmation.
 pub fn parse_body(body: &str) -> Result<Config, Faults> {
     let mut reader = Reader::parse(body)?;
     let tiers: Vec<Arc<str>> = reader.take("tiers");
@@ -56,47 +56,47 @@
     let mut faults = Faults::default();
     let mut targets = HashMap::new();
     for (field, kind) in [("models", Kind::Model), ("services", Kind::Service)] {
-        for (name, sub) in reader.take_named_tables(field) {
-            let target = target(&name, kind, sub, &mut faults);
+        for (name, table) in reader.take_named_tables(field) {
+            let target = parse_target(&name, kind, table, &mut faults);
             targets.insert(target.name.clone(), Arc::new(target));
         }
     }
     let mut classes = HashMap::new();
-    for (name, sub) in reader.take_named_tables("classes") {
-        let class = class(&name, sub, &tiers, &targets, &mut faults);
+    for (name, table) in reader.take_named_tables("classes") {
+        let class = parse_class(&name, table, &tiers, &targets, &mut faults);
         classes.insert(class.name.clone(), Arc::new(class));
     }
     for target in targets.values() {
-        let place = format!("{}.default_class", target.name);
+        let path = format!("{}.default_class", target.name);
         match classes.get(&target.default_class) {
             Some(class) if class.target == target.name => {}
             _ => faults.add(
-                &place,
+                &path,
                 Code::NameUnknown,
                 "Name a class declared for this target.",
             ),
         }
     }
     let mut customers = HashMap::new();
-    for (name, sub) in reader.take_named_tables("customers") {
-        let (token, customer) = customer(&name, sub, &classes, &mut faults);
+    for (name, table) in reader.take_named_tables("customers") {
+        let (token, customer) = parse_customer(&name, table, &classes, &mut faults);
         if customers.insert(token, Arc::new(customer)).is_some() {
-            let place = format!("customers.{name}.token_sha256");
+            let path = format!("customers.{name}.token_sha256");
             faults.add(
-                &place,
+                &path,
                 Code::NameTwice,
                 "Give each customer a token of its own.",
             );
         }
     }
     let mut events = Vec::new();
-    for (name, sub) in reader.take_named_tables("events") {
-        events.push(event(&name, sub, &tiers, &mut faults));
+    for (name, table) in reader.take_named_tables("events") {
+        events.push(parse_event(&name, table, &tiers, &mut faults));
     }
-    let mut all = reader.finish();
-    all.0.append(&mut faults.0);
+    let mut all_faults = reader.finish();
+    all_faults.0.append(&mut faults.0);
     let confirmation = Default::default();
-    all.into_result(Config {
+    all_faults.into_result(Config {
         confirmation,
         tiers,
         customers,
@@ -106,121 +106,121 @@
     })
 }
 
-fn tier(sub: &mut Reader, field: &str, tiers: &[Arc<str>]) -> Tier {
-    let name: String = sub.take(field);
+fn parse_tier(table: &mut Reader, field: &str, tiers: &[Arc<str>]) -> Tier {
+    let name: String = table.take(field);
     match tiers.iter().position(|tier| **tier == *name) {
         Some(index) => index as Tier,
         None => {
-            sub.add_fault(field, Code::NameUnknown, "Name one of `tiers`.");
+            table.add_fault(field, Code::NameUnknown, "Name one of `tiers`.");
             0
         }
     }
 }
 
-fn end(sub: Reader, faults: &mut Faults) {
-    faults.0.append(&mut sub.finish().0);
+fn finish(table: Reader, faults: &mut Faults) {
+    faults.0.append(&mut table.finish().0);
 }
 
-fn target(name: &str, kind: Kind, mut sub: Reader, faults: &mut Faults) -> Target {
+fn parse_target(name: &str, kind: Kind, mut table: Reader, faults: &mut Faults) -> Target {
     let step = match kind {
         Kind::Model => Span::from_millis(10),
         Kind::Service => Span::from_millis(20),
     };
-    let found = Target {
+    let target = Target {
         name: id::Target::new(name),
         kind,
-        version: sub.take_or("version", String::new()),
-        default_class: id::Class::new(&sub.take::<String>("default_class")),
-        slots: sub.take_or("slots", 16),
-        prefill: sub.take_or("prefill", Rate(10_000)),
-        step: sub.take_or("step", step),
-        cache: sub.take_or("cache", Tokens(100_000)),
-        checks_keys: sub.take_or("checks_keys", false),
-        priority: sub.take_or("priority", false),
+        version: table.take_or("version", String::new()),
+        default_class: id::Class::new(&table.take::<String>("default_class")),
+        slots: table.take_or("slots", 16),
+        prefill: table.take_or("prefill", Rate(10_000)),
+        step: table.take_or("step", step),
+        cache: table.take_or("cache", Tokens(100_000)),
+        checks_keys: table.take_or("checks_keys", false),
+        priority: table.take_or("priority", false),
     };
-    if found.slots == 0 || found.slots > 4_096 {
-        sub.add_fault(
+    if target.slots == 0 || target.slots > 4_096 {
+        table.add_fault(
             "slots",
             Code::SettingsValue,
             "Give a number from 1 to 4096.",
         );
     }
-    if found.prefill.0 == 0 {
-        sub.add_fault("prefill", Code::SettingsValue, "Give a rate above zero.");
+    if target.prefill.0 == 0 {
+        table.add_fault("prefill", Code::SettingsValue, "Give a rate above zero.");
     }
-    if found.step == Span::ZERO {
-        sub.add_fault("step", Code::SettingsValue, "Give a time above zero.");
+    if target.step == Span::ZERO {
+        table.add_fault("step", Code::SettingsValue, "Give a time above zero.");
     }
-    end(sub, faults);
-    found
+    finish(table, faults);
+    target
 }
 
-fn class(
+fn parse_class(
     name: &str,
-    mut sub: Reader,
+    mut table: Reader,
     tiers: &[Arc<str>],
     targets: &HashMap<id::Target, Arc<Target>>,
     faults: &mut Faults,
 ) -> Class {
-    let found = Class {
+    let class = Class {
         name: id::Class::new(name),
-        tier: tier(&mut sub, "tier", tiers),
-        target: id::Target::new(&sub.take::<String>("target")),
-        repeatable: sub.take("repeatable"),
-        plain_keys: sub.take_or("plain_keys", false),
-        timeout: sub.take_or("timeout", Span::from_secs(30)),
-        output: sub.take_or("output", Tokens(64)),
+        tier: parse_tier(&mut table, "tier", tiers),
+        target: id::Target::new(&table.take::<String>("target")),
+        repeatable: table.take("repeatable"),
+        plain_keys: table.take_or("plain_keys", false),
+        timeout: table.take_or("timeout", Span::from_secs(30)),
+        output: table.take_or("output", Tokens(64)),
     };
-    if !targets.contains_key(&found.target) {
-        sub.add_fault(
+    if !targets.contains_key(&class.target) {
+        table.add_fault(
             "target",
             Code::NameUnknown,
             "Name a declared model or service.",
         );
     }
-    if found.timeout == Span::ZERO {
-        sub.add_fault("timeout", Code::SettingsValue, "Give a time above zero.");
+    if class.timeout == Span::ZERO {
+        table.add_fault("timeout", Code::SettingsValue, "Give a time above zero.");
     }
-    end(sub, faults);
-    found
+    finish(table, faults);
+    class
 }
 
-fn customer(
+fn parse_customer(
     name: &str,
-    mut sub: Reader,
+    mut table: Reader,
     classes: &HashMap<id::Class, Arc<Class>>,
     faults: &mut Faults,
 ) -> ([u8; 32], Customer) {
-    let token = token(&mut sub);
-    let allowed: Option<Vec<id::Class>> = sub.take_opt("classes");
+    let token = parse_token(&mut table);
+    let allowed: Option<Vec<id::Class>> = table.take_opt("classes");
     for class in allowed.iter().flatten() {
         if !classes.contains_key(class) {
-            sub.add_fault(
+            table.add_fault(
                 "classes",
                 Code::NameUnknown,
                 format!("Declare \"{class}\" or drop it."),
             );
         }
     }
-    let found = Customer {
+    let customer = Customer {
         name: id::Customer::new(name),
-        limit: sub.take_or("limit", Rate(100)),
-        weight: sub.take_or("weight", 1),
+        limit: table.take_or("limit", Rate(100)),
+        weight: table.take_or("weight", 1),
         classes: allowed,
     };
-    if found.weight == 0 || found.limit.0 == 0 {
-        sub.add_fault(
+    if customer.weight == 0 || customer.limit.0 == 0 {
+        table.add_fault(
             "weight",
             Code::SettingsValue,
             "Give weight and limit above zero.",
         );
     }
-    end(sub, faults);
-    (token, found)
+    finish(table, faults);
+    (token, customer)
 }
 
-fn token(sub: &mut Reader) -> [u8; 32] {
-    let text: String = sub.take("token_sha256");
+fn parse_token(table: &mut Reader) -> [u8; 32] {
+    let text: String = table.take("token_sha256");
     let mut bytes = [0; 32];
     let digits: Option<Vec<u8>> = (text.is_ascii() && text.len() == 64)
         .then(|| {
@@ -232,54 +232,54 @@
     match digits {
         Some(digits) => bytes.copy_from_slice(&digits),
         None => {
-            let mend = "Give the SHA-256 of the bearer token as 64 hex digits.";
-            sub.add_fault("token_sha256", Code::SettingsValue, mend);
+            let remedy = "Give the SHA-256 of the bearer token as 64 hex digits.";
+            table.add_fault("token_sha256", Code::SettingsValue, remedy);
         }
     }
     bytes
 }
 
-fn event(name: &str, mut sub: Reader, tiers: &[Arc<str>], faults: &mut Faults) -> Event {
-    let start = time(&mut sub, "start");
-    let end_time = time(&mut sub, "end");
+fn parse_event(name: &str, mut table: Reader, tiers: &[Arc<str>], faults: &mut Faults) -> Event {
+    let start = parse_time(&mut table, "start");
+    let end_time = parse_time(&mut table, "end");
     if end_time <= start {
-        sub.add_fault(
+        table.add_fault(
             "end",
             Code::SettingsValue,
             "Let the event end after its start.",
         );
     }
-    let found = Event {
+    let event = Event {
         name: name.into(),
         start,
         end: end_time,
-        protect: tier(&mut sub, "protect", tiers),
-        reserve: sub.take_or("reserve", 25),
+        protect: parse_tier(&mut table, "protect", tiers),
+        reserve: table.take_or("reserve", 25),
     };
-    if found.reserve > 90 {
-        sub.add_fault(
+    if event.reserve > 90 {
+        table.add_fault(
             "reserve",
             Code::SettingsValue,
             "Reserve at most 90 in a hundred.",
         );
     }
-    end(sub, faults);
-    found
+    finish(table, faults);
+    event
 }
 
-fn time(sub: &mut Reader, field: &str) -> Time {
-    match sub.take_opt::<Datetime>(field).as_ref().and_then(to_time) {
+fn parse_time(table: &mut Reader, field: &str) -> Time {
+    match table.take_opt::<Datetime>(field).as_ref().and_then(to_time) {
         Some(time) => time,
         None => {
-            let mend = "Give a UTC time such as 2026-12-04T17:00:00Z.";
-            sub.add_fault(field, Code::SettingsValue, mend);
+            let remedy = "Give a UTC time such as 2026-12-04T17:00:00Z.";
+            table.add_fault(field, Code::SettingsValue, remedy);
             Time(0)
         }
     }
 }
 
-/// Days from the epoch by Howard Hinnant's `days_from_civil`.
-fn days(year: i64, month: i64, day: i64) -> i64 {
+/// Returns the days since the Unix epoch, by Howard Hinnant's `days_from_civil` algorithm.
+fn days_from_civil(year: i64, month: i64, day: i64) -> i64 {
     let year = if month <= 2 { year - 1 } else { year };
     let era = year.div_euclid(400);
     let of_era = year.rem_euclid(400);
@@ -293,7 +293,7 @@
         toml::value::Offset::Z => 0,
         toml::value::Offset::Custom { minutes } => i64::from(minutes),
     };
-    let days = days(date.year.into(), date.month.into(), date.day.into());
+    let days = days_from_civil(date.year.into(), date.month.into(), date.day.into());
     let second = i64::from(time.second.unwrap_or(0));
     let secs = days * 86_400 + i64::from(time.hour) * 3_600 + i64::from(time.minute) * 60 + second;
     u64::try_from(secs - minutes * 60)
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -1,5 +1,5 @@
-//! Takes fields from a TOML table one by one, so that one bad field does not
-//! hide the next. serde alone stops at the first fault of a file.
+//! Reads the fields of a TOML table one by one, so that all faults of a file are
+//! reported together. Deserialising with serde alone stops at the first fault.
 
 use std::collections::HashSet;
 
@@ -10,17 +10,17 @@
 
 use crate::fault::Faults;
 
-/// A table being read. Fields that nobody took are faults.
+/// A reader of a TOML table. Fields that are not taken are reported as unknown.
 #[derive(Debug)]
 pub struct Reader {
     table: Table,
     path: String,
-    /// What was found wrong so far.
+    /// The faults found so far.
     pub faults: Faults,
 }
 
 impl Reader {
-    /// Parses a whole file.
+    /// Parses a file and returns a reader of its root table.
     pub fn parse(text: &str) -> Result<Reader, Faults> {
         match text.parse::<Table>() {
             Ok(table) => Ok(Reader::new(table, String::new())),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The path of a field of this table.
+    /// Returns the path of a field of this table.
     pub fn path_of(&self, field: &str) -> String {
         match self.path.as_str() {
             "" => field.into(),
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Notes a fault at a field of this table.
+    /// Adds a fault at a field of this table.
     pub fn add_fault(&mut self, field: &str, code: Code, remedy: impl Into<String>) {
         let path = self.path_of(field);
         self.faults.add(&path, code, remedy);
     }
 
-    /// Takes a field, or none with no fault where it is absent.
+    /// Takes an optional field. A value of the wrong form is a fault and gives `None`.
     pub fn take_opt<T: DeserializeOwned>(&mut self, field: &str) -> Option<T> {
         let value = self.table.remove(field)?;
         match value.try_into() {
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Takes a field, or its default where it is absent.
+    /// Takes a field, or `default` if it is absent or has the wrong form.
     pub fn take_or<T: DeserializeOwned>(&mut self, field: &str, default: T) -> T {
         self.take_opt(field).unwrap_or(default)
     }
 
-    /// Takes a field that must be there; its absence is a fault.
+    /// Takes a required field; its absence is a fault.
     pub fn take<T: DeserializeOwned + Default>(&mut self, field: &str) -> T {
         if !self.table.contains_key(field) {
             self.add_fault(
@@ -88,7 +88,7 @@
         self.take_opt(field).unwrap_or_default()
     }
 
-    /// Takes a table within this one; an absent one reads as empty.
+    /// Takes a nested table; an absent table is read as an empty one.
     pub fn take_table(&mut self, field: &str) -> Reader {
         let path = self.path_of(field);
         match self.table.remove(field) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes an array of named tables, each with its name.
+    /// Takes an array of tables that each have a unique `name`, together with the names.
     pub fn take_named_tables(&mut self, field: &str) -> Vec<(String, Reader)> {
         let Some(value) = self.table.remove(field) else {
             return Vec::new();
@@ -114,7 +114,7 @@
             );
             return Vec::new();
         };
-        let mut found: Vec<(String, Reader)> = Vec::new();
+        let mut named_tables: Vec<(String, Reader)> = Vec::new();
         let mut names = HashSet::new();
         for (index, item) in items.into_iter().enumerate() {
             let Value::Table(table) = item else {
@@ -125,21 +125,21 @@
                 );
                 continue;
             };
-            let mut sub = Reader::new(table, format!("{}.{index}", self.path_of(field)));
-            let name: String = sub.take("name");
-            sub.path = format!("{}.{name}", self.path_of(field));
+            let mut table_reader = Reader::new(table, format!("{}.{index}", self.path_of(field)));
+            let name: String = table_reader.take("name");
+            table_reader.path = format!("{}.{name}", self.path_of(field));
             if !names.insert(name.clone()) {
-                sub.add_fault("name", Code::NameTwice, "Rename or remove one of the two.");
+                table_reader.add_fault("name", Code::NameTwice, "Rename or remove one of the two.");
             }
-            found.push((name, sub));
+            named_tables.push((name, table_reader));
         }
-        found
+        named_tables
     }
 
-    /// Ends the reading: what nobody took is a fault each.
+    /// Returns all faults, with one for each field that was not taken.
     pub fn finish(mut self) -> Faults {
-        let left: Vec<String> = self.table.keys().cloned().collect();
-        for field in left {
+        let unknown: Vec<String> = self.table.keys().cloned().collect();
+        for field in unknown {
             self.add_fault(
                 &field,
                 Code::SettingsValue,
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What one process is told about itself.
+//! The settings of one node, read when it starts.
 
 use std::net::SocketAddr;
 
@@ -15,36 +15,36 @@
 pub struct Settings {
     /// The name of the entry host.
     pub host: id::Host,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: id::DataCentre,
-    /// Where callers are served.
+    /// The address that listens for callers.
     pub callers: SocketAddr,
-    /// Where other nodes are met.
+    /// The address that listens for other nodes.
     pub peers: SocketAddr,
-    /// Where operators are served.
+    /// The address that listens for operators.
     pub operators: SocketAddr,
-    /// `ip:port` of the platform's read-only service.
+    /// The address of the platform's read-only service.
     pub platform: SocketAddr,
-    /// How long one waiting read of the platform may last.
+    /// The maximum duration of one long poll of the platform.
     pub platform_wait: Span,
-    /// Key and certificates between nodes, in PEM.
+    /// The key and certificates for connections between nodes, in PEM.
     pub identity: Identity,
-    /// Bounds on what is held.
+    /// Limits on what this node holds.
     pub limits: Limits,
-    /// Time between two heartbeats to a peer.
+    /// The interval of heartbeats to a peer.
     pub heartbeat: Span,
-    /// How long a planned stop waits for requests in progress.
+    /// The maximum time that a planned stop waits for requests in progress.
     pub stop_within: Span,
 }
 
-/// Key and certificates, in PEM.
+/// The key and certificates of a node, in PEM.
 #[derive(Clone, Default)]
 pub struct Identity {
-    /// This node's certificate chain.
+    /// The certificate chain of the node.
     pub certificate: String,
-    /// This node's private key.
+    /// The private key of the node.
     pub key: String,
-    /// The authority that signs every node's certificate.
+    /// The certificate of the authority that signs the certificates of all nodes.
     pub authority: String,
 }
 
@@ -54,18 +54,18 @@
     }
 }
 
-/// Bounds on what one node holds.
+/// Limits on what one node holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest body of a request.
+    /// The maximum size of a request body.
     pub body: Size,
-    /// Bytes of all bodies held at once.
+    /// The maximum total size of the request bodies held at once.
     pub bodies: Size,
-    /// How long a caller may take to send its head, and then its body.
+    /// The maximum time for a caller to send the head of a request, and again for its body.
     pub receive_within: Span,
-    /// Requests held at once.
+    /// The maximum number of requests held at once.
     pub requests: usize,
-    /// Bytes of recorded answers to keyed requests.
+    /// The maximum total size of the recorded responses to requests with a key.
     pub answers: Size,
 }
 
--- a/crates/config/src/settings/parse.rs
+++ b/crates/config/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the settings and reports every fault in them.
+//! Parses the settings of a node and reports every fault in them.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -15,15 +15,17 @@
 use crate::fault::Faults;
 use crate::read::Reader;
 
-/// Shortest and longest waiting read. Longer ones would let a node's word for
-/// the host list it read lapse between two reads.
-const WAIT_LEAST: Span = Span::from_secs(1);
-const WAIT_MOST: Span = Span::from_secs(30);
+/// The minimum duration of a long poll of the platform.
+const MIN_PLATFORM_WAIT: Span = Span::from_secs(1);
+/// The maximum duration of a long poll of the platform. With a longer one, a node's
+/// confirmation that its host list is current would expire between two polls.
+const MAX_PLATFORM_WAIT: Span = Span::from_secs(30);
 
-/// Largest sum of bodies.
-const BODIES_MOST: Size = Size::from_mib(1_024);
+/// The upper limit for the total size of the request bodies held at once.
+const MAX_TOTAL_BODIES: Size = Size::from_mib(1_024);
 
-const UNSET: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// The placeholder for an address that cannot be parsed; a fault is reported with it.
+const INVALID_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// Parses the settings of one node.
 pub fn parse(text: &str) -> Result<Settings, Faults> {
@@ -34,14 +36,14 @@
     let mut identity = reader.take_table("identity");
     let mut limits = reader.take_table("limits");
     let settings = Settings {
-        host: id::Host::new(&name(&mut node, "host")),
-        data_centre: id::DataCentre::new(&name(&mut node, "data_centre")),
+        host: id::Host::new(&read_name(&mut node, "host")),
+        data_centre: id::DataCentre::new(&read_name(&mut node, "data_centre")),
         heartbeat: node.take_or("heartbeat", Span::from_millis(100)),
         stop_within: node.take_or("stop_within", Span::from_secs(60)),
-        callers: address(&mut listen, "callers"),
-        peers: address(&mut listen, "peers"),
-        operators: address(&mut listen, "operators"),
-        platform: address(&mut platform, "address"),
+        callers: read_address(&mut listen, "callers"),
+        peers: read_address(&mut listen, "peers"),
+        operators: read_address(&mut listen, "operators"),
+        platform: read_address(&mut platform, "address"),
         platform_wait: platform.take_or("wait", Span::from_secs(30)),
         identity: Identity {
             certificate: identity.take("certificate"),
@@ -57,54 +59,54 @@
             "Give a time from 10ms to 5s.",
         );
     }
-    if settings.platform_wait < WAIT_LEAST || settings.platform_wait > WAIT_MOST {
+    if settings.platform_wait < MIN_PLATFORM_WAIT || settings.platform_wait > MAX_PLATFORM_WAIT {
         platform.add_fault("wait", Code::SettingsValue, "Give a time from 1s to 30s.");
     }
     let mut faults = reader.finish();
-    for sub in [node, listen, platform, identity, limits] {
-        faults.0.append(&mut sub.finish().0);
+    for table in [node, listen, platform, identity, limits] {
+        faults.0.append(&mut table.finish().0);
     }
     faults.into_result(settings)
 }
 
-fn name(sub: &mut Reader, field: &str) -> String {
-    let text: String = sub.take(field);
+fn read_name(table: &mut Reader, field: &str) -> String {
+    let text: String = table.take(field);
     if text.is_empty() {
-        sub.add_fault(field, Code::SettingsValue, "Give a name.");
+        table.add_fault(field, Code::SettingsValue, "Give a name.");
     }
     text
 }
 
-fn address(sub: &mut Reader, field: &str) -> SocketAddr {
-    let text: String = sub.take(field);
+fn read_address(table: &mut Reader, field: &str) -> SocketAddr {
+    let text: String = table.take(field);
     match text.parse() {
         Ok(address) => address,
         Err(_) => {
-            sub.add_fault(
+            table.add_fault(
                 field,
                 Code::SettingsValue,
                 "Give an address such as \"10.0.0.1:8080\".",
             );
-            UNSET
+            INVALID_ADDRESS
         }
     }
 }
 
-fn read_limits(sub: &mut Reader) -> Limits {
-    let usual = Limits::default();
-    let found = Limits {
-        body: sub.take_or("body", usual.body),
-        bodies: sub.take_or("bodies", usual.bodies),
-        receive_within: sub.take_or("receive_within", usual.receive_within),
-        requests: sub.take_or("requests", usual.requests),
-        answers: sub.take_or("answers", usual.answers),
+fn read_limits(table: &mut Reader) -> Limits {
+    let defaults = Limits::default();
+    let limits = Limits {
+        body: table.take_or("body", defaults.body),
+        bodies: table.take_or("bodies", defaults.bodies),
+        receive_within: table.take_or("receive_within", defaults.receive_within),
+        requests: table.take_or("requests", defaults.requests),
+        answers: table.take_or("answers", defaults.answers),
     };
-    if found.bodies < found.body || found.bodies > BODIES_MOST {
-        let mend = "Give at least the size of one body and at most 1024MiB.";
-        sub.add_fault("bodies", Code::SettingsValue, mend);
+    if limits.bodies < limits.body || limits.bodies > MAX_TOTAL_BODIES {
+        let remedy = "Give at least the size of one body and at most 1024MiB.";
+        table.add_fault("bodies", Code::SettingsValue, remedy);
     }
-    if found.requests == 0 {
-        sub.add_fault("requests", Code::SettingsValue, "Give a number above zero.");
+    if limits.requests == 0 {
+        table.add_fault("requests", Code::SettingsValue, "Give a number above zero.");
     }
-    found
+    limits
 }
--- a/crates/types/src/code.rs
+++ b/crates/types/src/code.rs
@@ -15,7 +15,8 @@
     NotRun,
     /// This node cannot determine whether the request ran.
     Unknown,
-    /// The code reports a fault in settings or configuration, not in a request.
+    /// The code is not about the execution of a request: mostly faults in settings or
+    /// configuration.
     None,
 }
 
