--- a/crates/body/src/lib.rs
+++ b/crates/body/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads complete HTTP bodies with a limit on the time between two frames.
 //!
-//! A limit on the total time would fail for a long body on a slow link, and would fail
-//! again on every retry.
+//! A limit on the total time would reject a long body on a slow link, and every retry
+//! of it as well.
 
 use std::time::Duration;
 
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The monotonic clock of the standard library (`CLOCK_MONOTONIC` on Linux) stops while
 //! the host is suspended, and so do the timers of the runtime. A caller's deadline would
-//! then move back by the duration of the suspension: this node would wait for the response
+//! then be extended by the duration of the suspension: this node would wait for a response
 //! beyond the deadline, and would grant an endpoint time that the caller does not have.
 //! `CLOCK_BOOTTIME` includes suspension and never steps either.
 //!
@@ -52,7 +52,7 @@
         Clock::from_source(since_boot)
     }
 
-    /// Creates a clock that reads another source of time, such as a simulated suspension in tests.
+    /// Creates a clock on another source of time, for tests that simulate a suspension.
     pub fn from_source(source: impl Fn() -> Duration + 'static) -> Clock {
         Clock {
             start: source(),
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -50,12 +50,13 @@
     };
     let mut after = body.clone();
     merge(&mut after, parse(intent)?)?;
-    let text = toml::to_string(&after).map_err(|error| invalid("file", error.to_string()))?;
+    let text =
+        toml::to_string(&after).map_err(|error| invalid_intent("file", error.to_string()))?;
     let revision = base.revision + 1;
     let document = published::write(revision, &base.digest, &text);
     let config = published::parse(&document)?;
     Ok(Plan {
-        changes: compare(&body, &after),
+        changes: diff(&body, &after),
         document,
         confirmation: config.confirmation,
     })
@@ -63,10 +64,10 @@
 
 fn parse(text: &str) -> Result<Table, Faults> {
     text.parse()
-        .map_err(|error: toml::de::Error| invalid("file", error.to_string()))
+        .map_err(|error: toml::de::Error| invalid_intent("file", error.to_string()))
 }
 
-fn invalid(path: &str, remedy: impl Into<String>) -> Faults {
+fn invalid_intent(path: &str, remedy: impl Into<String>) -> Faults {
     let mut faults = Faults::default();
     faults.add(path, Code::IntentInvalid, remedy);
     faults
@@ -108,7 +109,7 @@
 }
 
 fn remove(document: &mut Table, path: &str) -> Result<(), Faults> {
-    let unknown = || invalid(path, "Name what to remove as \"table.name\".");
+    let unknown = || invalid_intent(path, "Name what to remove as \"table.name\".");
     let (field, name) = path.split_once('.').ok_or_else(unknown)?;
     let items = document
         .get_mut(field)
@@ -141,7 +142,7 @@
     entries
 }
 
-fn compare(before: &Table, after: &Table) -> Vec<Change> {
+fn diff(before: &Table, after: &Table) -> Vec<Change> {
     let before = flatten(before);
     let after = flatten(after);
     let find = |entries: &[(String, String)], path: &str| {
--- a/crates/config/src/published/mod.rs
+++ b/crates/config/src/published/mod.rs
@@ -45,7 +45,7 @@
 /// A customer with its limits and permissions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Customer {
-    /// Its name.
+    /// The name of the customer.
     pub name: id::Customer,
     /// The maximum rate of requests, summed over the whole fleet.
     pub limit: Rate,
@@ -58,11 +58,11 @@
 /// A class of work, which sets the priority and the handling of its requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: id::Class,
-    /// Its tier.
+    /// The tier of its requests.
     pub tier: Tier,
-    /// The model or service it is for.
+    /// The model or service that it applies to.
     pub target: id::Target,
     /// Whether it is safe to run a request twice.
     pub repeatable: bool,
@@ -87,7 +87,7 @@
 /// A model or a service with the properties of its endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// Its name.
+    /// The name of the target.
     pub name: id::Target,
     /// Whether it is a model or a service.
     pub kind: Kind,
@@ -113,11 +113,11 @@
 /// the more protected tiers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
-    /// Its name.
+    /// The name of the event.
     pub name: Arc<str>,
-    /// When it starts.
+    /// The start of the event.
     pub start: Time,
-    /// When it ends.
+    /// The end of the event, exclusive.
     pub end: Time,
     /// The least protected tier that may use the reserved slots.
     pub protect: Tier,
--- a/crates/types/tests/types/main.rs
+++ b/crates/types/tests/types/main.rs
@@ -69,12 +69,12 @@
     };
 
     removing_a_member_moves_only_its_subjects => {
-        let all: Vec<String> = (0..8).map(|at| format!("entry-{at}")).collect();
+        let members: Vec<String> = (0..8).map(|index| format!("entry-{index}")).collect();
         for subject in 0..1_000 {
             let subject = format!("subject-{subject}");
-            let before = hash::owner(&subject, all.iter()).expect("an owner");
-            let rest = all.iter().filter(|name| *name != "entry-3");
-            let after = hash::owner(&subject, rest).expect("an owner");
+            let before = hash::owner(&subject, members.iter()).expect("an owner");
+            let remaining = members.iter().filter(|name| *name != "entry-3");
+            let after = hash::owner(&subject, remaining).expect("an owner");
             assert!(before == after || before == "entry-3");
         }
     };
