--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,18 +1,18 @@
-//! One thing wrong with a file.
+//! Faults found in a file.
 
 use std::fmt;
 
 use woadstage_types::code::Code;
 
-/// A fault: where it is, what kind it is, and how to mend it.
+/// A fault in a file: its location, its kind and how to correct it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// The path of the field, such as `classes.recap.tier`.
-    pub place: String,
+    pub path: String,
     /// The numbered result code.
     pub code: Code,
-    /// What to do about it.
-    pub mend: String,
+    /// How to correct it.
+    pub remedy: String,
 }
 
 impl fmt::Display for Fault {
@@ -21,28 +21,28 @@
             f,
             "{} {}: {} {}",
             self.code,
-            self.place,
+            self.path,
             self.code.text(),
-            self.mend
+            self.remedy
         )
     }
 }
 
-/// Every fault found in one file.
+/// All faults found in one file.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Notes one fault.
-    pub fn add(&mut self, place: &str, code: Code, mend: impl Into<String>) {
+    /// Adds a fault.
+    pub fn add(&mut self, path: &str, code: Code, remedy: impl Into<String>) {
         self.0.push(Fault {
-            place: place.into(),
+            path: path.into(),
             code,
-            mend: mend.into(),
+            remedy: remedy.into(),
         });
     }
 
-    /// Gives `value` if nothing was wrong, else all that was.
+    /// Returns `value` if there are no faults, else the faults.
     pub fn into_result<T>(self, value: T) -> Result<T, Faults> {
         if self.0.is_empty() {
             Ok(value)
--- a/crates/config/src/read.rs
+++ b/crates/config/src/read.rs
@@ -1,5 +1,5 @@
-//! Takes fields from a TOML table one by one, so that one bad field does not
-//! hide the next. serde alone stops at the first fault of a file.
+//! Reads the fields of a TOML table one by one, so that all faults of a file are
+//! reported together. Deserialising with serde alone stops at the first fault.
 
 use std::collections::HashSet;
 
@@ -10,17 +10,17 @@
 
 use crate::fault::Faults;
 
-/// A table being read. Fields that nobody took are faults.
+/// A reader of a TOML table. Fields that are not taken are reported as unknown.
 #[derive(Debug)]
 pub struct Reader {
     table: Table,
-    place: String,
-    /// What was found wrong so far.
+    path: String,
+    /// The faults found so far.
     pub faults: Faults,
 }
 
 impl Reader {
-    /// Parses a whole file.
+    /// Parses a file and returns a reader of its root table.
     pub fn parse(text: &str) -> Result<Reader, Faults> {
         match text.parse::<Table>() {
             Ok(table) => Ok(Reader::new(table, String::new())),
@@ -36,50 +36,50 @@
         }
     }
 
-    fn new(table: Table, place: String) -> Reader {
+    fn new(table: Table, path: String) -> Reader {
         Reader {
             table,
-            place,
+            path,
             faults: Faults::default(),
         }
     }
 
-    /// The path of a field of this table.
-    pub fn at(&self, field: &str) -> String {
-        match self.place.as_str() {
+    /// Returns the path of a field of this table.
+    pub fn path_of(&self, field: &str) -> String {
+        match self.path.as_str() {
             "" => field.into(),
-            place => format!("{place}.{field}"),
+            path => format!("{path}.{field}"),
         }
     }
 
-    /// Notes a fault at a field of this table.
-    pub fn fault(&mut self, field: &str, code: Code, mend: impl Into<String>) {
-        let place = self.at(field);
-        self.faults.add(&place, code, mend);
+    /// Adds a fault at a field of this table.
+    pub fn add_fault(&mut self, field: &str, code: Code, remedy: impl Into<String>) {
+        let path = self.path_of(field);
+        self.faults.add(&path, code, remedy);
     }
 
-    /// Takes a field, or none with no fault where it is absent.
+    /// Takes an optional field. A value of the wrong form is a fault and gives `None`.
     pub fn take_opt<T: DeserializeOwned>(&mut self, field: &str) -> Option<T> {
         let value = self.table.remove(field)?;
         match value.try_into() {
             Ok(value) => Some(value),
             Err(error) => {
-                let mend = format!("Mend the value: {}.", error.to_string().trim());
-                self.fault(field, Code::SettingsValue, mend);
+                let remedy = format!("Mend the value: {}.", error.to_string().trim());
+                self.add_fault(field, Code::SettingsValue, remedy);
                 None
             }
         }
     }
 
-    /// Takes a field, or its default where it is absent.
+    /// Takes a field, or `default` if it is absent or has the wrong form.
     pub fn take_or<T: DeserializeOwned>(&mut self, field: &str, default: T) -> T {
         self.take_opt(field).unwrap_or(default)
     }
 
-    /// Takes a field that must be there; its absence is a fault.
+    /// Takes a required field; its absence is a fault.
     pub fn take<T: DeserializeOwned + Default>(&mut self, field: &str) -> T {
         if !self.table.contains_key(field) {
-            self.fault(
+            self.add_fault(
                 field,
                 Code::SettingsValue,
                 "Give this field; it has no default.",
@@ -88,63 +88,59 @@
         self.take_opt(field).unwrap_or_default()
     }
 
-    /// Takes a table within this one; an absent one reads as empty.
-    pub fn sub(&mut self, field: &str) -> Reader {
-        let place = self.at(field);
+    /// Takes a nested table; an absent table is read as an empty one.
+    pub fn take_table(&mut self, field: &str) -> Reader {
+        let path = self.path_of(field);
         match self.table.remove(field) {
-            Some(Value::Table(table)) => Reader::new(table, place),
-            None => Reader::new(Table::new(), place),
+            Some(Value::Table(table)) => Reader::new(table, path),
+            None => Reader::new(Table::new(), path),
             Some(_) => {
-                self.fault(
-                    field,
-                    Code::SettingsValue,
-                    format!("Write it as [{place}]."),
-                );
-                Reader::new(Table::new(), place)
+                self.add_fault(field, Code::SettingsValue, format!("Write it as [{path}]."));
+                Reader::new(Table::new(), path)
             }
         }
     }
 
-    /// Takes an array of named tables, each with its name.
-    pub fn named(&mut self, field: &str) -> Vec<(String, Reader)> {
+    /// Takes an array of tables that each have a unique `name`, together with the names.
+    pub fn take_named_tables(&mut self, field: &str) -> Vec<(String, Reader)> {
         let Some(value) = self.table.remove(field) else {
             return Vec::new();
         };
         let Value::Array(items) = value else {
-            self.fault(
+            self.add_fault(
                 field,
                 Code::SettingsValue,
                 format!("Write each as [[{field}]]."),
             );
             return Vec::new();
         };
-        let mut found: Vec<(String, Reader)> = Vec::new();
+        let mut named_tables: Vec<(String, Reader)> = Vec::new();
         let mut names = HashSet::new();
         for (index, item) in items.into_iter().enumerate() {
             let Value::Table(table) = item else {
-                self.fault(
+                self.add_fault(
                     field,
                     Code::SettingsValue,
                     format!("Write each as [[{field}]]."),
                 );
                 continue;
             };
-            let mut sub = Reader::new(table, format!("{}.{index}", self.at(field)));
-            let name: String = sub.take("name");
-            sub.place = format!("{}.{name}", self.at(field));
+            let mut table_reader = Reader::new(table, format!("{}.{index}", self.path_of(field)));
+            let name: String = table_reader.take("name");
+            table_reader.path = format!("{}.{name}", self.path_of(field));
             if !names.insert(name.clone()) {
-                sub.fault("name", Code::NameTwice, "Rename or remove one of the two.");
+                table_reader.add_fault("name", Code::NameTwice, "Rename or remove one of the two.");
             }
-            found.push((name, sub));
+            named_tables.push((name, table_reader));
         }
-        found
+        named_tables
     }
 
-    /// Ends the reading: what nobody took is a fault each.
+    /// Returns all faults, with one for each field that was not taken.
     pub fn finish(mut self) -> Faults {
-        let left: Vec<String> = self.table.keys().cloned().collect();
-        for field in left {
-            self.fault(
+        let unknown: Vec<String> = self.table.keys().cloned().collect();
+        for field in unknown {
+            self.add_fault(
                 &field,
                 Code::SettingsValue,
                 "Remove it: there is no such field here.",
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -25,7 +25,7 @@
     /// suspension.
     pub fn reading(read: impl Fn() -> Duration + 'static) -> Clock {
         Clock {
-            clock: woadstage_clock::Clock::reading(read),
+            clock: woadstage_clock::Clock::from_source(read),
         }
     }
 
--- a/crates/gateway/src/serve/handle.rs
+++ b/crates/gateway/src/serve/handle.rs
@@ -103,7 +103,7 @@
         || shell.query(|dispatcher, now| dispatcher.retry_after_estimate(now, wait, timeout));
     let reply = Reply {
         code,
-        retry_after: code.mends().then(retry_after),
+        retry_after: code.is_transient().then(retry_after),
         wait: None,
         owner: None,
     };
--- a/crates/gateway/tests/gateway/settings.rs
+++ b/crates/gateway/tests/gateway/settings.rs
@@ -86,10 +86,7 @@
     let text = SETTINGS.replace(valid, invalid);
     assert_ne!(text, SETTINGS);
     let faults = settings::parse(&text).expect_err("the settings are invalid");
-    assert!(
-        faults.0.iter().any(|fault| fault.place == place),
-        "{faults}"
-    );
+    assert!(faults.0.iter().any(|fault| fault.path == place), "{faults}");
 }
 
 #[test]
