--- a/crates/losses/src/lib.rs
+++ b/crates/losses/src/lib.rs
@@ -1,12 +1,12 @@
-//! Says from the logs of any number of gateway nodes where requests were lost,
-//! and why: by route, by window of time and by endpoint.
+//! Finds lost requests and their causes in the logs of any number of gateway
+//! nodes, grouped by route, time window and endpoint.
 //!
-//! * [`mod@line`]: one line of a log, decoded.
-//! * [`clock`]: hosts' clocks, put side by side.
-//! * [`request`]: what became of one request.
-//! * [`report`]: sums of all requests.
-//! * [`mod@write`]: a report as tables.
-//! * [`plot`]: a report as a picture.
+//! * [`mod@line`]: parses log lines.
+//! * [`clock`]: aligns the clocks of hosts.
+//! * [`request`]: the outcome of one request and its cause.
+//! * [`report`]: aggregates all requests.
+//! * [`mod@write`]: prints a report as tables or JSON.
+//! * [`plot`]: draws a report as an SVG chart.
 
 pub mod clock;
 pub mod line;
--- a/crates/losses/src/line.rs
+++ b/crates/losses/src/line.rs
@@ -1,4 +1,5 @@
-//! One line of a gateway's log, as far as losses are told from it.
+//! Parsing of gateway log lines, limited to the events and fields that show
+//! losses.
 
 use std::io;
 use std::io::BufRead;
@@ -6,144 +7,145 @@
 use serde::Deserialize;
 use woadstage_gateway::explain;
 
-/// One line of a log.
+/// A log line.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Line {
-    /// The host's time of day, in milliseconds.
+    /// Wall-clock time of the host, in milliseconds.
     pub time_ms: u64,
-    /// What happened.
+    /// The logged event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What a line speaks of. docs/EVENTS.md describes the fields.
+/// The event of a log line. docs/EVENTS.md describes the fields.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event {
-    /// A process began.
+    /// A process started.
     Started {
-        /// Its host.
+        /// Name of the host.
         host: String,
     },
-    /// A configuration came into force.
+    /// A configuration took effect.
     Configuration {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
     },
-    /// A list of endpoints came into force.
+    /// An endpoint list took effect.
     Endpoints {
-        /// Its revision.
+        /// Revision of the list.
         revision: u64,
     },
-    /// Something that the process depends on was lost or regained.
+    /// A dependency of the process became unreachable or reachable.
     Dependency {
-        /// What it is.
+        /// Name of the dependency.
         name: String,
-        /// True where it is there.
+        /// Whether it is reachable.
         reached: bool,
     },
-    /// A request was let in.
+    /// A request was admitted.
     Accepted {
-        /// Its id.
+        /// Request id.
         request: String,
-        /// Its route.
+        /// Name of the route.
         route: String,
-        /// Its objective, in milliseconds.
+        /// Latency objective for the first event or the answer, in milliseconds.
         objective_ms: u64,
-        /// The longest pause between events that is in time; 0 for no bound.
+        /// The longest permitted pause between events, in milliseconds; 0 for no
+        /// limit.
         pause_limit_ms: u64,
-        /// True where its caller seems to have been refused before.
+        /// Whether the caller appears to retry after a refusal.
         returning: bool,
     },
-    /// A customer was over its limit.
+    /// A customer exceeded its quota.
     OverLimit {
-        /// The request's id.
+        /// Request id.
         request: String,
-        /// Its route; older logs do not have it.
+        /// Name of the route; empty in logs of older releases.
         #[serde(default)]
         route: String,
     },
-    /// A request went to an endpoint.
+    /// A request was sent to an endpoint.
     Sent {
-        /// Its id.
+        /// Request id.
         request: String,
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
-        /// How long it had waited, in milliseconds.
+        /// Queueing time before it was sent, in milliseconds.
         waited_ms: u64,
-        /// Prompt tokens of its own that the endpoint has to read.
+        /// Prompt tokens that are not in the endpoint's prefix cache.
         uncached: u64,
     },
     /// An attempt ended.
     Attempt {
-        /// The request's id.
+        /// Request id.
         request: String,
-        /// How it ended.
+        /// How the attempt ended.
         end: String,
-        /// What follows.
+        /// What the node does next.
         next: String,
     },
-    /// A request got its final answer.
+    /// A request received its final answer.
     Answered {
-        /// Its id.
+        /// Request id.
         request: String,
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// The node's own result code; empty for an endpoint's answer.
+        /// Result code of the node; empty if the endpoint answered.
         code: String,
-        /// From its arrival to the end, in milliseconds.
+        /// Time from arrival to the end of the answer, in milliseconds.
         after_ms: u64,
-        /// Events of a stream.
+        /// Number of events in a stream; 0 for a plain answer.
         #[serde(default)]
         events: u32,
-        /// From its arrival to the first event, in milliseconds.
+        /// Time from arrival to the first event, in milliseconds.
         #[serde(default)]
         first_ms: u64,
         /// The longest pause between two events, in milliseconds.
         #[serde(default)]
         pause_ms: u64,
-        /// Endpoints that were passed over as they said that they leave.
+        /// Endpoints that were skipped because they had announced that they leave.
         #[serde(default)]
         passed_leaving: String,
-        /// Endpoints that were passed over as they had asked for rest.
+        /// Endpoints that were skipped because they had asked for a rest.
         #[serde(default)]
         passed_resting: String,
     },
-    /// A caller left.
+    /// A caller disconnected.
     Left {
-        /// The request's id.
+        /// Request id.
         request: String,
     },
-    /// An answer broke off.
+    /// An answer was cut off before its end.
     Cut {
-        /// The request's id.
+        /// Request id.
         request: String,
     },
-    /// Lines were left out.
+    /// The node dropped log lines.
     LeftOut {
-        /// How many.
+        /// Number of dropped lines.
         lines: u64,
     },
-    /// A line that says nothing of losses.
+    /// Any other event.
     #[serde(other)]
     Other,
 }
 
-/// The lines of one file.
+/// The parsed lines of one log file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct File {
-    /// What could be read, in its order.
+    /// Parsed lines, in the order of the file.
     pub lines: Vec<Line>,
-    /// Lines that look like an event and could not be read: cut off, or of a
-    /// release that this one does not know.
+    /// Number of lines that look like an event but could not be parsed, because
+    /// they are truncated or come from an unknown release.
     pub unreadable: u64,
 }
 
-/// Reads a log. Lines without a brace are passed over, and so is what stands
-/// before the first one, as log collectors put their own words there.
+/// Reads a log. Skips lines without a brace and any text before the first brace,
+/// because log collectors insert text of their own there.
 ///
 /// # Errors
-/// Where the log cannot be read.
+/// Returns an error if the log cannot be read.
 pub fn read(log: impl BufRead) -> io::Result<File> {
     let mut file = File::default();
     for text in log.lines() {
--- a/crates/losses/src/plot.rs
+++ b/crates/losses/src/plot.rs
@@ -1,5 +1,5 @@
-//! A report as a picture: what became of the requests of each window, stacked,
-//! with the starts of nodes and losses of the platform marked.
+//! Draws a report as an SVG chart: a bar for each time window, stacked by cause,
+//! with marks for starts of nodes and losses and recoveries of the platform.
 
 use std::path::Path;
 
@@ -10,22 +10,25 @@
 use crate::report::Report;
 use crate::request::Cause;
 
-/// Size of the picture, in pixels.
-const SIZE: (u32, u32) = (1_200, 600);
+/// Width and height of the chart, in pixels.
+const SIZE_PX: (u32, u32) = (1_200, 600);
 
-/// Width of the legend, its first row and the distance of its rows, in pixels.
-const LEGEND_WIDTH: u32 = 160;
-const LEGEND_TOP: i32 = 50;
-const LEGEND_ROW: i32 = 20;
+/// Width of the legend, position of its first row and height of a row, in pixels.
+const LEGEND_WIDTH_PX: u32 = 160;
+const LEGEND_TOP_PX: i32 = 50;
+const LEGEND_ROW_PX: i32 = 20;
 
-/// Room above the highest bar, as a multiple of it.
+/// Upper end of the y axis, as a multiple of the highest bar.
 const HEADROOM: f64 = 1.05;
 
-/// What happens to nodes, as it is marked.
-const MARKS: [&str; 3] = ["started", "platform lost", "platform regained"];
+/// Descriptions of the marks in the legend.
+const MARK_LABELS: [&str; 3] = ["started", "platform lost", "platform regained"];
 
-/// The colour of a cause: served in time green, late yellow to brown, refused
-/// blue, limits violet, lost red, the callers' own grey.
+/// Returns the colour of a cause: green for served in time, yellow to brown for
+/// late, blue for refused, dark green for leaving or resting endpoints, violet for
+/// quotas and the retry budget, teal for a missing configuration, red for lost,
+/// and grey for disconnected callers and for requests that are unfinished or not
+/// allowed.
 fn colour(cause: Cause) -> RGBColor {
     match cause {
         Cause::InTime => RGBColor(120, 180, 120),
@@ -52,32 +55,32 @@
 /// Draws a report into an SVG file.
 ///
 /// # Errors
-/// Where the file cannot be written.
-pub fn plot(report: &Report, path: &Path) -> anyhow::Result<()> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+/// Returns an error if the file cannot be written.
+pub fn write_svg(report: &Report, path: &Path) -> anyhow::Result<()> {
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     draw(report, &root).map_err(|error| anyhow!("draw {}: {error}", path.display()))
 }
 
-/// What can go wrong while drawing.
-type Fault = DrawingAreaErrorKind<std::io::Error>;
+/// An error while drawing.
+type DrawError = DrawingAreaErrorKind<std::io::Error>;
 
-/// An area of the picture.
+/// A drawing area of the chart.
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-fn draw(report: &Report, root: &Area<'_>) -> Result<(), Fault> {
+fn draw(report: &Report, root: &Area<'_>) -> Result<(), DrawError> {
     root.fill(&WHITE)?;
-    let (chart, legend) = root.split_horizontally(SIZE.0 - LEGEND_WIDTH);
+    let (chart, legend) = root.split_horizontally(SIZE_PX.0 - LEGEND_WIDTH_PX);
     draw_chart(report, &chart)?;
     draw_legend(report, &legend)?;
     root.present()
 }
 
-fn draw_chart(report: &Report, area: &Area<'_>) -> Result<(), Fault> {
+fn draw_chart(report: &Report, area: &Area<'_>) -> Result<(), DrawError> {
     let window_s = to_seconds(report.window_ms);
     let last = report.windows.last();
     let until_s = last.map_or(window_s, |window| to_seconds(window.from_ms) + window_s);
-    let asked = report.windows.iter().map(|window| window.counts.asked);
-    let highest = asked.max().unwrap_or(0).max(1) as f64 * HEADROOM;
+    let totals = report.windows.iter().map(|window| window.counts.total);
+    let highest = totals.max().unwrap_or(0).max(1) as f64 * HEADROOM;
     let mut chart = ChartBuilder::on(area)
         .caption("Requests by what became of them", ("sans-serif", 20))
         .margin(10)
@@ -102,11 +105,11 @@
     Ok(())
 }
 
-/// The bars of each cause, stacked on those of the causes before it.
+/// Returns the bars of each cause, stacked on those of the preceding causes.
 fn to_bars(report: &Report) -> Vec<Vec<Rectangle<(f64, f64)>>> {
     let window_s = to_seconds(report.window_ms);
     let mut bases = vec![0.0; report.windows.len()];
-    let bars = shown(report).map(|cause| {
+    let bars = present_causes(report).map(|cause| {
         let windows = report.windows.iter().zip(&mut bases);
         let bars = windows.map(|(window, base)| {
             let from = to_seconds(window.from_ms);
@@ -122,19 +125,19 @@
     bars.collect()
 }
 
-fn draw_legend(report: &Report, area: &Area<'_>) -> Result<(), Fault> {
-    let causes = shown(report).map(|cause| (colour(cause), cause.as_str()));
-    let marks = MARKS.map(|what| (mark_colour(what), what));
+fn draw_legend(report: &Report, area: &Area<'_>) -> Result<(), DrawError> {
+    let causes = present_causes(report).map(|cause| (colour(cause), cause.as_str()));
+    let marks = MARK_LABELS.map(|what| (mark_colour(what), what));
     for (row, (colour, text)) in causes.chain(marks).enumerate() {
-        let y = LEGEND_TOP + row as i32 * LEGEND_ROW;
+        let y = LEGEND_TOP_PX + row as i32 * LEGEND_ROW_PX;
         area.draw(&Rectangle::new([(0, y), (12, y + 12)], colour.filled()))?;
         area.draw(&Text::new(text, (18, y + 1), ("sans-serif", 13)))?;
     }
     Ok(())
 }
 
-/// Causes that the report has, in the order in which they are stacked.
-fn shown(report: &Report) -> impl Iterator<Item = Cause> + '_ {
+/// Returns the causes that occur in the report, in stacking order.
+fn present_causes(report: &Report) -> impl Iterator<Item = Cause> + '_ {
     let causes = Cause::ALL.into_iter();
     causes.filter(|cause| report.all.count(*cause) > 0)
 }
--- a/crates/losses/src/report.rs
+++ b/crates/losses/src/report.rs
@@ -1,4 +1,4 @@
-//! Sums of what became of all requests.
+//! Aggregates requests by cause, route, time window and endpoint.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,10 +14,10 @@
 use crate::request::Cause;
 use crate::request::Request;
 
-/// What a report is made of.
+/// Settings of a report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// The length of a window, in milliseconds.
+    /// Length of a time window, in milliseconds.
     pub window_ms: u64,
 }
 
@@ -27,132 +27,142 @@
     }
 }
 
-/// Prompt tokens from which on a prompt that is read beside a stream counts as
-/// what made one of its pauses long: shorter ones are read within one event.
-const LONG_PROMPT: u64 = 2_000;
+/// The number of uncached prompt tokens from which on a prompt counts as a
+/// possible cause of a long pause in another stream of its endpoint. Shorter
+/// prompts are processed within one event.
+const LONG_PROMPT_TOKENS: u64 = 2_000;
 
-/// How many requests came to which end.
+/// Number of requests, in total and by cause.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Counts {
-    /// All of them.
-    pub asked: u64,
-    /// By cause; those that are left out are zero.
+    /// Total number of requests.
+    #[serde(rename = "asked")]
+    pub total: u64,
+    /// Number of requests by cause; absent causes are zero.
     pub causes: BTreeMap<Cause, u64>,
 }
 
 impl Counts {
     /// Counts one request.
     pub fn add(&mut self, cause: Cause) {
-        self.asked += 1;
+        self.total += 1;
         *self.causes.entry(cause).or_default() += 1;
     }
 
-    /// How many came to this end.
+    /// Returns the number of requests with this cause.
     pub fn count(&self, cause: Cause) -> u64 {
         self.causes.get(&cause).copied().unwrap_or(0)
     }
 }
 
-/// The requests of one route.
+/// Counts of one route.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Route {
-    /// Its name; empty for requests of which no line tells a route.
+    /// Name of the route; empty for requests without a known route.
     pub name: String,
-    /// What became of them.
+    /// Counts by cause.
     #[serde(flatten)]
     pub counts: Counts,
 }
 
-/// The requests that came within a window of time.
+/// Counts of the requests that arrived within one time window.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Window {
-    /// Its begin, in milliseconds since the first line of all.
+    /// Start of the window, in milliseconds since the first line of all logs.
     pub from_ms: u64,
-    /// What became of them.
+    /// Counts by cause.
     #[serde(flatten)]
     pub counts: Counts,
 }
 
-/// The streams and calls that one endpoint served.
+/// Counts and latencies of one endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// What became of the requests that were last sent there.
+    /// Counts of the requests whose last attempt went to this endpoint.
     #[serde(flatten)]
     pub counts: Counts,
     /// The median time from sending to the first event or answer, in
     /// milliseconds.
-    pub first_ms: u64,
+    #[serde(rename = "first_ms")]
+    pub median_first_event_ms: u64,
     /// The mean time between two events, in milliseconds; 0 without streams.
-    pub event_ms: u64,
+    #[serde(rename = "event_ms")]
+    pub mean_event_interval_ms: u64,
 }
 
-/// Something that happened to a node.
+/// A start of a node, or a loss or recovery of its connection to the platform.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Mark {
-    /// When, in milliseconds since the first line of all.
+    /// Time of the event, in milliseconds since the first line of all logs.
     pub at_ms: u64,
-    /// On which host, or the number of its file where no line tells.
+    /// Name of the host, or the number of the file if no earlier line names the
+    /// host.
     pub host: String,
-    /// What.
+    /// Description of the event.
     pub what: String,
 }
 
-/// All sums.
+/// The aggregated losses of all logs.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Hosts that tell their name in the logs.
+    /// Hosts that the logs name.
     pub hosts: Vec<String>,
-    /// Files without any line that could be read.
+    /// Number of files without a line that could be parsed.
     pub empty_files: u64,
-    /// Lines that could not be read.
-    pub unreadable: u64,
-    /// Lines that nodes left out to bound the volume; what they told is missing.
-    pub left_out: u64,
-    /// The length of a window, in milliseconds.
+    /// Number of lines that could not be parsed.
+    #[serde(rename = "unreadable")]
+    pub unreadable_lines: u64,
+    /// Number of lines that nodes dropped to limit the log volume; the report
+    /// lacks their events.
+    #[serde(rename = "left_out")]
+    pub dropped_lines: u64,
+    /// Length of a time window, in milliseconds.
     pub window_ms: u64,
-    /// All requests.
+    /// Counts of all requests.
     pub all: Counts,
-    /// By route.
+    /// Counts by route.
     pub routes: Vec<Route>,
-    /// By time of arrival.
+    /// Counts by time of arrival.
     pub windows: Vec<Window>,
-    /// By endpoint.
+    /// Counts and latencies by endpoint.
     pub endpoints: Vec<Endpoint>,
-    /// Late pauses in whose stream's time a long prompt was sent to its endpoint.
-    pub pauses_beside_prompts: u64,
-    /// What happened to nodes.
+    /// Number of streams with a late pause to whose endpoint a long prompt was
+    /// sent during the stream.
+    #[serde(rename = "pauses_beside_prompts")]
+    pub pauses_during_prompts: u64,
+    /// Starts of nodes and changes of their connections to the platform.
     pub marks: Vec<Mark>,
 }
 
-/// Sums up the logs of any number of nodes.
-pub fn report(files: Vec<File>, options: &Options) -> Report {
+/// Builds a report from the logs of any number of nodes.
+pub fn build(files: Vec<File>, options: &Options) -> Report {
     let mut report = Report {
         window_ms: options.window_ms.max(1),
-        unreadable: files.iter().map(|file| file.unreadable).sum(),
+        unreadable_lines: files.iter().map(|file| file.unreadable).sum(),
         empty_files: files.iter().filter(|file| file.lines.is_empty()).count() as u64,
         ..Report::default()
     };
     let mut logs: Vec<Vec<Line>> = files.into_iter().map(|file| file.lines).collect();
     align(&mut logs);
-    let first_ms = logs.iter().flatten().map(|line| line.time_ms).min();
-    let first_ms = first_ms.unwrap_or(0);
+    let start_ms = logs.iter().flatten().map(|line| line.time_ms).min();
+    let start_ms = start_ms.unwrap_or(0);
     let requests: Vec<Request> = logs
         .iter()
         .flat_map(|lines| request::collect(lines))
         .collect();
     for (number, lines) in logs.iter().enumerate() {
-        note_marks(&mut report, lines, number, first_ms);
+        record_marks(&mut report, lines, number, start_ms);
     }
     report.marks.sort_by_key(|mark| mark.at_ms);
-    count_requests(&mut report, &requests, first_ms);
-    report.endpoints = to_endpoints(&requests);
-    report.pauses_beside_prompts = count_beside_prompts(&requests);
+    count_requests(&mut report, &requests, start_ms);
+    report.endpoints = summarise_endpoints(&requests);
+    report.pauses_during_prompts = count_pauses_during_prompts(&requests);
     report
 }
 
-/// Puts the times of all logs on the first one's clock.
+/// Converts the times of all logs to the clock of the first.
 fn align(logs: &mut [Vec<Line>]) {
     let offsets = clock::offsets(logs);
     for (lines, offset) in logs.iter_mut().zip(offsets) {
@@ -162,7 +172,7 @@
     }
 }
 
-fn note_marks(report: &mut Report, lines: &[Line], number: usize, first_ms: u64) {
+fn record_marks(report: &mut Report, lines: &[Line], number: usize, start_ms: u64) {
     let mut host = format!("file {}", number + 1);
     for line in lines {
         let what = match &line.event {
@@ -178,25 +188,25 @@
                 false => "platform lost".to_owned(),
             },
             Event::LeftOut { lines } => {
-                report.left_out += lines;
+                report.dropped_lines += lines;
                 continue;
             }
             _ => continue,
         };
         report.marks.push(Mark {
-            at_ms: line.time_ms - first_ms,
+            at_ms: line.time_ms - start_ms,
             host: host.clone(),
             what,
         });
     }
 }
 
-fn count_requests(report: &mut Report, requests: &[Request], first_ms: u64) {
+fn count_requests(report: &mut Report, requests: &[Request], start_ms: u64) {
     let mut routes: BTreeMap<&str, Counts> = BTreeMap::new();
     let mut windows: BTreeMap<u64, Counts> = BTreeMap::new();
     for request in requests {
         let cause = request.cause();
-        let window = (request.at_ms - first_ms) / report.window_ms;
+        let window = (request.arrived_at_ms - start_ms) / report.window_ms;
         report.all.add(cause);
         routes.entry(&request.route).or_default().add(cause);
         windows.entry(window).or_default().add(cause);
@@ -214,7 +224,7 @@
     report.windows = windows.collect();
 }
 
-fn to_endpoints(requests: &[Request]) -> Vec<Endpoint> {
+fn summarise_endpoints(requests: &[Request]) -> Vec<Endpoint> {
     let mut sent: BTreeMap<&str, Vec<&Request>> = BTreeMap::new();
     for request in requests {
         if let Some(last) = &request.sent {
@@ -223,17 +233,17 @@
     }
     let endpoints = sent
         .into_iter()
-        .map(|(name, requests)| to_endpoint(name, &requests));
+        .map(|(name, requests)| summarise_endpoint(name, &requests));
     endpoints.collect()
 }
 
-fn to_endpoint(name: &str, requests: &[&Request]) -> Endpoint {
+fn summarise_endpoint(name: &str, requests: &[&Request]) -> Endpoint {
     let mut endpoint = Endpoint {
         name: name.to_owned(),
         ..Endpoint::default()
     };
-    let mut firsts = Vec::new();
-    let (mut writing_ms, mut pauses) = (0, 0);
+    let mut first_event_times = Vec::new();
+    let (mut streaming_ms, mut pauses) = (0, 0);
     for request in requests {
         endpoint.counts.add(request.cause());
         let (Some(sent), Some(answered)) = (&request.sent, &request.answered) else {
@@ -242,40 +252,47 @@
         if !answered.code.is_empty() {
             continue;
         }
-        let first_ms = match answered.events {
-            0 => answered.after_ms,
-            _ => answered.first_ms,
+        let first_event_ms = match answered.events {
+            0 => answered.duration_ms,
+            _ => answered.first_event_ms,
         };
-        firsts.push(first_ms.saturating_sub(sent.waited_ms));
+        first_event_times.push(first_event_ms.saturating_sub(sent.waited_ms));
         if answered.events > 1 {
-            writing_ms += answered.after_ms.saturating_sub(answered.first_ms);
+            streaming_ms += answered.duration_ms.saturating_sub(answered.first_event_ms);
             pauses += u64::from(answered.events - 1);
         }
     }
-    firsts.sort_unstable();
-    endpoint.first_ms = firsts.get(firsts.len() / 2).copied().unwrap_or(0);
-    endpoint.event_ms = writing_ms.checked_div(pauses).unwrap_or(0);
+    first_event_times.sort_unstable();
+    endpoint.median_first_event_ms = first_event_times
+        .get(first_event_times.len() / 2)
+        .copied()
+        .unwrap_or(0);
+    endpoint.mean_event_interval_ms = streaming_ms.checked_div(pauses).unwrap_or(0);
     endpoint
 }
 
-/// Late pauses of streams to whose endpoint a long prompt went meanwhile.
-fn count_beside_prompts(requests: &[Request]) -> u64 {
-    let mut long: HashMap<&str, BTreeSet<u64>> = HashMap::new();
-    for sent in requests.iter().filter_map(|one| one.sent.as_ref()) {
-        if sent.uncached >= LONG_PROMPT {
-            long.entry(&sent.endpoint).or_default().insert(sent.at_ms);
+/// Counts the streams with a late pause to whose endpoint a long prompt was sent
+/// during the stream.
+fn count_pauses_during_prompts(requests: &[Request]) -> u64 {
+    let mut long_prompts: HashMap<&str, BTreeSet<u64>> = HashMap::new();
+    for sent in requests.iter().filter_map(|request| request.sent.as_ref()) {
+        if sent.uncached >= LONG_PROMPT_TOKENS {
+            long_prompts
+                .entry(&sent.endpoint)
+                .or_default()
+                .insert(sent.sent_at_ms);
         }
     }
     let late = requests
         .iter()
         .filter(|request| request.cause() == Cause::LatePause);
-    let beside = late.filter(|request| {
+    let during_prompt = late.filter(|request| {
         let (Some(sent), Some(answered)) = (&request.sent, &request.answered) else {
             return false;
         };
-        let ended_ms = request.at_ms + answered.after_ms;
-        let prompts = long.get(sent.endpoint.as_str());
-        prompts.is_some_and(|at| at.range(sent.at_ms + 1..=ended_ms).next().is_some())
+        let ended_ms = request.arrived_at_ms + answered.duration_ms;
+        let sent_times = long_prompts.get(sent.endpoint.as_str());
+        sent_times.is_some_and(|times| times.range(sent.sent_at_ms + 1..=ended_ms).next().is_some())
     });
-    beside.count() as u64
+    during_prompt.count() as u64
 }
--- a/crates/losses/src/request.rs
+++ b/crates/losses/src/request.rs
@@ -1,4 +1,4 @@
-//! What became of one request, from the lines that speak of it.
+//! Reconstructs requests from log lines and determines why they were lost.
 
 use std::collections::HashMap;
 
@@ -8,52 +8,54 @@
 use crate::line::Event;
 use crate::line::Line;
 
-/// What became of a request.
+/// The outcome of a request: served in time, or the cause of its loss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
     /// Served in time.
     InTime,
-    /// Late to its first event or answer, mostly by waiting here for an endpoint.
+    /// The first event or answer was late, mostly because of queueing in the node.
     LateWaited,
-    /// Late to its first event or answer, mostly by waiting and reading at the
-    /// endpoint.
+    /// The first event or answer was late, mostly because of queueing and prompt
+    /// processing at the endpoint.
     LateEndpoint,
-    /// A pause between two events was too long.
+    /// A pause between two events exceeded the limit.
     LatePause,
-    /// Refused at once under load.
+    /// Refused under load, within a quarter of its objective or without having been
+    /// admitted.
     RefusedAtOnce,
-    /// Refused after over a quarter of its objective.
+    /// Refused under load after more than a quarter of its objective.
     RefusedAfterWait,
-    /// Refused again after its caller had returned.
+    /// Refused under load when its caller retried after a refusal.
     RefusedOnReturn,
-    /// Refused while endpoints that said that they leave were passed over.
+    /// Refused while endpoints were skipped because they had announced that they
+    /// leave.
     EndpointsLeaving,
-    /// Refused while endpoints that had asked for rest were passed over.
+    /// Refused while endpoints were skipped because they had asked for a rest.
     EndpointsResting,
-    /// Its customer was over its limit.
+    /// The customer exceeded its quota.
     Quota,
-    /// No configuration was in force yet.
+    /// No configuration had taken effect yet.
     NoConfiguration,
-    /// The fleet had used up what may be sent again.
+    /// The retry budget was exhausted.
     RetryBudget,
-    /// The endpoint was lost, or the answer broke off.
+    /// The endpoint was lost, or the answer was cut off before its end.
     EndpointLost,
-    /// The endpoint answered with a fault of its own.
+    /// The endpoint answered with a server error.
     EndpointFault,
-    /// Time ran out at the endpoint.
+    /// The endpoint did not answer in time.
     TimedOut,
-    /// Its caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// No final answer stands in the logs: the process ended, or lines were left
-    /// out.
+    /// The logs contain no final answer: the process ended, or log lines were
+    /// dropped.
     Unfinished,
-    /// The configuration does not allow it, or it is no proper request.
+    /// The configuration does not allow the request, or it is malformed.
     NotAllowed,
 }
 
 impl Cause {
-    /// Every cause, in the order in which they are shown.
+    /// All causes, in display order.
     pub const ALL: [Cause; 18] = [
         Cause::InTime,
         Cause::LateWaited,
@@ -75,7 +77,7 @@
         Cause::NotAllowed,
     ];
 
-    /// The word for tables.
+    /// Returns the name used in tables and charts.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::InTime => "in-time",
@@ -100,75 +102,77 @@
     }
 }
 
-/// How a request was let in.
+/// The admission of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Accepted {
-    /// Its objective, in milliseconds.
+    /// Latency objective for the first event or the answer, in milliseconds.
     pub objective_ms: u64,
-    /// The longest pause between events that is in time; 0 for no bound.
+    /// The longest permitted pause between events, in milliseconds; 0 for no
+    /// limit.
     pub pause_limit_ms: u64,
-    /// True where its caller seems to have been refused before.
+    /// Whether the caller appears to retry after a refusal.
     pub returning: bool,
 }
 
-/// How a request was last sent.
+/// The last dispatch of a request to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sent {
-    /// When, in milliseconds.
-    pub at_ms: u64,
-    /// To which endpoint.
+    /// Time of the dispatch, in milliseconds.
+    pub sent_at_ms: u64,
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// How long it had waited, in milliseconds.
+    /// Queueing time before it was sent, in milliseconds.
     pub waited_ms: u64,
-    /// Prompt tokens of its own that the endpoint has to read.
+    /// Prompt tokens that are not in the endpoint's prefix cache.
     pub uncached: u64,
 }
 
 /// The final answer of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answered {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// The node's own result code; empty for an endpoint's answer.
+    /// Result code of the node; empty if the endpoint answered.
     pub code: String,
-    /// From its arrival to the end, in milliseconds.
-    pub after_ms: u64,
-    /// Events of a stream.
+    /// Time from arrival to the end of the answer, in milliseconds.
+    pub duration_ms: u64,
+    /// Number of events in a stream; 0 for a plain answer.
     pub events: u32,
-    /// From its arrival to the first event, in milliseconds.
-    pub first_ms: u64,
+    /// Time from arrival to the first event, in milliseconds.
+    pub first_event_ms: u64,
     /// The longest pause between two events, in milliseconds.
-    pub pause_ms: u64,
-    /// True where endpoints were passed over as they said that they leave.
-    pub passed_leaving: bool,
-    /// True where endpoints were passed over as they had asked for rest.
-    pub passed_resting: bool,
+    pub max_pause_ms: u64,
+    /// Whether endpoints were skipped because they had announced that they
+    /// leave.
+    pub skipped_leaving: bool,
+    /// Whether endpoints were skipped because they had asked for a rest.
+    pub skipped_resting: bool,
 }
 
-/// One request of a caller, put together from its lines.
+/// A request, reconstructed from its log lines.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Request {
-    /// When its first line was written, in milliseconds.
-    pub at_ms: u64,
-    /// Its route; empty where no line tells.
+    /// Time of its first log line, in milliseconds.
+    pub arrived_at_ms: u64,
+    /// Name of the route; empty if no line contains it.
     pub route: String,
-    /// How it was let in.
+    /// Its admission, if it was admitted.
     pub accepted: Option<Accepted>,
-    /// How it was last sent.
+    /// Its last dispatch, if it was sent to an endpoint.
     pub sent: Option<Sent>,
-    /// Its final answer.
+    /// Its final answer, if it received one.
     pub answered: Option<Answered>,
-    /// True where its customer was over its limit.
+    /// Whether the customer exceeded its quota.
     pub over_limit: bool,
-    /// True where it was not sent again for want of budget.
-    pub no_budget: bool,
-    /// True where its caller left.
-    pub left: bool,
-    /// True where its answer broke off.
-    pub cut: bool,
+    /// Whether it was not retried because the retry budget was exhausted.
+    pub retry_budget_exhausted: bool,
+    /// Whether the caller disconnected.
+    pub caller_left: bool,
+    /// Whether the answer was cut off before its end.
+    pub answer_cut: bool,
 }
 
-/// Puts the requests of one node's log together, in the order of their arrival.
+/// Reconstructs the requests in the log of one node, in order of arrival.
 pub fn collect(lines: &[Line]) -> Vec<Request> {
     let mut index: HashMap<&str, usize> = HashMap::new();
     let mut requests: Vec<Request> = Vec::new();
@@ -176,20 +180,20 @@
         let Some(id) = line.event.request_opt() else {
             continue;
         };
-        let at = *index.entry(id).or_insert_with(|| {
+        let position = *index.entry(id).or_insert_with(|| {
             requests.push(Request {
-                at_ms: line.time_ms,
+                arrived_at_ms: line.time_ms,
                 ..Request::default()
             });
             requests.len() - 1
         });
-        requests[at].add(line);
+        requests[position].apply(line);
     }
     requests
 }
 
 impl Event {
-    /// The id of the request that a line speaks of.
+    /// Returns the id of the request that the event belongs to.
     fn request_opt(&self) -> Option<&str> {
         match self {
             Event::Accepted { request, .. }
@@ -205,7 +209,7 @@
 }
 
 impl Request {
-    fn add(&mut self, line: &Line) {
+    fn apply(&mut self, line: &Line) {
         match &line.event {
             Event::Accepted {
                 route,
@@ -232,13 +236,13 @@
                 ..
             } => {
                 self.sent = Some(Sent {
-                    at_ms: line.time_ms,
+                    sent_at_ms: line.time_ms,
                     endpoint: endpoint.clone(),
                     waited_ms: *waited_ms,
                     uncached: *uncached,
                 });
             }
-            Event::Attempt { next, .. } => self.no_budget |= next == "budget",
+            Event::Attempt { next, .. } => self.retry_budget_exhausted |= next == "budget",
             Event::Answered {
                 status,
                 code,
@@ -253,104 +257,104 @@
                 self.answered = Some(Answered {
                     status: *status,
                     code: code.clone(),
-                    after_ms: *after_ms,
+                    duration_ms: *after_ms,
                     events: *events,
-                    first_ms: *first_ms,
-                    pause_ms: *pause_ms,
-                    passed_leaving: !passed_leaving.is_empty(),
-                    passed_resting: !passed_resting.is_empty(),
+                    first_event_ms: *first_ms,
+                    max_pause_ms: *pause_ms,
+                    skipped_leaving: !passed_leaving.is_empty(),
+                    skipped_resting: !passed_resting.is_empty(),
                 });
             }
-            Event::Left { .. } => self.left = true,
-            Event::Cut { .. } => self.cut = true,
+            Event::Left { .. } => self.caller_left = true,
+            Event::Cut { .. } => self.answer_cut = true,
             _ => {}
         }
     }
 
-    /// What became of it.
+    /// Returns the cause of the loss, or [`Cause::InTime`].
     pub fn cause(&self) -> Cause {
         if self.over_limit {
             return Cause::Quota;
         }
-        if self.cut {
+        if self.answer_cut {
             return Cause::EndpointLost;
         }
         match &self.answered {
-            None if self.left => Cause::CallerLeft,
+            None if self.caller_left => Cause::CallerLeft,
             None => Cause::Unfinished,
-            Some(answered) if answered.code.is_empty() => self.served_cause(answered),
-            Some(answered) => self.own_cause(answered),
+            Some(answered) if answered.code.is_empty() => self.endpoint_answer_cause(answered),
+            Some(answered) => self.node_answer_cause(answered),
         }
     }
 
-    /// The cause of an endpoint's own answer.
-    fn served_cause(&self, answered: &Answered) -> Cause {
+    /// Classifies an answer from an endpoint.
+    fn endpoint_answer_cause(&self, answered: &Answered) -> Cause {
         match answered.status {
-            200..=299 => self.lateness(answered),
+            200..=299 => self.timing_cause(answered),
             500.. => Cause::EndpointFault,
             _ => Cause::InTime,
         }
     }
 
-    fn lateness(&self, answered: &Answered) -> Cause {
+    fn timing_cause(&self, answered: &Answered) -> Cause {
         let Some(accepted) = &self.accepted else {
             return Cause::InTime;
         };
-        let first_ms = match answered.events {
-            0 => answered.after_ms,
-            _ => answered.first_ms,
+        let first_event_ms = match answered.events {
+            0 => answered.duration_ms,
+            _ => answered.first_event_ms,
         };
-        if first_ms > accepted.objective_ms {
+        if first_event_ms > accepted.objective_ms {
             let waited_ms = self.sent.as_ref().map_or(0, |sent| sent.waited_ms);
-            return match waited_ms > first_ms / 2 {
+            return match waited_ms > first_event_ms / 2 {
                 true => Cause::LateWaited,
                 false => Cause::LateEndpoint,
             };
         }
-        let bound = accepted.pause_limit_ms;
-        match bound > 0 && answered.pause_ms > bound {
+        let limit_ms = accepted.pause_limit_ms;
+        match limit_ms > 0 && answered.max_pause_ms > limit_ms {
             true => Cause::LatePause,
             false => Cause::InTime,
         }
     }
 
-    /// The cause of an answer of the node's own.
-    fn own_cause(&self, answered: &Answered) -> Cause {
-        let is = |code: Code| answered.code == code.to_string();
-        if is(Code::NotReady) {
+    /// Classifies an answer that the node generated.
+    fn node_answer_cause(&self, answered: &Answered) -> Cause {
+        let is_code = |code: Code| answered.code == code.to_string();
+        if is_code(Code::NotReady) {
             return Cause::NoConfiguration;
         }
-        if is(Code::CustomerLimit) {
+        if is_code(Code::CustomerLimit) {
             return Cause::Quota;
         }
-        if is(Code::AnswerLate) {
+        if is_code(Code::AnswerLate) {
             return Cause::TimedOut;
         }
-        if answered.status == 503 && answered.passed_resting {
+        if answered.status == 503 && answered.skipped_resting {
             return Cause::EndpointsResting;
         }
-        if answered.status == 503 && answered.passed_leaving {
+        if answered.status == 503 && answered.skipped_leaving {
             return Cause::EndpointsLeaving;
         }
-        if self.no_budget {
+        if self.retry_budget_exhausted {
             return Cause::RetryBudget;
         }
         match answered.status {
-            503 => self.refusal(answered),
-            500.. if is(Code::EndpointFault) => Cause::EndpointFault,
+            503 => self.refusal_cause(answered),
+            500.. if is_code(Code::EndpointFault) => Cause::EndpointFault,
             500.. => Cause::EndpointLost,
             _ => Cause::NotAllowed,
         }
     }
 
-    fn refusal(&self, answered: &Answered) -> Cause {
+    fn refusal_cause(&self, answered: &Answered) -> Cause {
         let Some(accepted) = &self.accepted else {
             return Cause::RefusedAtOnce;
         };
         if accepted.returning {
             return Cause::RefusedOnReturn;
         }
-        match answered.after_ms * 4 > accepted.objective_ms {
+        match answered.duration_ms * 4 > accepted.objective_ms {
             true => Cause::RefusedAfterWait,
             false => Cause::RefusedAtOnce,
         }
--- a/crates/losses/tests/losses/causes.rs
+++ b/crates/losses/tests/losses/causes.rs
@@ -1,4 +1,4 @@
-//! Why one request was lost.
+//! Classification of single requests.
 
 use woadstage_losses::request::Cause;
 
@@ -8,15 +8,15 @@
 use crate::support::sent;
 use crate::support::streamed;
 
-/// Names each case: the lines that follow a request's acceptance, and the cause
-/// that they tell.
+/// Defines a test for each case: the log lines after the admission of a request,
+/// and the expected cause.
 macro_rules! causes {
     ($($name:ident: [$($line:expr),*] => $cause:expr;)*) => {
         $(
             #[test]
             fn $name() {
                 let report = report(&[vec![accepted(1_000, "r", false), $($line.to_string()),*]]);
-                assert_eq!(report.all.asked, 1);
+                assert_eq!(report.all.total, 1);
                 assert_eq!(report.all.count($cause), 1, "{:?}", report.all.causes);
                 assert_eq!(report.routes[0].name, "chat");
             }
@@ -34,37 +34,37 @@
 
 causes! {
     served_in_time: [sent(1_010, "r", 10, 50), streamed("r", 700, 90)] => Cause::InTime;
-    a_whole_answer_in_time: [sent(1_010, "r", 10, 0), answered("r", 200, "", 700)] => Cause::InTime;
-    a_whole_answer_late: [sent(1_010, "r", 10, 0), answered("r", 200, "", 900)] => Cause::LateEndpoint;
-    late_by_waiting_here: [sent(1_700, "r", 700, 50), streamed("r", 900, 90)] => Cause::LateWaited;
+    plain_answer_in_time: [sent(1_010, "r", 10, 0), answered("r", 200, "", 700)] => Cause::InTime;
+    plain_answer_late: [sent(1_010, "r", 10, 0), answered("r", 200, "", 900)] => Cause::LateEndpoint;
+    late_by_queueing_in_the_node: [sent(1_700, "r", 700, 50), streamed("r", 900, 90)] => Cause::LateWaited;
     late_at_the_endpoint: [sent(1_200, "r", 200, 50), streamed("r", 900, 90)] => Cause::LateEndpoint;
-    a_pause_too_long: [sent(1_010, "r", 10, 50), streamed("r", 700, 260)] => Cause::LatePause;
+    pause_over_the_limit: [sent(1_010, "r", 10, 50), streamed("r", 700, 260)] => Cause::LatePause;
     refused_at_once: [answered("r", 503, "W2002", 3)] => Cause::RefusedAtOnce;
-    refused_after_a_wait: [answered("r", 503, "W2002", 300)] => Cause::RefusedAfterWait;
-    refused_beside_an_endpoint_that_leaves: [PASSED_LEAVING] => Cause::EndpointsLeaving;
-    refused_beside_one_that_rests: [PASSED_RESTING] => Cause::EndpointsResting;
-    over_the_limit: [OVER_LIMIT, answered("r", 429, "W2003", 1)] => Cause::Quota;
+    refused_after_queueing: [answered("r", 503, "W2002", 300)] => Cause::RefusedAfterWait;
+    refused_with_a_leaving_endpoint: [PASSED_LEAVING] => Cause::EndpointsLeaving;
+    refused_with_a_resting_endpoint: [PASSED_RESTING] => Cause::EndpointsResting;
+    over_quota: [OVER_LIMIT, answered("r", 429, "W2003", 1)] => Cause::Quota;
     no_configuration: [answered("r", 503, "W2007", 0)] => Cause::NoConfiguration;
-    no_budget_left: [sent(1_010, "r", 0, 0), NO_BUDGET, answered("r", 502, "W3003", 9)] => Cause::RetryBudget;
-    the_endpoint_was_lost: [sent(1_010, "r", 0, 0), answered("r", 502, "W3003", 9)] => Cause::EndpointLost;
-    the_answer_broke_off: [sent(1_010, "r", 0, 0), CUT] => Cause::EndpointLost;
-    a_fault_of_the_endpoint: [sent(1_010, "r", 0, 0), answered("r", 500, "", 9)] => Cause::EndpointFault;
-    a_fault_that_promises: [sent(1_010, "r", 0, 0), answered("r", 502, "W4001", 9)] => Cause::EndpointFault;
-    time_ran_out: [sent(1_010, "r", 0, 0), answered("r", 504, "W3005", 9_000)] => Cause::TimedOut;
-    the_caller_left: [sent(1_010, "r", 0, 0), LEFT] => Cause::CallerLeft;
-    the_process_ended: [sent(1_010, "r", 0, 0)] => Cause::Unfinished;
+    retry_budget_exhausted: [sent(1_010, "r", 0, 0), NO_BUDGET, answered("r", 502, "W3003", 9)] => Cause::RetryBudget;
+    endpoint_lost: [sent(1_010, "r", 0, 0), answered("r", 502, "W3003", 9)] => Cause::EndpointLost;
+    answer_cut_off: [sent(1_010, "r", 0, 0), CUT] => Cause::EndpointLost;
+    endpoint_server_error: [sent(1_010, "r", 0, 0), answered("r", 500, "", 9)] => Cause::EndpointFault;
+    endpoint_fault_code_of_the_node: [sent(1_010, "r", 0, 0), answered("r", 502, "W4001", 9)] => Cause::EndpointFault;
+    endpoint_timed_out: [sent(1_010, "r", 0, 0), answered("r", 504, "W3005", 9_000)] => Cause::TimedOut;
+    caller_disconnected: [sent(1_010, "r", 0, 0), LEFT] => Cause::CallerLeft;
+    no_final_answer: [sent(1_010, "r", 0, 0)] => Cause::Unfinished;
     not_allowed: [answered("r", 404, "W1014", 0)] => Cause::NotAllowed;
 }
 
 #[test]
-fn one_that_returned_is_told_apart() {
+fn refused_retry_of_a_caller_is_counted_separately() {
     let refused = vec![accepted(1_000, "r", true), answered("r", 503, "W2002", 2)];
     let report = report(&[refused]);
     assert_eq!(report.all.count(Cause::RefusedOnReturn), 1);
 }
 
 #[test]
-fn without_a_configuration_no_route_is_known() {
+fn request_without_a_configuration_has_no_route() {
     let report = report(&[vec![answered("r", 503, "W2007", 0)]]);
     assert_eq!(report.routes[0].name, "");
     assert_eq!(report.all.count(Cause::NoConfiguration), 1);
--- a/crates/losses/tests/losses/logs.rs
+++ b/crates/losses/tests/losses/logs.rs
@@ -1,4 +1,5 @@
-//! Logs of several nodes: clocks that disagree, lines that are missing or cut.
+//! Reports on logs of several nodes: clock offsets, missing and truncated lines,
+//! and the output formats.
 
 use woadstage_losses::plot;
 use woadstage_losses::report::Mark;
@@ -24,13 +25,13 @@
 }
 
 #[test]
-fn clocks_that_disagree_are_put_side_by_side() {
+fn clock_offsets_are_corrected() {
     let one = vec![
         started(10_000, "a"),
         configured(10_050, 3),
         accepted(13_000, "r1", false),
     ];
-    // An hour ahead.
+    // The clock of this host is an hour ahead.
     let other = vec![
         started(3_610_020, "b"),
         configured(3_610_060, 3),
@@ -40,23 +41,23 @@
     let windows: Vec<(u64, u64)> = report
         .windows
         .iter()
-        .map(|window| (window.from_ms, window.counts.asked))
+        .map(|window| (window.from_ms, window.counts.total))
         .collect();
     assert_eq!(windows, [(2_000, 2)]);
     assert_eq!(report.hosts, ["a", "b"]);
 }
 
 #[test]
-fn clocks_that_differ_by_what_it_takes_a_version_to_spread_are_left_alone() {
+fn offsets_within_the_propagation_time_of_a_version_are_ignored() {
     let one = vec![configured(10_000, 3), accepted(12_000, "r1", false)];
     let other = vec![configured(10_400, 3), accepted(12_100, "r2", false)];
     let report = report(&[one, other]);
     assert_eq!(report.windows.len(), 1);
-    assert_eq!(report.windows[0].counts.asked, 2);
+    assert_eq!(report.windows[0].counts.total, 2);
 }
 
 #[test]
-fn what_is_missing_is_told() {
+fn missing_lines_are_counted() {
     let cut = accepted(1_000, "r", false);
     let lines = vec![
         "the collector says: no event".to_owned(),
@@ -67,14 +68,18 @@
     ];
     let report = report(&[lines, Vec::new()]);
     assert_eq!(
-        (report.unreadable, report.left_out, report.empty_files),
+        (
+            report.unreadable_lines,
+            report.dropped_lines,
+            report.empty_files
+        ),
         (1, 40, 1)
     );
     assert_eq!(report.all.count(Cause::Unfinished), 1);
 }
 
 #[test]
-fn losses_of_nodes_and_of_the_platform_are_marked() {
+fn starts_and_losses_of_the_platform_are_marked() {
     let lost = r#"{"time_ms":11000,"event":"dependency","name":"platform","reached":false,"detail":"reset"}"#;
     let node = r#"{"time_ms":11500,"event":"dependency","name":"node","reached":false,"detail":"10.0.0.1:1"}"#;
     let report = report(&[vec![started(10_000, "a"), lost.to_owned(), node.to_owned()]]);
@@ -89,8 +94,9 @@
     );
 }
 
-/// A stream with a long pause, beside one that was sent to the same endpoint.
-fn beside(at_ms: u64, uncached: u64) -> u64 {
+/// Builds a report on a stream with a long pause and a second request to the same
+/// endpoint, and returns the number of pauses during long prompts.
+fn pauses_during_prompt(at_ms: u64, uncached: u64) -> u64 {
     let lines = vec![
         accepted(1_000, "slow", false),
         sent(1_010, "slow", 10, 50),
@@ -99,18 +105,18 @@
         streamed("slow", 300, 400),
         streamed("other", 300, 90),
     ];
-    report(&[lines]).pauses_beside_prompts
+    report(&[lines]).pauses_during_prompts
 }
 
 #[test]
-fn a_long_pause_is_told_with_the_prompt_that_was_read_beside_it() {
-    assert_eq!(beside(1_500, 9_000), 1);
-    assert_eq!(beside(1_500, 100), 0);
-    assert_eq!(beside(4_000, 9_000), 0);
+fn late_pauses_during_long_prompts_are_counted() {
+    assert_eq!(pauses_during_prompt(1_500, 9_000), 1);
+    assert_eq!(pauses_during_prompt(1_500, 100), 0);
+    assert_eq!(pauses_during_prompt(4_000, 9_000), 0);
 }
 
 #[test]
-fn endpoints_are_told_with_their_speed() {
+fn endpoints_have_latencies() {
     let lines = vec![
         accepted(1_000, "r", false),
         sent(1_100, "r", 100, 50),
@@ -118,13 +124,17 @@
     ];
     let report = report(&[lines]);
     let endpoint = &report.endpoints[0];
-    // From 800 to 1,700 ms there are nine pauses.
-    let seen = (endpoint.name.as_str(), endpoint.first_ms, endpoint.event_ms);
-    assert_eq!(seen, ("e", 700, 100));
+    // The ten events from 800 to 1,700 ms have nine intervals.
+    let latencies = (
+        endpoint.name.as_str(),
+        endpoint.median_first_event_ms,
+        endpoint.mean_event_interval_ms,
+    );
+    assert_eq!(latencies, ("e", 700, 100));
 }
 
 #[test]
-fn tables_json_and_picture_name_the_causes() {
+fn tables_json_and_chart_contain_the_causes() {
     let lines = vec![
         started(1_000, "a"),
         accepted(1_000, "r", false),
@@ -132,24 +142,24 @@
     ];
     let report = report(&[lines]);
     let mut table = Vec::new();
-    write::write(&report, &mut table).expect("memory can be written to");
-    let table = String::from_utf8(table).expect("it is text");
+    write::write_tables(&report, &mut table).expect("writing to memory should succeed");
+    let table = String::from_utf8(table).expect("the tables should be UTF-8");
     assert!(table.contains("refused-at-once 1"), "{table}");
     let mut json = Vec::new();
-    write::write_json(&report, &mut json).expect("memory can be written to");
-    let json: serde_json::Value = serde_json::from_slice(&json).expect("it is JSON");
+    write::write_json(&report, &mut json).expect("writing to memory should succeed");
+    let json: serde_json::Value = serde_json::from_slice(&json).expect("the output should be JSON");
     assert_eq!(json["all"]["causes"]["refused-at-once"], 1);
     assert_eq!(json["windows"][0]["asked"], 1);
     let path = std::env::temp_dir().join(format!("losses-{}.svg", std::process::id()));
-    plot::plot(&report, &path).expect("a file can be written");
-    let picture = std::fs::read_to_string(&path).expect("it was written");
-    std::fs::remove_file(&path).expect("it can be removed");
-    assert!(picture.starts_with("<svg") && picture.contains("refused-at-once"));
+    plot::write_svg(&report, &path).expect("the chart should be written");
+    let chart = std::fs::read_to_string(&path).expect("the chart should be readable");
+    std::fs::remove_file(&path).expect("the chart should be removable");
+    assert!(chart.starts_with("<svg") && chart.contains("refused-at-once"));
 }
 
 #[test]
-fn a_picture_of_nothing_is_drawn() {
+fn chart_of_an_empty_report_is_drawn() {
     let path = std::env::temp_dir().join(format!("losses-none-{}.svg", std::process::id()));
-    plot::plot(&report(&[]), &path).expect("a file can be written");
-    std::fs::remove_file(&path).expect("it can be removed");
+    plot::write_svg(&report(&[]), &path).expect("the chart should be written");
+    std::fs::remove_file(&path).expect("the chart should be removable");
 }
--- a/crates/losses/tests/losses/main.rs
+++ b/crates/losses/tests/losses/main.rs
@@ -1,4 +1,4 @@
-//! Losses told from hand-written logs whose answer is known.
+//! Tests of loss reports on hand-written logs with known results.
 
 mod causes;
 mod logs;
--- a/crates/woadstage/src/main.rs
+++ b/crates/woadstage/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary: arguments in, commands of `woadstage-node` out.
+//! The `woadstage` binary: parses the arguments and runs the subcommand.
 
 use std::fs::File;
 use std::io;
@@ -19,7 +19,8 @@
 
 mod flags;
 
-const WRONG_USAGE: u8 = 2;
+/// Exit code for invalid arguments.
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let flags = match flags::Woadstage::from_env() {
@@ -38,9 +39,9 @@
     };
     match runtime.block_on(run(flags)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) if error.is::<Usage>() => {
+        Err(error) if error.is::<UsageError>() => {
             eprintln!("woadstage: {error}");
-            ExitCode::from(WRONG_USAGE)
+            ExitCode::from(USAGE_EXIT_CODE)
         }
         Err(error) => {
             if !error.is::<Refused>() {
@@ -51,17 +52,17 @@
     }
 }
 
-/// The arguments do not go together.
+/// An invalid value or combination of arguments.
 #[derive(Debug)]
-struct Usage(&'static str);
+struct UsageError(&'static str);
 
-impl std::fmt::Display for Usage {
+impl std::fmt::Display for UsageError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(self.0)
     }
 }
 
-impl std::error::Error for Usage {}
+impl std::error::Error for UsageError {}
 
 async fn run(flags: flags::Woadstage) -> anyhow::Result<()> {
     let out = &mut io::stdout();
@@ -75,7 +76,9 @@
                 gateway,
             } = check;
             if settings.is_none() && config.is_none() && gateway.is_none() {
-                return Err(Usage("check takes --settings, --config or --gateway FILE").into());
+                return Err(
+                    UsageError("check takes --settings, --config or --gateway FILE").into(),
+                );
             }
             if let Some(gateway) = gateway
                 && !woadstage_gateway::check::check(&gateway, out)?
@@ -111,14 +114,14 @@
     }
 }
 
-/// Explains a request by a running node, or by log files.
+/// Explains a request, using a running node or log files.
 async fn run_explain(explain: &flags::Explain, out: &mut impl Write) -> anyhow::Result<()> {
     match explain.node {
         Some(node) if explain.logs.is_empty() => {
             let request = explain
                 .request
                 .parse()
-                .map_err(|_| Usage("the request's id is no id of this program"))?;
+                .map_err(|_| UsageError("the request id is not a valid id"))?;
             commands::explain::run(node, request, explain.json, out).await
         }
         None if !explain.logs.is_empty() => {
@@ -140,34 +143,36 @@
                 Ok(())
             }
         }
-        _ => Err(Usage("explain takes either --node ADDR or --logs FILE").into()),
+        _ => Err(UsageError("explain takes either --node ADDR or --logs FILE").into()),
     }
 }
 
-/// Sums up the losses in gateways' logs.
+/// Reports the losses in the logs of gateways.
 fn run_losses(losses: &flags::Losses, out: &mut impl Write) -> anyhow::Result<()> {
     if losses.logs.is_empty() {
-        return Err(Usage("losses takes --logs FILE, once for each node").into());
+        return Err(UsageError("losses takes --logs FILE, once for each node").into());
     }
     let mut files = Vec::new();
     for path in &losses.logs {
         let file = File::open(path).with_context(|| format!("read {}", path.display()))?;
         files.push(line::read(BufReader::new(file))?);
     }
-    let usual = report::Options::default();
-    let window_ms = losses.window.map_or(usual.window_ms, |span| span.0 / 1_000);
-    let report = report::report(files, &report::Options { window_ms });
+    let defaults = report::Options::default();
+    let window_ms = losses
+        .window
+        .map_or(defaults.window_ms, |span| span.0 / 1_000);
+    let report = report::build(files, &report::Options { window_ms });
     if let Some(path) = &losses.plot {
-        woadstage_losses::plot::plot(&report, path)?;
+        woadstage_losses::plot::write_svg(&report, path)?;
     }
     match losses.json {
         true => woadstage_losses::write::write_json(&report, out)?,
-        false => woadstage_losses::write::write(&report, out)?,
+        false => woadstage_losses::write::write_tables(&report, out)?,
     }
     Ok(())
 }
 
-/// Runs a gateway, all of whose tasks stay on this thread.
+/// Runs a gateway, with all its tasks on the current thread.
 async fn run_gateway(settings: &Path) -> anyhow::Result<()> {
     let tasks = tokio::task::LocalSet::new();
     let adapter = |settings: &Settings, feed| {
@@ -176,6 +181,6 @@
         };
         follow::follow(settings.platform, options, feed)
     };
-    let running = woadstage_gateway::run::run(settings, adapter);
-    tasks.run_until(running).await
+    let gateway = woadstage_gateway::run::run(settings, adapter);
+    tasks.run_until(gateway).await
 }
