--- a/crates/woadstage/src/flags.rs
+++ b/crates/woadstage/src/flags.rs
@@ -1,4 +1,4 @@
-//! The arguments.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,65 +6,65 @@
 use woadstage_types::unit::Span;
 
 xflags::xflags! {
-    /// Request scheduler for unlike engines.
+    /// Request scheduler for model engines and plain services.
     cmd woadstage {
         /// Run a node on an entry host until SIGTERM.
         cmd serve {
-            /// The node's settings.
+            /// Settings file of the node.
             required --settings file: PathBuf
         }
-        /// Run a node that forwards whole requests, until SIGTERM.
+        /// Run a gateway, a node that forwards whole requests, until SIGTERM.
         cmd gateway {
-            /// The node's settings.
+            /// Settings file of the node.
             required --settings file: PathBuf
         }
         /// Check settings or a published configuration.
         cmd check {
-            /// A node's settings.
+            /// Settings file of a node.
             optional --settings file: PathBuf
-            /// A published configuration.
+            /// File with a published configuration.
             optional --config file: PathBuf
-            /// A gateway's settings.
+            /// Settings file of a gateway.
             optional --gateway file: PathBuf
         }
         /// Show what an intent would change and write the document to publish.
         cmd plan {
-            /// The operators' address of a node.
+            /// Operators' address of a node.
             required --node addr: SocketAddr
-            /// The file with the intent.
+            /// File with the intent.
             required intent: PathBuf
-            /// Where the document goes.
+            /// File to write the document to.
             optional --output file: PathBuf
             /// Print JSON.
             optional --json
         }
-        /// Show what a node knows and holds.
+        /// Show the state of a node.
         cmd status {
-            /// The operators' address of a node.
+            /// Operators' address of a node.
             required --node addr: SocketAddr
             /// Print JSON.
             optional --json
         }
-        /// Show what was decided for one request, by a running node or by logs.
+        /// Show the decisions about one request, from a running node or from logs.
         cmd explain {
-            /// The operators' address of a node.
+            /// Operators' address of a node.
             optional --node addr: SocketAddr
-            /// A gateway's log; may be given for each of several nodes.
+            /// Log file of a gateway; repeat the flag for several nodes.
             repeated --logs file: PathBuf
-            /// The request's id.
+            /// Id of the request.
             required request: String
             /// Print JSON.
             optional --json
         }
-        /// Say from gateways' logs which requests were lost, and why.
+        /// Report from the logs of gateways which requests were lost, and why.
         cmd losses {
-            /// A gateway's log; may be given for each of several nodes.
+            /// Log file of a gateway; repeat the flag for several nodes.
             repeated --logs file: PathBuf
-            /// The length of a window of time, such as 2s.
+            /// Length of a time window, such as 2s.
             optional --window span: Span
             /// Print JSON.
             optional --json
-            /// Draw a picture (SVG) into this file.
+            /// Write a chart (SVG) to this file.
             optional --plot file: PathBuf
         }
         /// Show the table of result codes.
--- a/crates/woadstage/tests/e2e/commands.rs
+++ b/crates/woadstage/tests/e2e/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, as a person uses them.
+//! Subcommands of the binary, as an operator uses them.
 
 use std::process::Command;
 use std::process::Output;
@@ -16,10 +16,10 @@
     Command::new(program())
         .args(arguments)
         .output()
-        .expect("the program starts")
+        .expect("the program should start")
 }
 
-async fn woadstage_beside(arguments: &[&str]) -> anyhow::Result<Output> {
+async fn woadstage_blocking(arguments: &[&str]) -> anyhow::Result<Output> {
     let arguments: Vec<String> = arguments.iter().map(|text| text.to_string()).collect();
     let task = tokio::task::spawn_blocking(move || {
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
@@ -33,62 +33,62 @@
 }
 
 cases! {
-    wrong_usage_exits_with_two => {
+    usage_errors_exit_with_code_two => {
         assert_eq!(woadstage(&["serve"]).status.code(), Some(2));
         assert_eq!(woadstage(&["check"]).status.code(), Some(2));
         assert_eq!(woadstage(&["fly"]).status.code(), Some(2));
         assert_eq!(woadstage(&["codes"]).status.code(), Some(0));
     };
 
-    check_reports_all_faults_of_settings_at_once => {
+    check_reports_all_faults_of_node_settings => {
         let folder = std::env::temp_dir().join(format!("woadstage-check-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder should be created");
         let file = folder.join("bad.toml");
         let bad = "[node]\nhost = \"a\"\nheartbeat = \"soon\"\nspeed = 3\n[listen]\ncallers = \"here\"\n";
-        std::fs::write(&file, bad).expect("a file");
+        std::fs::write(&file, bad).expect("the file should be written");
         let output = woadstage(&["check", "--settings", &file.display().to_string()]);
-        let said = text(&output);
+        let stdout = text(&output);
         assert_eq!(output.status.code(), Some(1));
         for place in ["node.heartbeat", "node.speed", "node.data_centre", "listen.callers"] {
-            assert!(said.contains(place), "{place}: {said}");
+            assert!(stdout.contains(place), "{place}: {stdout}");
         }
         assert_eq!(woadstage(&["serve", "--settings", &file.display().to_string()]).status.code(), Some(1));
-        std::fs::remove_dir_all(&folder).expect("the folder goes");
+        std::fs::remove_dir_all(&folder).expect("the folder should be removed");
     };
 
-    check_reports_all_faults_of_a_gateways_settings_at_once => {
+    check_reports_all_faults_of_gateway_settings => {
         let folder = std::env::temp_dir().join(format!("woadstage-gateway-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder should be created");
         let file = folder.join("bad.toml");
         let bad = "[node]\nhost = \"a\"\nspeed = 3\n[listen]\ncallers = \"here\"\n[peers]\nseeds = [\"x\"]\n";
-        std::fs::write(&file, bad).expect("a file");
+        std::fs::write(&file, bad).expect("the file should be written");
         let output = woadstage(&["check", "--gateway", &file.display().to_string()]);
-        let said = text(&output);
+        let stdout = text(&output);
         assert_eq!(output.status.code(), Some(1));
         for place in ["node.speed", "node.data_centre", "listen.callers", "peers.seeds", "platform.address"] {
-            assert!(said.contains(place), "{place}: {said}");
+            assert!(stdout.contains(place), "{place}: {stdout}");
         }
         assert_eq!(woadstage(&["gateway", "--settings", &file.display().to_string()]).status.code(), Some(1));
-        std::fs::remove_dir_all(&folder).expect("the folder goes");
+        std::fs::remove_dir_all(&folder).expect("the folder should be removed");
     };
 
-    explain_reads_logs_of_several_nodes => {
+    explain_reads_the_logs_of_several_nodes => {
         let folder = std::env::temp_dir().join(format!("woadstage-explain-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder should be created");
         let logs = ["one.log", "two.log"].map(|name| folder.join(name).display().to_string());
         let left = "{\"time_ms\":5,\"event\":\"left\",\"request\":\"r-1\",\"after_ms\":7}\n";
-        std::fs::write(&logs[0], "").expect("a file");
-        std::fs::write(&logs[1], left).expect("a file");
+        std::fs::write(&logs[0], "").expect("the file should be written");
+        std::fs::write(&logs[1], left).expect("the file should be written");
         let output = woadstage(&["explain", "--logs", &logs[0], "--logs", &logs[1], "r-1"]);
         assert_eq!(output.status.code(), Some(0));
         assert!(text(&output).contains("The caller left after 7 ms"), "{}", text(&output));
         let unknown = woadstage(&["explain", "--logs", &logs[1], "r-2"]);
         assert_eq!(unknown.status.code(), Some(1));
         assert_eq!(woadstage(&["explain", "r-1"]).status.code(), Some(2));
-        std::fs::remove_dir_all(&folder).expect("the folder goes");
+        std::fs::remove_dir_all(&folder).expect("the folder should be removed");
     };
 
-    an_intent_is_planned_confirmed_and_in_force_everywhere => run(async {
+    published_plan_takes_effect_on_all_nodes => run(async {
         let fleet = fleet().await?;
         let intent = fleet.folder().join("intent.toml");
         let output = fleet.folder().join("next.toml");
@@ -96,12 +96,12 @@
         let node = &fleet.nodes[0].operators;
         let (intent, output) = (intent.display().to_string(), output.display().to_string());
         let planned =
-            woadstage_beside(&["plan", "--node", node, &intent, "--output", &output]).await?;
-        let said = text(&planned);
-        assert!(said.contains("events.friday call-out") && said.contains("check-and-set"), "{said}");
-        let status = woadstage_beside(&["status", "--node", node]).await?;
-        assert!(text(&status).contains("revision 1"), "nothing takes effect before it is confirmed");
-        let checked = woadstage_beside(&["check", "--config", &output]).await?;
+            woadstage_blocking(&["plan", "--node", node, &intent, "--output", &output]).await?;
+        let stdout = text(&planned);
+        assert!(stdout.contains("events.friday call-out") && stdout.contains("check-and-set"), "{stdout}");
+        let status = woadstage_blocking(&["status", "--node", node]).await?;
+        assert!(text(&status).contains("revision 1"), "a plan should not take effect before it is published");
+        let checked = woadstage_blocking(&["check", "--config", &output]).await?;
         assert_eq!(checked.status.code(), Some(0), "{}", text(&checked));
         fleet.platform.put("woadstage/config", &std::fs::read_to_string(&output)?);
         for node in &fleet.nodes {
@@ -113,33 +113,33 @@
         Ok(())
     });
 
-    a_bad_intent_is_refused_with_its_faults => run(async {
+    invalid_intent_is_refused_with_its_faults => run(async {
         let fleet = fleet().await?;
         let intent = fleet.folder().join("intent.toml");
         std::fs::write(&intent, "[[classes]]\nname = \"recap\"\ntier = \"gold\"\n")?;
         let intent = intent.display().to_string();
         let node = &fleet.nodes[0].operators;
-        let planned = woadstage_beside(&["plan", "--node", node, &intent]).await?;
+        let planned = woadstage_blocking(&["plan", "--node", node, &intent]).await?;
         assert_eq!(planned.status.code(), Some(1));
         assert!(text(&planned).contains("W5004 classes.recap.tier"), "{}", text(&planned));
         Ok(())
     });
 
-    explain_tells_what_was_decided => run(async {
+    explain_shows_the_decisions_of_a_running_node => run(async {
         let fleet = fleet().await?;
         let chat = caller().chat(&fleet.nodes[0].callers, "recap", "finale", 3, true).await?;
         let node = &fleet.nodes[0].operators;
-        let output = woadstage_beside(&["explain", "--node", node, &chat.request]).await?;
-        let said = text(&output);
-        assert!(said.contains("Arrived as recap") && said.contains("Called engine-"), "{said}");
-        let nobody = "00000000000070008000000000000001";
-        let unknown = woadstage_beside(&["explain", "--node", node, nobody]).await?;
+        let output = woadstage_blocking(&["explain", "--node", node, &chat.request]).await?;
+        let stdout = text(&output);
+        assert!(stdout.contains("Arrived as recap") && stdout.contains("Called engine-"), "{stdout}");
+        let unknown_id = "00000000000070008000000000000001";
+        let unknown = woadstage_blocking(&["explain", "--node", node, unknown_id]).await?;
         assert_eq!(unknown.status.code(), Some(1));
         assert!(text(&unknown).contains("W5010"));
         Ok(())
     });
 
-    metrics_hold_no_secret_and_labels_are_bounded => run(async {
+    metrics_have_bounded_labels_and_no_secrets => run(async {
         let fleet = fleet().await?;
         let words = "a secret handover text";
         caller().chat(&fleet.nodes[0].callers, "recap", words, 3, true).await?;
--- a/crates/woadstage/tests/e2e/failure.rs
+++ b/crates/woadstage/tests/e2e/failure.rs
@@ -1,4 +1,4 @@
-//! Kills, freezes, platform outages and planned stops over real processes.
+//! Killed and frozen nodes, platform outages and planned stops.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -17,9 +17,9 @@
 use crate::support::run;
 use crate::support::until;
 
-async fn confirm(fleet: &Fleet, node: usize, key: &str, what: &str) -> anyhow::Result<Answer> {
+async fn confirm(fleet: &Fleet, node: usize, key: &str, body: &str) -> anyhow::Result<Answer> {
     caller()
-        .confirm(&fleet.nodes[node].callers, "shift-confirmation", key, what)
+        .confirm(&fleet.nodes[node].callers, "shift-confirmation", key, body)
         .await
 }
 
@@ -29,42 +29,42 @@
 }
 
 fn slow_services(fleet: &Fleet, delay_ms: u64) {
-    for served in &fleet.roster {
-        served.set(woadstage_standin::http::service::Control {
+    for service in &fleet.roster {
+        service.set(woadstage_standin::http::service::Control {
             delay_ms,
             ..Default::default()
         });
     }
 }
 
-/// Reads what comes on each connection and closes it without an answer.
+/// Reads once from each connection and closes it without an answer.
 async fn read_and_close(listener: TcpListener, requests: Arc<AtomicU64>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let mut bytes = [0; 4_096];
         let read = stream.read(&mut bytes).await.unwrap_or(0);
-        // Reports of load are read there too; they are not what is counted.
+        // Load reports use GET and are not counted.
         if bytes[..read].starts_with(b"POST") {
             requests.fetch_add(1, Ordering::SeqCst);
         }
     }
 }
 
-fn second_document() -> String {
+fn updated_document() -> String {
     let intent = "[[customers]]\nname = \"customer-5\"\nlimit = \"9/s\"\n";
     plan::make(&sample::document(), intent)
-        .expect("a plan")
+        .expect("the plan should be valid")
         .document
 }
 
 cases! {
-    the_host_of_a_ticket_is_killed_while_it_runs => run(async {
+    request_does_not_run_again_after_the_ticket_host_is_killed => run(async {
         let mut fleet = fleet().await?;
         slow_services(&fleet, 1_000);
         let key = caller().ticket(&fleet.nodes[0].callers).await?;
         let node = fleet.nodes[1].callers.clone();
-        let with = key.clone();
+        let ticket = key.clone();
         let first = tokio::spawn(async move {
-            caller().confirm(&node, "shift-confirmation", &with, "x").await
+            caller().confirm(&node, "shift-confirmation", &ticket, "x").await
         });
         until("the service runs it", || async { fleet.roster_runs("x") == 1 }).await;
         fleet.kill(0)?;
@@ -80,7 +80,7 @@
         Ok(())
     });
 
-    the_host_of_a_ticket_is_frozen_and_wakes_late => run(async {
+    ticket_works_again_after_its_host_was_frozen => run(async {
         let fleet = fleet().await?;
         let key = caller().ticket(&fleet.nodes[0].callers).await?;
         fleet.freeze(0)?;
@@ -94,7 +94,7 @@
         Ok(())
     });
 
-    no_library_repeats_a_call_by_itself => run(async {
+    http_client_does_not_repeat_calls => run(async {
         let mut fleet = fleet().await?;
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?.to_string();
@@ -114,11 +114,11 @@
             let answer = confirm(&fleet, node, &key, "x").await?;
             assert_eq!(answer.outcome, "unknown", "{}", answer.body);
         }
-        assert_eq!(requests.load(Ordering::SeqCst), 1, "one was written, and never again");
+        assert_eq!(requests.load(Ordering::SeqCst), 1, "the request should be sent once and never repeated");
         Ok(())
     });
 
-    requests_go_on_while_a_host_is_dead => run(async {
+    requests_are_served_while_a_host_is_dead => run(async {
         let mut fleet = fleet().await?;
         fleet.kill(2)?;
         for turn in 0..20 {
@@ -129,14 +129,14 @@
         Ok(())
     });
 
-    the_platform_is_down_and_work_goes_on_and_a_change_comes_after => run(async {
+    requests_are_served_during_a_platform_outage_and_a_change_follows => run(async {
         let fleet = fleet().await?;
         fleet.nodes.iter().for_each(|node| node.platform.set_down(true));
         let chat = caller().chat(&fleet.nodes[0].callers, "recap", "dark", 3, true).await?;
         assert_eq!(chat.status, 200);
-        fleet.platform.put("woadstage/config", &second_document());
+        fleet.platform.put("woadstage/config", &updated_document());
         assert_eq!(revision(&fleet, 0).await, 1);
-        // One host sees the platform again; the others hear of it from that one.
+        // One host reaches the platform again; the others receive the change from it.
         fleet.nodes[1].platform.set_down(false);
         for node in 0..3 {
             until("the change is in force", || async { revision(&fleet, node).await == 2 }).await;
@@ -144,16 +144,16 @@
         Ok(())
     });
 
-    a_stale_platform_brings_nothing_back => run(async {
+    stale_platform_does_not_revert_the_configuration => run(async {
         let mut fleet = fleet().await?;
         for node in &fleet.nodes[..2] {
             node.platform.set_stale(true);
         }
-        fleet.platform.put("woadstage/config", &second_document());
+        fleet.platform.put("woadstage/config", &updated_document());
         for node in 0..3 {
             until("the change is in force", || async { revision(&fleet, node).await == 2 }).await;
         }
-        // A new process on a host with a stale view.
+        // Start a new process on a host with a stale view of the platform.
         fleet.kill(0)?;
         fleet.run(0)?;
         fleet.wait_ready().await?;
@@ -161,7 +161,7 @@
         Ok(())
     });
 
-    a_planned_stop_under_load_cuts_nothing_and_its_tickets_live_on => run(async {
+    planned_stop_under_load_completes_answers_and_keeps_tickets => run(async {
         let mut fleet = fleet().await?;
         let key = caller().ticket(&fleet.nodes[0].callers).await?;
         let mut tasks = Vec::new();
--- a/crates/woadstage/tests/e2e/main.rs
+++ b/crates/woadstage/tests/e2e/main.rs
@@ -1,5 +1,5 @@
-//! The program as a person, a caller and the platform meet it: separate
-//! processes on real sockets.
+//! End-to-end tests: the binary runs as separate processes on real sockets, driven
+//! by operators, callers and the platform.
 
 mod commands;
 mod failure;
--- a/crates/woadstage/tests/e2e/path.rs
+++ b/crates/woadstage/tests/e2e/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, and whole answers to those who asked.
+//! The path of requests and answers through nodes, engines and services.
 
 use woadstage_standin::cases;
 use woadstage_standin::client::Caller;
@@ -9,7 +9,7 @@
 use crate::support::run;
 
 cases! {
-    a_stream_and_a_service_call_go_through_different_nodes => run(async {
+    stream_and_service_call_through_different_nodes => run(async {
         let fleet = fleet().await?;
         let chat = caller().chat(&fleet.nodes[0].callers, "handover-summary", "night", 8, true).await?;
         assert_eq!((chat.status, chat.code.as_str(), chat.outcome.as_str()), (200, "W0000", "ran"));
@@ -21,7 +21,7 @@
         Ok(())
     });
 
-    a_plain_chat_answer_is_passed_on_as_it_is => run(async {
+    plain_chat_answer_is_forwarded => run(async {
         let fleet = fleet().await?;
         let chat = caller().chat(&fleet.nodes[2].callers, "recap", "finale", 4, false).await?;
         let body: serde_json::Value = serde_json::from_str(&chat.body)?;
@@ -29,7 +29,7 @@
         Ok(())
     });
 
-    a_ticket_runs_once_through_all_nodes_at_once => run(async {
+    ticket_sent_to_all_nodes_at_once_runs_once => run(async {
         let fleet = fleet().await?;
         let key = caller().ticket(&fleet.nodes[0].callers).await?;
         let (a, b, c) = tokio::join!(
@@ -45,7 +45,7 @@
         Ok(())
     });
 
-    a_callers_own_key_runs_once_where_the_endpoint_checks => run(async {
+    idempotency_key_of_the_caller_runs_once_if_the_endpoint_checks_keys => run(async {
         let fleet = fleet().await?;
         for node in &fleet.nodes {
             let answer = caller().confirm(&node.callers, "booking", "order-17", "seat").await?;
@@ -55,7 +55,7 @@
         Ok(())
     });
 
-    every_caller_gets_the_whole_answer_to_its_own_request => run(async {
+    concurrent_callers_get_their_own_complete_answers => run(async {
         let fleet = fleet().await?;
         let mut tasks = Vec::new();
         for turn in 0..60usize {
@@ -74,13 +74,13 @@
             assert_eq!(answer.status, 200, "{}", answer.body);
             assert!(answer.whole && answer.body.contains(&words), "{words}: {}", answer.body);
             assert!(answer.body.contains(&format!("\"completion_tokens\":{tokens}")));
-            let others = answer.body.matches("words of caller").count();
-            assert_eq!(others, 1, "{}", answer.body);
+            let answers_in_body = answer.body.matches("words of caller").count();
+            assert_eq!(answers_in_body, 1, "{}", answer.body);
         }
         Ok(())
     });
 
-    a_broken_stream_ends_with_an_error_and_does_not_look_whole => run(async {
+    broken_stream_ends_with_an_error_and_without_done => run(async {
         let fleet = fleet().await?;
         for (address, _) in &fleet.engines {
             let uri = format!("http://{address}/control");
