--- a/crates/losses/src/line.rs
+++ b/crates/losses/src/line.rs
@@ -73,7 +73,7 @@
         endpoint: String,
         /// Queueing time before it was sent, in milliseconds.
         waited_ms: u64,
-        /// Prompt tokens that are not in the endpoint's prefix cache.
+        /// The estimated number of prompt tokens that the endpoint has to read.
         uncached: u64,
     },
     /// An attempt ended.
--- a/crates/losses/src/request.rs
+++ b/crates/losses/src/request.rs
@@ -21,12 +21,12 @@
     LateEndpoint,
     /// A pause between two events exceeded the limit.
     LatePause,
-    /// Refused under load, within a quarter of its objective or without having been
-    /// admitted.
+    /// Refused by the node (503) within a quarter of its objective, or before it was
+    /// admitted. Covers load and all 503 answers without a cause of their own.
     RefusedAtOnce,
-    /// Refused under load after more than a quarter of its objective.
+    /// Refused by the node (503) after more than a quarter of its objective.
     RefusedAfterWait,
-    /// Refused under load when its caller retried after a refusal.
+    /// Refused by the node (503) when its caller retried after a refusal.
     RefusedOnReturn,
     /// Refused while endpoints were skipped because they had announced that they
     /// leave.
@@ -123,7 +123,7 @@
     pub endpoint: String,
     /// Queueing time before it was sent, in milliseconds.
     pub waited_ms: u64,
-    /// Prompt tokens that are not in the endpoint's prefix cache.
+    /// The estimated number of prompt tokens that the endpoint has to read.
     pub uncached: u64,
 }
 
