--- a/crates/core/src/node/arrive.rs
+++ b/crates/core/src/node/arrive.rs
@@ -1,4 +1,4 @@
-//! A request comes: who sends it, what for, and may it.
+//! Admission of arriving requests: authentication, class selection and limits.
 
 use woadstage_config::published::Class;
 use woadstage_config::published::Config;
@@ -23,14 +23,14 @@
 use crate::pool::warm;
 use crate::trace::Step;
 
-/// The longest time a caller may ask for.
+/// The maximum timeout of a request; longer ones are cut to it.
 const LONGEST: Span = Span::from_secs(3_600);
 
-/// When to come back to a node that is not ready, stopping or full.
+/// The retry delay sent with refusals that may clear by themselves.
 const SOON: Span = Span::from_secs(1);
 
 impl Refusal {
-    /// The refusal that a code means by itself.
+    /// Creates a refusal with the outcome that the code implies.
     pub fn new(code: Code) -> Refusal {
         let retry_after = code.mends().then_some(SOON);
         Refusal {
@@ -41,7 +41,9 @@
         }
     }
 
-    /// The same from a node that cannot speak for the key.
+    /// Creates a refusal for a keyed request from a node that does not own the key.
+    ///
+    /// A `NotRun` outcome becomes `Unknown`, as another node may have run the key.
     pub(super) fn of_key(code: Code) -> Refusal {
         let mut refusal = Refusal::new(code);
         if refusal.outcome == Outcome::NotRun {
@@ -56,8 +58,8 @@
         let request = arrival.request;
         let keyed = arrival.key.is_some();
         if let Err(code) = self.admit(now, arrival) {
-            // A key that an earlier request used may have run: what is said
-            // of this request must not be taken for a word on the key.
+            // An earlier request with the same key may have run, so refusing this one
+            // must not claim that the key was not run.
             let of_key = keyed && code.number() > 2_000;
             let refusal = if of_key {
                 Refusal::of_key(code)
@@ -137,7 +139,7 @@
         self.tasks.insert(request, task);
     }
 
-    /// Issues a ticket to the customer of a token.
+    /// Issues a ticket to the customer that the token belongs to.
     pub fn issue(&mut self, now: Time, token: &[u8; 32]) -> Result<Ticket, Code> {
         let document = self.document.as_ref().ok_or(Code::NotReady)?;
         let customer = document
@@ -157,7 +159,7 @@
     }
 }
 
-/// What a cached prefix must share: model, version, adapter and customer.
+/// Returns the hash that separates prefix caches by customer, model, version and adapter.
 fn identity(target: &Target, customer: u64) -> u64 {
     let model = hash::chain(customer, target.name.as_str().as_bytes());
     hash::chain(model, target.version.as_bytes())
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/ask.rs
@@ -1,4 +1,4 @@
-//! The way to an endpoint: asking the holder of the pool, and its answers.
+//! Requests to pool holders for an endpoint, and handling of their answers.
 
 use woadstage_types::code::Code;
 use woadstage_types::hash;
@@ -20,10 +20,10 @@
 use crate::pool::Pool;
 use crate::trace::Step;
 
-/// Attempts at one request, the first among them.
+/// The maximum number of attempts per request, including the first.
 const ATTEMPTS: u32 = 3;
 
-/// A grant, as it came.
+/// A grant as received from a pool holder.
 pub(super) struct Grant {
     pub(super) target: id::Target,
     pub(super) request: id::Request,
@@ -32,7 +32,7 @@
 }
 
 impl Node {
-    /// The node that holds a target's pool, as far as this node can tell.
+    /// Returns the node that holds a target's pool according to this node's view.
     pub(super) fn holder(&self, target: &id::Target) -> id::Host {
         let live = self.live.iter();
         hash::owner(target.as_str(), live)
@@ -40,7 +40,7 @@
             .clone()
     }
 
-    /// Asks for an endpoint, anew or again.
+    /// Starts a new attempt and asks the pool holder for an endpoint.
     pub(super) fn ask(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The pool of a declared target, opened when first wanted.
+    /// Returns the pool of a declared target, creating it on first use.
     pub(super) fn pool(&mut self, target: &id::Target) -> Option<&mut Pool> {
         if !self.pools.contains_key(target) {
             let document = self.document.as_ref()?;
@@ -84,7 +84,7 @@
         self.pools.get_mut(target)
     }
 
-    /// Tells the holder of a pool that an ask is over.
+    /// Tells the pool holder that the request's current attempt has ended.
     pub(super) fn tell_done(&mut self, now: Time, request: id::Request, end: End) {
         let Some(task) = self.tasks.get(&request) else {
             return;
@@ -105,7 +105,7 @@
         );
     }
 
-    /// Gives a message to the holder of a pool, which may be this node.
+    /// Delivers a message to a pool holder, which may be this node.
     pub(super) fn tell(&mut self, now: Time, of: &id::Host, message: Message) {
         if *of == self.options.host {
             let peer = self.peer();
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Acts on what the pools here decided, until they decide nothing more.
+    /// Carries out pending decisions of the local pools until none are left.
     pub(super) fn decide(&mut self, now: Time) {
         loop {
             let decided: Vec<Decision> = self
@@ -172,7 +172,7 @@
         }
     }
 
-    /// A holder granted an endpoint.
+    /// Handles a grant: calls the endpoint, or returns the grant if it is unusable.
     pub(super) fn granted(&mut self, now: Time, from: &Peer, grant: Grant) {
         let Grant {
             request,
@@ -235,8 +235,8 @@
         })
     }
 
-    /// Gives back a grant that cannot be used: the ask is over, its time is
-    /// over, or the list here does not name the endpoint yet.
+    /// Returns a grant that cannot be used: the request no longer waits for it, its
+    /// deadline has passed, or the local host list does not name the endpoint yet.
     fn decline(&mut self, now: Time, from: &Peer, grant: Grant, asking: bool) {
         let Grant {
             target,
@@ -266,7 +266,7 @@
         }
     }
 
-    /// A holder refused.
+    /// Handles a refusal by a pool holder; refusals of earlier attempts are ignored.
     pub(super) fn refused(
         &mut self,
         now: Time,
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Stops a call in progress.
+    /// Cancels a call in progress and reports the discarded prompt work.
     pub(super) fn abandon(&mut self, now: Time, request: id::Request, end: End, why: Waste) {
         self.tell_done(now, request, end);
         let Some(task) = self.tasks.get(&request) else {
@@ -291,7 +291,9 @@
         self.out.push(Action::Wasted(task.prompt, why));
     }
 
-    /// Tries again elsewhere if attempts, budget and time allow; else false.
+    /// Starts another attempt if the attempt limit, retry budget and deadline allow it.
+    ///
+    /// Returns whether an attempt was started.
     pub(super) fn retry(
         &mut self,
         now: Time,
@@ -310,7 +312,7 @@
         true
     }
 
-    /// Asks and calls go to the nodes that hold their pools now.
+    /// Moves pending asks and running calls to the current holders of their pools.
     pub(super) fn reroute(&mut self, now: Time, back: Option<&id::Host>) {
         let mut moved: Vec<(id::Request, Message)> = Vec::new();
         let mut again = Vec::new();
@@ -368,7 +370,7 @@
         self.tell(now, &holder, message);
     }
 
-    /// Code and outcome of a refusal that a holder sent.
+    /// Builds the refusal for a code sent by a pool holder.
     pub(super) fn to_refusal(code: Code, retry_after: Span) -> Refusal {
         let retry_after = code.mends().then_some(retry_after);
         Refusal {
--- a/crates/core/src/node/call.rs
+++ b/crates/core/src/node/call.rs
@@ -1,4 +1,4 @@
-//! What endpoints and passed-on requests do.
+//! Handling of call events and of the results of forwarded requests.
 
 use woadstage_types::code::Code;
 use woadstage_types::id;
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What a node is told and what it wants done.
+//! Input events and output actions of a node.
 
 use std::sync::Arc;
 
@@ -15,84 +15,84 @@
 use crate::message::Message;
 use crate::pool::Peer;
 
-/// A request as the shell read it.
+/// A request as parsed by the I/O layer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// Its id, made by the shell.
+    /// The request id, assigned by the I/O layer.
     pub request: id::Request,
-    /// SHA-256 of the bearer token.
+    /// The SHA-256 digest of the bearer token.
     pub token: [u8; 32],
-    /// The declared class.
+    /// The class that the caller declared.
     pub class: Option<id::Class>,
-    /// The model or service named.
+    /// The requested model or service.
     pub target: id::Target,
-    /// True where it came by the path of a service.
+    /// Whether the request came by the path of a service.
     pub is_service: bool,
     /// The idempotency key.
     pub key: Option<String>,
-    /// How long the answer is of use.
+    /// How long the answer is of use to the caller.
     pub timeout: Option<Span>,
-    /// Prompt tokens, estimated.
+    /// The estimated number of prompt tokens.
     pub prompt: Tokens,
-    /// The most output tokens that the caller allows.
+    /// The maximum number of output tokens that the caller allows.
     pub output_limit: Option<Tokens>,
-    /// The prompt, for hashing its blocks. Dropped once hashed.
+    /// The prompt, from which block hashes are computed; dropped afterwards.
     pub prefix: Arc<[u8]>,
-    /// Hash of what is asked, to tell a repeat from another request.
+    /// The hash of the request's content, which tells a repeat from a different request.
     pub fingerprint: u64,
-    /// The node that passed it on, if one did.
+    /// The node that forwarded the request, if any.
     pub from: Option<id::Host>,
 }
 
-/// What happened to a call.
+/// The progress or result of a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Call {
-    /// The first byte of the answer's body came.
+    /// The first byte of the answer's body arrived.
     First,
-    /// Tokens came.
+    /// Output tokens arrived.
     Tokens(u64),
-    /// The whole answer came and was passed on.
+    /// The complete answer arrived and was passed on.
     Whole {
-        /// Prompt tokens by the endpoint's own count.
+        /// The prompt tokens counted by the endpoint.
         prompt: Tokens,
-        /// Of them, those it took from its cache.
+        /// The prompt tokens served from the endpoint's cache.
         cached: Tokens,
-        /// Output tokens.
+        /// The output tokens.
         output: Tokens,
-        /// Bytes of the answer that the shell holds, if it recorded it.
+        /// The size of the recorded answer in the I/O layer, if it was recorded.
         recorded: Option<Size>,
     },
-    /// It failed.
+    /// The call failed.
     Failed {
-        /// False only where it is certain that nothing was written.
+        /// Whether the request may have been written; false only if it certainly was not.
         sent: bool,
-        /// True where part of the answer reached the caller.
+        /// Whether part of the answer reached the caller.
         started: bool,
-        /// True where the endpoint said that it is leaving.
+        /// Whether the endpoint reported that it is leaving.
         leaving: bool,
     },
 }
 
 impl Call {
-    /// Connecting failed: nothing was written.
+    /// The connection failed before anything was written.
     pub const REFUSED: Call = Call::Failed {
         sent: false,
         started: false,
         leaving: false,
     };
-    /// It was written, and no answer came.
+    /// The request was written, but no answer arrived.
     pub const LOST: Call = Call::Failed {
         sent: true,
         started: false,
         leaving: false,
     };
-    /// The endpoint turned it away since it is leaving.
+    /// The endpoint rejected the request because it is leaving.
     pub const LEAVING: Call = Call::Failed {
         sent: true,
         started: false,
         leaving: true,
     };
-    /// Part of the answer reached the caller.
+    /// The call failed after part of the answer reached the caller.
     pub const BROKEN: Call = Call::Failed {
         sent: true,
         started: true,
@@ -100,188 +100,189 @@
     };
 }
 
-/// What a node is told.
+/// An input to a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A request came.
+    /// A request arrived.
     Arrive(Arrival),
-    /// The caller of a request went away.
+    /// The caller of a request disconnected.
     Gone(id::Request),
-    /// Something happened to a call.
+    /// A call progressed or ended.
     Call {
-        /// Whose call.
+        /// The request that the call belongs to.
         request: id::Request,
-        /// Which attempt; events of an older one are passed over.
+        /// The attempt number; events of earlier attempts are ignored.
         attempt: u32,
-        /// What happened.
+        /// The progress or result.
         what: Call,
     },
-    /// A request that was passed on has its answer, whole and passed to the caller.
+    /// The answer to a forwarded request was passed to the caller completely.
     ForwardEnded(id::Request),
-    /// The connection broke under a request that was passed on.
+    /// The connection broke during a forwarded request.
     ForwardLost(id::Request),
-    /// A connection to another node came up.
+    /// A connection to another node was established.
     PeerUp(Peer),
-    /// A connection to another node broke.
+    /// A connection to another node was lost.
     PeerDown(id::Host),
-    /// Another node said something.
+    /// A message from another node arrived.
     Message {
-        /// Who.
+        /// The sending node.
         from: Peer,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// The platform gave a document.
+    /// The platform published a configuration document.
     Document {
-        /// Its text.
+        /// The document's text.
         text: Arc<str>,
-        /// The platform's index.
+        /// The platform's index of the document.
         index: u64,
     },
-    /// The platform gave the host list.
+    /// The platform published the host list.
     Hosts {
-        /// What it says.
+        /// The host list.
         list: Arc<hosts::List>,
-        /// The platform's index.
+        /// The platform's index of the list.
         index: u64,
     },
     /// An endpoint reported its load.
     Report {
-        /// Which.
+        /// The endpoint.
         endpoint: id::Endpoint,
-        /// Requests it has, running and waiting.
+        /// The number of requests running and waiting at the endpoint.
         busy: u32,
-        /// True where it says that it is leaving.
+        /// Whether the endpoint reports that it is leaving.
         leaving: bool,
     },
-    /// A planned stop begins: others are told, work in progress goes on.
+    /// A planned stop begins: other nodes are told, and requests in progress continue.
     Stop,
-    /// Second part of a stop: no new requests of callers.
+    /// The second phase of a stop: new requests from callers are refused.
     Close,
-    /// Time passed.
+    /// A timer expired.
     Tick,
 }
 
-/// An answer that the node gives itself.
+/// A refusal that the node answers itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
     /// The result code.
     pub code: Code,
-    /// What the caller may believe. Not always the code's own: of a key, only
-    /// the node that it names can promise that it was not run.
+    /// The outcome reported to the caller. It may differ from the code's default:
+    /// only the node that a key belongs to can promise that the key was not run.
     pub outcome: Outcome,
-    /// When to come back.
+    /// The delay after which the caller may retry.
     pub retry_after: Option<Span>,
-    /// A ticket to use as the key.
+    /// A ticket that the caller can use as the key.
     pub ticket: Option<String>,
 }
 
-/// Why prompt work was thrown away.
+/// The reason why computed prompt work was discarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Waste {
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The answer would have come too late.
+    /// The deadline passed.
     Late,
     /// The endpoint failed.
     EndpointLost,
-    /// It made no progress and was started elsewhere.
+    /// The call made no progress and was restarted at another endpoint.
     Stuck,
 }
 
-/// How a request ended, for metrics.
+/// The result of a finished request, for metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ended {
     /// The request.
     pub request: id::Request,
-    /// Its class.
+    /// The request's class.
     pub class: id::Class,
-    /// Its tier.
+    /// The request's tier.
     pub tier: u8,
-    /// Its customer.
+    /// The request's customer.
     pub customer: id::Customer,
-    /// How.
+    /// The result code.
     pub code: Code,
-    /// From arrival to end.
+    /// The time from arrival to the end.
     pub latency: Span,
-    /// From arrival to the first call.
+    /// The time from arrival to the first call.
     pub wait: Option<Span>,
-    /// From arrival to the first token.
+    /// The time from arrival to the first token.
     pub first: Option<Span>,
-    /// Prompt tokens that the endpoint took from its cache, by its own count.
+    /// The prompt tokens served from the endpoint's cache, counted by the endpoint.
     pub cached: Tokens,
 }
 
-/// What a node wants done.
+/// An output of a node, to be carried out by the I/O layer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a message. It may be lost; order need not be kept.
+    /// Send a message to another node; loss and reordering are tolerated.
     Send {
-        /// To whom.
+        /// The receiving node.
         to: id::Host,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Call an endpoint for a request and pass the answer to its caller.
+    /// Call an endpoint and pass its answer to the caller.
     Call {
-        /// For which request.
+        /// The request.
         request: id::Request,
-        /// Which attempt.
+        /// The attempt number.
         attempt: u32,
         /// The endpoint.
         endpoint: id::Endpoint,
-        /// Its address.
+        /// The endpoint's address.
         address: Arc<str>,
-        /// The tier, for engines that honour priorities.
+        /// The tier, for engines that support priorities.
         tier: u8,
-        /// True where the engine takes `priority` in the body.
+        /// Whether the engine accepts `priority` in the body.
         priority: bool,
-        /// The key and this incarnation as the fence, for endpoints that check.
+        /// The idempotency key, for endpoints that check keys; this node's incarnation
+        /// is sent with it as the fence.
         key: Option<String>,
-        /// True where the answer is to be recorded for repeats of the key.
+        /// Whether to record the answer for repeats of the key.
         record: bool,
     },
-    /// Close the call or the passed-on stream of a request.
+    /// Close the call or the forwarded stream of a request.
     Cancel {
-        /// Which request.
+        /// The request.
         request: id::Request,
-        /// Which attempt.
+        /// The attempt number.
         attempt: u32,
     },
-    /// Answer the caller; if part of an answer went out, end it as broken.
+    /// Refuse the request; an answer already begun is ended as broken.
     Refuse {
-        /// Which request.
+        /// The request.
         request: id::Request,
-        /// With what.
+        /// The refusal.
         refusal: Refusal,
     },
-    /// Pass the request to another node and its answer back.
+    /// Forward the request to another node and pass its answer back.
     Forward {
-        /// Which request.
+        /// The request.
         request: id::Request,
-        /// To whom.
+        /// The receiving node.
         to: id::Host,
-        /// The time its answer is of use.
+        /// The time left until the deadline.
         left: Span,
     },
     /// Answer the caller with the recorded answer of another request.
     Replay {
-        /// Whom to answer.
+        /// The request to answer.
         request: id::Request,
-        /// With whose answer.
+        /// The request whose answer was recorded.
         of: id::Request,
     },
-    /// A recorded answer is no longer wanted.
+    /// Drop a recorded answer.
     Forget(id::Request),
-    /// For metrics: a request ended.
+    /// Record the result of a finished request in the metrics.
     Ended(Ended),
-    /// For metrics: prompt tokens were computed and thrown away, at most so many.
+    /// Record an upper bound of the discarded prompt tokens in the metrics.
     Wasted(Tokens, Waste),
-    /// For logs: a document was taken into force, or refused with a code.
+    /// Log that a configuration document was applied or refused.
     Config {
-        /// Its revision, 0 if it could not be read.
+        /// The document's revision, 0 if it could not be read.
         revision: u64,
-        /// Why it is not followed, if so.
+        /// The reason for the refusal, if it was refused.
         refused: Option<Code>,
     },
 }
--- a/crates/core/src/node/finish.rs
+++ b/crates/core/src/node/finish.rs
@@ -1,4 +1,4 @@
-//! The end of a request: each ends once, with one answer.
+//! Completion of requests: each ends exactly once, with one answer.
 
 use woadstage_types::code::Code;
 use woadstage_types::id;
@@ -15,11 +15,11 @@
 use crate::pool::End;
 use crate::trace::Step;
 
-/// How long a keyed call may go on after its caller was answered.
+/// How long a keyed call may continue after its caller got a refusal.
 const LINGER: Span = Span::from_secs(60);
 
 impl Node {
-    /// The caller went away.
+    /// Handles a disconnected caller.
     pub(super) fn gone(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
@@ -36,14 +36,14 @@
                 self.out.push(Action::Cancel { request, attempt });
                 self.end(now, request, Code::CallerLeft);
             }
-            // Others with its key wait for the answer.
+            // Other requests with the same key wait for this answer.
             Phase::Asking { .. } if self.ledger.has_waiting(request) => {}
             Phase::Asking { .. } => {
                 self.tell_done(now, request, End::Unused);
                 self.not_run(now, request, Refusal::new(Code::CallerGone));
             }
-            // What may not be repeated runs on, so that a repeat of the key
-            // finds its answer.
+            // A call that must not be repeated continues, so that a repeat of its key
+            // finds the answer.
             Phase::Calling { .. } if keyed => {}
             Phase::Calling { .. } => {
                 self.abandon(now, request, End::Unused, Waste::CallerGone);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The time in which the answer is of use is over.
+    /// Handles a request whose deadline has passed.
     pub(super) fn overdue(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get(&request) else {
             return;
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Answers the caller of a keyed call and lets the call go on for a while,
-    /// so that a repeat of the key may find its answer.
+    /// Refuses a keyed request as late but lets its call continue for a while, so
+    /// that a repeat of the key may find the answer.
     fn linger(&mut self, now: Time, request: id::Request) {
         self.answer(request, Refusal::new(Code::AnswerLate));
         let Some(task) = self.tasks.get_mut(&request) else {
@@ -97,8 +97,8 @@
         self.deadlines.insert((task.deadline, request));
     }
 
-    /// It is certain that no endpoint was given the request: its key, if it
-    /// has one, may be used again, and all who wait for it are told.
+    /// Finishes a request that certainly reached no endpoint: its key, if any,
+    /// becomes usable again, and all requests waiting for the key are refused too.
     pub(super) fn not_run(&mut self, now: Time, request: id::Request, refusal: Refusal) {
         for other in self.ledger.put_back(request) {
             self.finish(now, other, refusal.clone());
@@ -106,7 +106,7 @@
         self.finish(now, request, refusal);
     }
 
-    /// The request was sent and its answer is lost: its key stays used.
+    /// Finishes a request that was sent and whose answer is lost; its key stays used.
     pub(super) fn may_have_run(&mut self, now: Time, request: id::Request, code: Code) {
         for other in self.ledger.record(request, None) {
             self.finish(now, other, Refusal::new(code));
@@ -114,14 +114,14 @@
         self.finish(now, request, Refusal::new(code));
     }
 
-    /// Answers and ends.
+    /// Refuses the request and ends it.
     pub(super) fn finish(&mut self, now: Time, request: id::Request, refusal: Refusal) {
         let code = refusal.code;
         self.answer(request, refusal);
         self.end(now, request, code);
     }
 
-    /// Answers the caller if it is there; the request may go on without it.
+    /// Sends the refusal if the caller still waits; the request itself may continue.
     fn answer(&mut self, request: id::Request, refusal: Refusal) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Ends a request.
+    /// Removes a request and reports its result.
     pub(super) fn end(&mut self, now: Time, request: id::Request, code: Code) {
         self.end_with(now, request, code, Tokens(0));
     }
--- a/crates/core/src/node/keyed.rs
+++ b/crates/core/src/node/keyed.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated: which node may run it.
+//! Routing of keyed requests, which must not be repeated, to the node that may run them.
 
 use woadstage_types::code::Code;
 use woadstage_types::hash;
@@ -17,7 +17,7 @@
 use crate::ledger::Use;
 use crate::trace::Step;
 
-/// Where a keyed request goes.
+/// The destination of a keyed request.
 enum Route {
     Here(Key),
     To(id::Host),
@@ -46,7 +46,7 @@
             Route::Nowhere(code) => {
                 let mut refusal = Refusal::of_key(code);
                 if code == Code::TicketNeeded {
-                    // Nothing is ever run under such a key, so this is certain.
+                    // Nothing ever runs under such a key, so `NotRun` is certain.
                     refusal = self.offer_ticket(now, &task);
                 }
                 self.insert(request, task);
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The refusal of a key that is no ticket, with a ticket in hand while the
-    /// customer is within its limit: tickets push older ones out.
+    /// Refuses a key that is not a ticket and offers a ticket if the customer is
+    /// within its limit; the limit matters because new tickets evict older ones.
     fn offer_ticket(&mut self, now: Time, task: &Task) -> Refusal {
         let customer = &task.customer;
         let number = customer.name.to_number();
@@ -83,8 +83,8 @@
         }
         let customer = task.customer.name.to_number();
         let key = Key::Plain(customer, text.into());
-        // Soft: nodes whose views differ pick different owners. The endpoint
-        // checks the key, or the configuration accepts the hole.
+        // Not exclusive: nodes with different views choose different owners. Either
+        // the endpoint checks the key, or the configuration accepts this gap.
         let subject = format!("{customer:x}/{text}");
         match hash::owner(&subject, self.live.iter()) {
             Some(owner) if *owner != self.options.host && arrival.from.is_none() => {
@@ -100,7 +100,7 @@
         if here && (self.ledger.is_open() || arrival.from.is_some()) {
             return Route::Here(Key::Ticket(ticket));
         }
-        // One step at the most, or two nodes could pass it to and fro.
+        // At most one hop, or two nodes could forward the request back and forth.
         if arrival.from.is_some() {
             return Route::Nowhere(Code::OwnerGone);
         }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Gives a request the recorded answer of another with its key.
+    /// Answers a request with the recorded answer of another one with the same key.
     pub(super) fn replay(&mut self, now: Time, request: id::Request, of: id::Request) {
         self.out.push(Action::Replay { request, of });
         self.end(now, request, Code::Ran);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,11 +1,11 @@
-//! One node's whole state.
+//! The complete state of a node, as a deterministic state machine.
 //!
-//! [`Node::handle`] is the one command: the time and an event go in, actions
-//! come out. Everything else here is a query. Files are named by what they
-//! handle: `arrive.rs` and `keyed.rs` requests, `ask.rs` the way to an
-//! endpoint, `call.rs` what endpoints do, `finish.rs` the end of a request,
-//! `peer.rs` other nodes, `platform.rs` what is published, `tick.rs` time,
-//! `stop.rs` the planned stop, `query.rs` queries.
+//! [`Node::handle`] is the only entry point that processes events: it takes the
+//! time and an event and returns actions. [`Node::issue`] hands out tickets, and the
+//! other public methods are queries. Modules: `arrive` and `keyed` admit requests,
+//! `ask` obtains endpoints from pool holders, `call` handles calls, `finish` ends
+//! requests, `peer` handles other nodes, `platform` published documents and host
+//! lists, `tick` timers, `stop` the planned stop and `query` queries.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -52,22 +52,22 @@
 pub use event::Refusal;
 pub use event::Waste;
 
-/// Who a node is and how much it holds.
+/// The identity and the limits of a node.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The entry host's name.
+    /// The name of the entry host.
     pub host: id::Host,
-    /// Its data centre.
+    /// The host's data centre.
     pub data_centre: id::DataCentre,
-    /// This run of the process; never the same twice.
+    /// The incarnation of this process; unique for each start.
     pub incarnation: id::Incarnation,
-    /// Time between two heartbeats.
+    /// The interval between heartbeats.
     pub heartbeat: Span,
-    /// Requests held at once.
+    /// The maximum number of requests in progress.
     pub requests: usize,
-    /// Bytes of recorded answers.
+    /// The memory limit for recorded answers.
     pub answers: Size,
-    /// The policy of pools.
+    /// The options of the pools.
     pub pool: pool::Options,
 }
 
@@ -85,14 +85,14 @@
     }
 }
 
-/// Where a request stands.
+/// The state of a request in progress.
 #[derive(Debug, Clone)]
 enum Phase {
-    /// Another with its key runs.
+    /// Another request with the same key is running.
     Waiting,
-    /// The node that its key names has it.
+    /// The request was forwarded to the node that owns its key.
     Forwarded,
-    /// The holder of the pool was asked.
+    /// The pool holder was asked for an endpoint.
     Asking { of: id::Host },
     /// An endpoint was called.
     Calling {
@@ -103,7 +103,7 @@
     },
 }
 
-/// One request.
+/// A request in progress.
 #[derive(Debug)]
 struct Task {
     class: Arc<Class>,
@@ -120,21 +120,21 @@
     retries: u32,
     avoid: Option<id::Endpoint>,
     phase: Phase,
-    /// False once the caller has its answer or went away.
+    /// Whether the caller still waits for an answer.
     caller: bool,
-    /// True for a keyed call that goes on after its caller was answered.
+    /// Whether a keyed call continues after its caller was answered.
     lingers: bool,
     wait: Option<Span>,
     first: Option<Span>,
 }
 
-/// An endpoint, as the list names it.
+/// An endpoint as described by the host list.
 #[derive(Debug, Clone)]
 struct Endpoint {
     address: Arc<str>,
     target: id::Target,
     live: bool,
-    /// True once it said itself that it is leaving.
+    /// Whether the endpoint itself reported that it is leaving.
     leaving: bool,
 }
 
@@ -145,14 +145,14 @@
     Closed,
 }
 
-/// Tokens seen from an endpoint since the last progress message.
+/// Progress observed at an endpoint since the last progress message.
 #[derive(Debug, Clone, Copy, Default)]
 struct Seen {
     tokens: u64,
     busy: Span,
 }
 
-/// One node.
+/// The state machine of one node.
 #[derive(Debug)]
 pub struct Node {
     options: Options,
@@ -160,7 +160,7 @@
     document: Option<Document>,
     list: Option<Arc<hosts::List>>,
     list_index: u64,
-    /// When a read of the platform last gave the list held.
+    /// When a read from the platform last returned the current list.
     confirmed_at: Option<Time>,
     endpoints: HashMap<id::Endpoint, Endpoint>,
     members: Members,
@@ -176,14 +176,14 @@
     trace: Trace,
     seen: BTreeMap<(id::Target, id::Endpoint), Seen>,
     beat: Time,
-    /// True once a listed node was heard whose configuration is no newer than
-    /// ours.
+    /// Whether another node was heard whose configuration is not newer than the
+    /// one held here.
     checked: bool,
     out: Vec<Action>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node without configuration or host list.
     pub fn new(now: Time, options: Options) -> Node {
         let Options {
             host,
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Takes in an event and gives what is to be done about it, in order.
+    /// Processes an event and returns the resulting actions in order.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival),
--- a/crates/core/src/node/peer.rs
+++ b/crates/core/src/node/peer.rs
@@ -1,4 +1,4 @@
-//! Other nodes: what they say, and that they come and go.
+//! Membership changes and messages from other nodes.
 
 use woadstage_types::id;
 use woadstage_types::unit::Time;
@@ -16,7 +16,7 @@
         self.members.set_up(&peer);
         self.beat_to(now, &peer.host);
         self.view(now);
-        // What it held for us may be lost with the old connection.
+        // The peer may have lost this node's requests with the old connection.
         self.reroute(now, Some(&peer.host));
     }
 
@@ -26,7 +26,7 @@
         self.view(now);
     }
 
-    /// What this node says of itself.
+    /// Builds this node's heartbeat.
     fn heartbeat(&self, now: Time) -> Heartbeat {
         let document = self.document.as_ref();
         Heartbeat {
@@ -45,7 +45,7 @@
         self.send(host, Message::Heartbeat(heartbeat));
     }
 
-    /// Sends a heartbeat to every node that is up.
+    /// Sends a heartbeat to every connected node.
     pub(super) fn beat_all(&mut self, now: Time) {
         let others = self.members.others.iter().filter(|(_, member)| member.up);
         let mut names: Vec<id::Host> = others.map(|(name, _)| name.clone()).collect();
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Looks again at who is live; moves asks and calls where pools moved.
+    /// Recomputes the live nodes, and moves asks and calls whose pool holder changed.
     pub(super) fn view(&mut self, now: Time) {
         let live = self.members.live(now, self.stage != Stage::Serving);
         if live == self.live {
             return;
         }
         let before = std::mem::replace(&mut self.live, live);
-        // Another node may have been given plain keys until now.
+        // Until now, another node may have owned plain keys that this node owns now.
         self.ledger.raise_plain_floor(now);
         let gone = before.iter().filter(|host| !self.live.contains(host));
         let gone: Vec<id::Host> = gone.cloned().collect();
@@ -83,8 +83,8 @@
         });
     }
 
-    /// Forgets what a node asked for, unless it is only leaving. If it lives
-    /// after all, it is told to say it again.
+    /// Drops a node's requests from the local pools, unless the node is still reachable.
+    /// If it turns out to be live, `SayAgain` makes it repeat them.
     fn lose_sight(&mut self, now: Time, host: &id::Host) {
         if self.members.is_reachable(now, host) {
             return;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Messages to the holder of a pool.
+    /// Handles a message addressed to a pool holder.
     pub(super) fn pool_message(&mut self, now: Time, from: Peer, message: Message) {
         match message {
             Message::Ask { target, ask } => {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// A target that is not declared here yet, though it is where the ask was made.
+    /// Refuses an ask for a target that is declared at the sender but not here yet.
     fn refuse_unknown(&mut self, to: &Peer, request: id::Request, attempt: u32) {
         let code = woadstage_types::code::Code::NoEndpoint;
         let retry_after = woadstage_types::unit::Span::from_secs(1);
--- a/crates/core/src/node/platform.rs
+++ b/crates/core/src/node/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform publishes, read here or passed on by other nodes.
+//! Configuration documents and host lists, read from the platform or received from nodes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,12 +16,11 @@
 use crate::message::Heartbeat;
 use crate::message::Message;
 
-/// How long a read of the platform speaks for the list: two waiting reads and
-/// some.
+/// How long a platform read confirms the host list: two blocking reads and a margin.
 const CONFIRMED: Span = Span::from_secs(75);
 
 impl Node {
-    /// A document came, from the platform or from another node.
+    /// Handles a document from the platform or another node.
     pub(super) fn document(&mut self, now: Time, text: Arc<str>, index: u64) {
         let held = self.document.as_ref();
         if held.is_some_and(|held| held.text == text) {
@@ -54,11 +53,11 @@
             refused: None,
         });
         self.refresh(now);
-        // At once, not at the next heartbeat: in force everywhere in seconds.
+        // An immediate heartbeat spreads the document to all nodes within seconds.
         self.beat_all(now);
     }
 
-    /// This node read the host list from the platform.
+    /// Handles a host list that this node read from the platform.
     pub(super) fn hosts_read(&mut self, now: Time, list: Arc<hosts::List>, index: u64) {
         let lower = index < self.list_index;
         if lower && !self.may_lower(now) {
@@ -68,7 +67,7 @@
         self.take_hosts(now, list, index);
     }
 
-    /// Another node passed the host list on.
+    /// Handles a host list received from another node.
     pub(super) fn hosts_passed(
         &mut self,
         now: Time,
@@ -83,8 +82,8 @@
         }
     }
 
-    /// True where a list that another node holds is to be followed. While any
-    /// reads confirm a list, only lists that reads confirm are.
+    /// Whether to accept a list that another node holds. While platform reads
+    /// confirm a list, only confirmed lists are accepted, unless this node has none.
     fn follows_hosts(&self, now: Time, index: u64, confirmed: bool) -> bool {
         let higher = index > self.list_index;
         if confirmed {
@@ -105,20 +104,20 @@
         self.view(now);
     }
 
-    /// True while this node's own reads say that its list is the platform's.
+    /// Whether this node's own reads recently confirmed its list.
     pub(super) fn hosts_confirmed(&self, now: Time) -> bool {
         self.confirmed_at
             .is_some_and(|at| now.since(at) <= CONFIRMED)
     }
 
-    /// True where a lower index may be followed: the platform's service may
-    /// have started again and count from the beginning. While any node's reads
-    /// confirm the index held, a lower one is only a stale copy.
+    /// Whether a lower index may be accepted: the platform's service may have
+    /// restarted and count from the beginning. While any node's reads confirm the
+    /// current index, a list with a lower one is only a stale copy.
     fn may_lower(&self, now: Time) -> bool {
         !self.hosts_confirmed(now) && !self.members.any_confirms_hosts(now, self.list_index)
     }
 
-    /// Gives every pool the endpoints and reserves in force.
+    /// Updates endpoints and reserves from the host list and configuration in force.
     pub(super) fn refresh(&mut self, now: Time) {
         let Some(list) = self.list.clone() else {
             return;
@@ -166,7 +165,7 @@
         }
     }
 
-    /// The share of slots kept from each tier now.
+    /// Returns the share of slots currently reserved from each tier.
     pub(super) fn reserves_at(&self, now: Time) -> Vec<u32> {
         let Some(document) = &self.document else {
             return Vec::new();
@@ -177,7 +176,7 @@
             .collect()
     }
 
-    /// The endpoints of a target that the list calls live, by name.
+    /// Returns the sorted names of a target's endpoints that are live and not leaving.
     pub(super) fn live_endpoints(&self, target: &id::Target) -> Vec<id::Endpoint> {
         let of =
             |endpoint: &Endpoint| endpoint.target == *target && endpoint.live && !endpoint.leaving;
@@ -187,12 +186,12 @@
         names
     }
 
-    /// An endpoint's own report.
+    /// Handles a load report of an endpoint.
     pub(super) fn report(&mut self, now: Time, name: &id::Endpoint, busy: u32, leaving: bool) {
         let Some(endpoint) = self.endpoints.get_mut(name) else {
             return;
         };
-        // Kept here too: the pool may not be open yet, or may come here later.
+        // Also stored here, as the pool may not exist yet or may move to this node later.
         let changed = std::mem::replace(&mut endpoint.leaving, leaving) != leaving;
         let target = endpoint.target.clone();
         if changed {
@@ -203,7 +202,7 @@
         }
     }
 
-    /// Another node's document is newer, or ours is: exchange them.
+    /// Requests the document of another node if it is newer than the one held here.
     pub(super) fn compare_documents(&mut self, host: &id::Host, said: &Heartbeat) {
         let held = self.document.as_ref();
         let ours = held.map_or((0, 0), |held| {
--- a/crates/core/src/node/query.rs
+++ b/crates/core/src/node/query.rs
@@ -1,5 +1,4 @@
-//! Queries of a node: readiness, what operators are shown, what the shell
-//! must keep doing.
+//! Read-only queries: readiness, status for operators, and what the I/O layer has to do.
 
 use std::sync::Arc;
 
@@ -19,71 +18,72 @@
 use crate::pool::query::Summary;
 use crate::trace::Step;
 
-/// Another node, as this one knows it.
+/// Another node as seen by this one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The node's host name.
     pub host: id::Host,
-    /// True where a connection stands and it was heard lately.
+    /// Whether the node is connected and was heard recently.
     pub reachable: bool,
-    /// True where it is stopping.
+    /// Whether the node is stopping.
     pub leaving: bool,
-    /// The revision it has in force.
+    /// The configuration revision in force at the node.
     pub revision: u64,
 }
 
-/// What a node knows and holds.
+/// The status of a node, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its host.
+    /// The host name.
     pub host: id::Host,
-    /// Its incarnation.
+    /// The incarnation of the process.
     pub incarnation: String,
-    /// True where it takes callers.
+    /// Whether the node accepts callers.
     pub ready: bool,
-    /// True while it is stopping.
+    /// Whether the node is stopping.
     pub stopping: bool,
-    /// The revision in force, 0 for none.
+    /// The configuration revision in force, 0 for none.
     pub revision: u64,
     /// The digest of the document in force.
     pub digest: String,
     /// The platform's index of the host list.
     pub hosts_index: u64,
-    /// True where it reads the platform itself.
+    /// Whether the node reads the platform itself.
     pub watcher: bool,
-    /// Other nodes.
+    /// The other known nodes.
     pub peers: Vec<Peer>,
-    /// Requests in progress.
+    /// The number of requests in progress.
     pub requests: usize,
-    /// Names of tiers, the most protected first.
+    /// The names of the tiers, most protected first.
     pub tiers: Vec<String>,
-    /// Pools held here.
+    /// The pools held by this node.
     pub pools: Vec<Summary>,
-    /// Keyed requests in progress, and keys remembered.
+    /// The numbers of keyed requests in progress and of remembered keys.
     pub keys: (usize, usize),
 }
 
 impl Node {
-    /// True where callers may be sent here: it has a configuration and a host
-    /// list, and some node has been heard whose configuration is no newer, so that
-    /// a stale platform cannot bring back an older one through a newcomer.
+    /// Whether callers may be sent to this node. It needs a configuration and a host
+    /// list and, if nodes are listed, a heartbeat from one whose configuration is
+    /// not newer, so that a stale platform cannot bring back an older configuration
+    /// through a new node.
     pub fn is_ready(&self) -> bool {
         let known = self.document.is_some() && self.list.is_some();
         let checked = self.checked || self.members.listed.is_empty();
         known && checked && self.stage == Stage::Serving
     }
 
-    /// True while this node reads the platform itself.
+    /// Whether this node should read the platform itself.
     pub fn is_watcher(&self, now: Time) -> bool {
         self.document.is_none() || self.list.is_none() || self.members.is_watcher(now)
     }
 
-    /// The configuration in force, if any.
+    /// Returns the configuration in force, if any.
     pub fn config_opt(&self) -> Option<&Arc<Config>> {
         self.document.as_ref().map(|held| &held.config)
     }
 
-    /// The models that a customer may name, by name.
+    /// Returns the sorted names of the models that a customer may use.
     pub fn models(&self, token: &[u8; 32]) -> Result<Vec<id::Target>, Code> {
         let config = self.config_opt().ok_or(Code::NotReady)?;
         let customer = config.customers.get(token).ok_or(Code::CustomerUnknown)?;
@@ -107,17 +107,18 @@
         Ok(names)
     }
 
-    /// The document in force, if any.
+    /// Returns the document in force, if any.
     pub fn document_opt(&self) -> Option<&Document> {
         self.document.as_ref()
     }
 
-    /// The host list, if any.
+    /// Returns the host list, if any.
     pub fn hosts_opt(&self) -> Option<&Arc<hosts::List>> {
         self.list.as_ref()
     }
 
-    /// Endpoints whose reports this node should read, with their addresses.
+    /// Returns the endpoints, with addresses, whose load reports this node reads:
+    /// those whose pool it holds.
     pub fn polled(&self) -> Vec<(id::Endpoint, Arc<str>)> {
         let held = |target: &id::Target| self.holder(target) == self.options.host;
         let ours = self
@@ -128,7 +129,7 @@
             .collect()
     }
 
-    /// The next time at which [`super::Event::Tick`] has something to do.
+    /// Returns the next time at which [`super::Event::Tick`] is due.
     pub fn next_wake(&self) -> Time {
         let beat = self.beat + self.options.heartbeat;
         let deadline = self.deadlines.first().map(|(at, _)| *at);
@@ -140,17 +141,17 @@
         deadline.into_iter().chain(pools).fold(beat, Time::min)
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in progress.
     pub fn requests(&self) -> usize {
         self.tasks.len()
     }
 
-    /// What was decided for a request, or none if it is not remembered.
+    /// Returns the recorded steps of a request, or `None` if it is no longer remembered.
     pub fn explain_opt(&self, request: id::Request) -> Option<&[(Time, Step)]> {
         self.trace.steps_opt(request)
     }
 
-    /// What the node knows and holds.
+    /// Returns the status shown to operators.
     pub fn status(&self, now: Time) -> Status {
         let mut peers: Vec<Peer> = self
             .members
--- a/crates/core/src/node/stop.rs
+++ b/crates/core/src/node/stop.rs
@@ -1,5 +1,5 @@
-//! The planned stop: ownership moves, unused tickets go to a successor, what
-//! is in progress ends in peace.
+//! The planned stop: pools and keys move to other nodes, unused tickets go to a
+//! successor, and requests in progress finish.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -8,18 +8,18 @@
 use super::Stage;
 use crate::message::Message;
 
-/// How long a successor may take to confirm.
+/// How long to wait for the successor's confirmation.
 const CONFIRM_WITHIN: Span = Span::from_secs(1);
 
-/// The handing over of unused tickets.
+/// The state of the handover of unused tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Handover {
-    /// Not begun.
+    /// Not started.
     #[default]
     Held,
-    /// Given away, not yet confirmed.
+    /// Sent at the given time and not confirmed yet.
     Given(Time),
-    /// Over, one way or the other.
+    /// Confirmed, timed out or impossible for lack of a successor.
     Over,
 }
 
@@ -41,7 +41,7 @@
         self.hand_over(now);
     }
 
-    /// Gives unused tickets away once no keyed request is in progress.
+    /// Hands unused tickets to a successor once no keyed request is in progress.
     pub(super) fn hand_over(&mut self, now: Time) {
         if self.stage != Stage::Closed {
             return;
@@ -66,7 +66,7 @@
         self.send(&successor, Message::Estate(estate));
     }
 
-    /// True once nothing is in progress and the tickets are given away.
+    /// Whether no request is in progress and the handover is over.
     pub fn is_drained(&self) -> bool {
         let over = self.estate == Handover::Over;
         self.stage == Stage::Closed && self.tasks.is_empty() && over
--- a/crates/core/src/node/tick.rs
+++ b/crates/core/src/node/tick.rs
@@ -1,4 +1,4 @@
-//! What only the passing of time brings about.
+//! Timer-driven work: deadlines, heartbeats, progress messages and stalled calls.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,9 @@
 use crate::message::Message;
 use crate::pool::End;
 
-/// A repeatable call that has shown nothing for this long, or for this share
-/// of its time, is started elsewhere if the retry budget allows.
+/// The minimum time without a first token before a repeatable call counts as stalled;
+/// the limit is the greater of this and the share of the call's time given by
+/// `STUCK_SHARE`.
 const STUCK: Span = Span::from_secs(1);
 const STUCK_SHARE: u64 = 4;
 
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Starts repeatable calls elsewhere whose endpoint shows nothing at all.
+    /// Restarts repeatable calls elsewhere if their endpoint sent nothing and the retry
+    /// budget allows it.
     fn move_stuck(&mut self, now: Time) {
         let stuck = self.tasks.iter().filter(|(_, task)| {
             let Phase::Calling { called, .. } = &task.phase else {
