--- a/crates/core/src/node/arrive.rs
+++ b/crates/core/src/node/arrive.rs
@@ -24,15 +24,15 @@
 use crate::trace::Step;
 
 /// The maximum timeout of a request; longer ones are cut to it.
-const LONGEST: Span = Span::from_secs(3_600);
+const MAX_TIMEOUT: Span = Span::from_secs(3_600);
 
 /// The retry delay sent with refusals that may clear by themselves.
-const SOON: Span = Span::from_secs(1);
+const RETRY_DELAY: Span = Span::from_secs(1);
 
 impl Refusal {
     /// Creates a refusal with the outcome that the code implies.
     pub fn new(code: Code) -> Refusal {
-        let retry_after = code.mends().then_some(SOON);
+        let retry_after = code.mends().then_some(RETRY_DELAY);
         Refusal {
             code,
             outcome: code.outcome(),
@@ -95,7 +95,7 @@
         {
             return Err(Code::CustomerLimit);
         }
-        let wanted = arrival.timeout.unwrap_or(class.timeout).min(LONGEST);
+        let wanted = arrival.timeout.unwrap_or(class.timeout).min(MAX_TIMEOUT);
         let step = Step::Arrived {
             class: class.name.clone(),
             revision: config.confirmation.revision,
@@ -116,7 +116,7 @@
             avoid: None,
             phase: Phase::Waiting,
             caller: true,
-            lingers: false,
+            detached: false,
             wait: None,
             first: None,
             class,
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/ask.rs
@@ -21,7 +21,7 @@
 use crate::trace::Step;
 
 /// The maximum number of attempts per request, including the first.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// A grant as received from a pool holder.
 pub(super) struct Grant {
@@ -48,27 +48,29 @@
         let target = task.target.name.clone();
         task.attempt += 1;
         let attempt = task.attempt;
-        let of = self.holder(&target);
+        let holder = self.holder(&target);
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        task.phase = Phase::Asking { of: of.clone() };
+        task.phase = Phase::Asking {
+            holder: holder.clone(),
+        };
         let ask = to_ask(now, request, task);
         self.trace.add(
             now,
             request,
             Step::Asked {
-                of: of.clone(),
+                of: holder.clone(),
                 attempt,
             },
         );
-        if of == self.options.host {
+        if holder == self.options.host {
             let peer = self.peer();
             if let Some(pool) = self.pool(&target) {
                 pool.ask(now, peer, ask);
             }
         } else {
-            self.send(&of, Message::Ask { target, ask });
+            self.send(&holder, Message::Ask { target, ask });
         }
     }
 
@@ -85,17 +87,17 @@
     }
 
     /// Tells the pool holder that the request's current attempt has ended.
-    pub(super) fn tell_done(&mut self, now: Time, request: id::Request, end: End) {
+    pub(super) fn notify_end(&mut self, now: Time, request: id::Request, end: End) {
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
-        let (Phase::Asking { of } | Phase::Calling { of, .. }) = &task.phase else {
+        let (Phase::Asking { holder } | Phase::Calling { holder, .. }) = &task.phase else {
             return;
         };
-        let (of, attempt, target) = (of.clone(), task.attempt, task.target.name.clone());
-        self.tell(
+        let (holder, attempt, target) = (holder.clone(), task.attempt, task.target.name.clone());
+        self.deliver(
             now,
-            &of,
+            &holder,
             Message::Done {
                 target,
                 request,
@@ -106,17 +108,17 @@
     }
 
     /// Delivers a message to a pool holder, which may be this node.
-    pub(super) fn tell(&mut self, now: Time, of: &id::Host, message: Message) {
-        if *of == self.options.host {
+    pub(super) fn deliver(&mut self, now: Time, holder: &id::Host, message: Message) {
+        if *holder == self.options.host {
             let peer = self.peer();
             self.pool_message(now, peer, message);
         } else {
-            self.send(of, message);
+            self.send(holder, message);
         }
     }
 
     /// Carries out pending decisions of the local pools until none are left.
-    pub(super) fn decide(&mut self, now: Time) {
+    pub(super) fn apply_decisions(&mut self, now: Time) {
         loop {
             let decided: Vec<Decision> = self
                 .pools
@@ -127,12 +129,12 @@
                 return;
             }
             for decision in decided {
-                self.carry_out(now, decision);
+                self.apply_decision(now, decision);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Time, decision: Decision) {
+    fn apply_decision(&mut self, now: Time, decision: Decision) {
         let (to, message) = match decision {
             Decision::Grant {
                 to,
@@ -173,7 +175,7 @@
     }
 
     /// Handles a grant: calls the endpoint, or returns the grant if it is unusable.
-    pub(super) fn granted(&mut self, now: Time, from: &Peer, grant: Grant) {
+    pub(super) fn handle_grant(&mut self, now: Time, from: &Peer, grant: Grant) {
         let Grant {
             request,
             attempt,
@@ -195,9 +197,9 @@
             return;
         };
         let endpoint = endpoint.clone();
-        let of = from.host.clone();
+        let holder = from.host.clone();
         task.phase = Phase::Calling {
-            of,
+            holder,
             endpoint: endpoint.clone(),
             called: now,
             last: now,
@@ -228,10 +230,10 @@
 
     fn is_asking(&self, from: &Peer, request: id::Request, attempt: u32) -> bool {
         self.tasks.get(&request).is_some_and(|task| {
-            let Phase::Asking { of } = &task.phase else {
+            let Phase::Asking { holder } = &task.phase else {
                 return false;
             };
-            task.attempt == attempt && *of == from.host
+            task.attempt == attempt && *holder == from.host
         })
     }
 
@@ -251,7 +253,7 @@
             return;
         }
         let end = End::Unused;
-        self.tell(
+        self.deliver(
             now,
             &from.host,
             Message::Done {
@@ -267,7 +269,7 @@
     }
 
     /// Handles a refusal by a pool holder; refusals of earlier attempts are ignored.
-    pub(super) fn refused(
+    pub(super) fn handle_refusal(
         &mut self,
         now: Time,
         from: &Peer,
@@ -282,7 +284,7 @@
 
     /// Cancels a call in progress and reports the discarded prompt work.
     pub(super) fn abandon(&mut self, now: Time, request: id::Request, end: End, why: Waste) {
-        self.tell_done(now, request, end);
+        self.notify_end(now, request, end);
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
@@ -303,7 +305,7 @@
         let Some(task) = self.tasks.get_mut(&request) else {
             return false;
         };
-        if task.retries + 1 >= ATTEMPTS || task.deadline <= now || !self.retries.try_spend() {
+        if task.retries + 1 >= MAX_ATTEMPTS || task.deadline <= now || !self.retries.try_spend() {
             return false;
         }
         task.retries += 1;
@@ -317,10 +319,10 @@
         let mut moved: Vec<(id::Request, Message)> = Vec::new();
         let mut again = Vec::new();
         for (request, task) in &self.tasks {
-            let (Phase::Asking { of } | Phase::Calling { of, .. }) = &task.phase else {
+            let (Phase::Asking { holder } | Phase::Calling { holder, .. }) = &task.phase else {
                 continue;
             };
-            if self.holder(&task.target.name) == *of && back != Some(of) {
+            if self.holder(&task.target.name) == *holder && back != Some(holder) {
                 continue;
             }
             let target = task.target.name.clone();
@@ -346,7 +348,7 @@
             self.move_call(now, request, message);
         }
         for request in again {
-            self.tell_done(now, request, End::Unused);
+            self.notify_end(now, request, End::Unused);
             self.ask(now, request);
         }
     }
@@ -355,19 +357,19 @@
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
-        let holder = self.holder(&task.target.name);
-        let Phase::Calling { of, .. } = &task.phase else {
+        let new_holder = self.holder(&task.target.name);
+        let Phase::Calling { holder, .. } = &task.phase else {
             return;
         };
-        if *of != holder {
-            self.tell_done(now, request, End::Unused);
+        if *holder != new_holder {
+            self.notify_end(now, request, End::Unused);
         }
         if let Some(task) = self.tasks.get_mut(&request)
-            && let Phase::Calling { of, .. } = &mut task.phase
+            && let Phase::Calling { holder, .. } = &mut task.phase
         {
-            *of = holder.clone();
+            *holder = new_holder.clone();
         }
-        self.tell(now, &holder, message);
+        self.deliver(now, &new_holder, message);
     }
 
     /// Builds the refusal for a code sent by a pool holder.
--- a/crates/core/src/node/call.rs
+++ b/crates/core/src/node/call.rs
@@ -17,7 +17,13 @@
 use crate::trace::Step;
 
 impl Node {
-    pub(super) fn called(&mut self, now: Time, request: id::Request, attempt: u32, what: Call) {
+    pub(super) fn handle_call(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        attempt: u32,
+        what: Call,
+    ) {
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
@@ -33,7 +39,7 @@
                 output,
                 recorded,
             } => {
-                self.tell_done(
+                self.notify_end(
                     now,
                     request,
                     End::Whole {
@@ -59,13 +65,13 @@
             return;
         };
         task.first.get_or_insert(now.since(task.since));
-        let Phase::Calling { of, last, .. } = &mut task.phase else {
+        let Phase::Calling { holder, last, .. } = &mut task.phase else {
             return;
         };
         *last = now;
-        let (of, target) = (of.clone(), task.target.name.clone());
+        let (holder, target) = (holder.clone(), task.target.name.clone());
         self.trace.add(now, request, Step::First);
-        self.tell(now, &of, Message::First { target, request });
+        self.deliver(now, &holder, Message::First { target, request });
     }
 
     fn call_tokens(&mut self, now: Time, request: id::Request, count: u64) {
@@ -76,9 +82,9 @@
             return;
         };
         let key = (task.target.name.clone(), endpoint.clone());
-        let seen = self.seen.entry(key).or_default();
-        seen.tokens += count;
-        seen.busy += now.since(*last);
+        let unreported = self.unreported.entry(key).or_default();
+        unreported.tokens += count;
+        unreported.busy += now.since(*last);
         *last = now;
     }
 
@@ -111,7 +117,7 @@
         leaving: bool,
     ) {
         let end = if leaving { End::Leaving } else { End::Failed };
-        self.tell_done(now, request, end);
+        self.notify_end(now, request, end);
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -158,7 +158,7 @@
     Stop,
     /// The second phase of a stop: new requests from callers are refused.
     Close,
-    /// A timer expired.
+    /// Time passed; whatever is due by now is processed.
     Tick,
 }
 
--- a/crates/core/src/node/finish.rs
+++ b/crates/core/src/node/finish.rs
@@ -16,11 +16,11 @@
 use crate::trace::Step;
 
 /// How long a keyed call may continue after its caller got a refusal.
-const LINGER: Span = Span::from_secs(60);
+const DETACHED_TIMEOUT: Span = Span::from_secs(60);
 
 impl Node {
     /// Handles a disconnected caller.
-    pub(super) fn gone(&mut self, now: Time, request: id::Request) {
+    pub(super) fn handle_caller_gone(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
@@ -39,7 +39,7 @@
             // Other requests with the same key wait for this answer.
             Phase::Asking { .. } if self.ledger.has_waiting(request) => {}
             Phase::Asking { .. } => {
-                self.tell_done(now, request, End::Unused);
+                self.notify_end(now, request, End::Unused);
                 self.not_run(now, request, Refusal::new(Code::CallerGone));
             }
             // A call that must not be repeated continues, so that a repeat of its key
@@ -53,7 +53,7 @@
     }
 
     /// Handles a request whose deadline has passed.
-    pub(super) fn overdue(&mut self, now: Time, request: id::Request) {
+    pub(super) fn expire_request(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
@@ -68,11 +68,11 @@
                 self.finish(now, request, Refusal::new(Code::AnswerLate));
             }
             Phase::Asking { .. } => {
-                self.tell_done(now, request, End::Unused);
+                self.notify_end(now, request, End::Unused);
                 self.not_run(now, request, Refusal::new(Code::TooLate));
             }
-            Phase::Calling { .. } if keyed && !task.lingers => {
-                self.linger(now, request);
+            Phase::Calling { .. } if keyed && !task.detached => {
+                self.detach(now, request);
             }
             Phase::Calling { .. } if keyed => {
                 self.abandon(now, request, End::Unused, Waste::Late);
@@ -87,13 +87,13 @@
 
     /// Refuses a keyed request as late but lets its call continue for a while, so
     /// that a repeat of the key may find the answer.
-    fn linger(&mut self, now: Time, request: id::Request) {
+    fn detach(&mut self, now: Time, request: id::Request) {
         self.answer(request, Refusal::new(Code::AnswerLate));
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        task.lingers = true;
-        task.deadline = now + LINGER;
+        task.detached = true;
+        task.deadline = now + DETACHED_TIMEOUT;
         self.deadlines.insert((task.deadline, request));
     }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -93,10 +93,10 @@
     /// The request was forwarded to the node that owns its key.
     Forwarded,
     /// The pool holder was asked for an endpoint.
-    Asking { of: id::Host },
+    Asking { holder: id::Host },
     /// An endpoint was called.
     Calling {
-        of: id::Host,
+        holder: id::Host,
         endpoint: id::Endpoint,
         called: Time,
         last: Time,
@@ -123,7 +123,7 @@
     /// Whether the caller still waits for an answer.
     caller: bool,
     /// Whether a keyed call continues after its caller was answered.
-    lingers: bool,
+    detached: bool,
     wait: Option<Span>,
     first: Option<Span>,
 }
@@ -147,7 +147,7 @@
 
 /// Progress observed at an endpoint since the last progress message.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct Progress {
     tokens: u64,
     busy: Span,
 }
@@ -170,15 +170,15 @@
     pools: BTreeMap<id::Target, Pool>,
     reserves: Vec<u32>,
     ledger: Ledger,
-    estate: stop::Handover,
+    handover: stop::Handover,
     customers: limit::Customers,
     retries: limit::Retries,
     trace: Trace,
-    seen: BTreeMap<(id::Target, id::Endpoint), Seen>,
-    beat: Time,
+    unreported: BTreeMap<(id::Target, id::Endpoint), Progress>,
+    last_heartbeat: Time,
     /// Whether another node was heard whose configuration is not newer than the
     /// one held here.
-    checked: bool,
+    configuration_checked: bool,
     out: Vec<Action>,
 }
 
@@ -205,13 +205,13 @@
             pools: BTreeMap::new(),
             reserves: Vec::new(),
             ledger: Ledger::new(options.incarnation, now, options.answers),
-            estate: stop::Handover::default(),
+            handover: stop::Handover::default(),
             customers: limit::Customers::default(),
             retries: limit::Retries::default(),
             trace: Trace::default(),
-            seen: BTreeMap::new(),
-            beat: now,
-            checked: false,
+            unreported: BTreeMap::new(),
+            last_heartbeat: now,
+            configuration_checked: false,
             out: Vec::new(),
             options,
         }
@@ -221,19 +221,19 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival),
-            Event::Gone(request) => self.gone(now, request),
+            Event::Gone(request) => self.handle_caller_gone(now, request),
             Event::Call {
                 request,
                 attempt,
                 what,
-            } => self.called(now, request, attempt, what),
+            } => self.handle_call(now, request, attempt, what),
             Event::ForwardEnded(request) => self.forward_ended(now, request),
             Event::ForwardLost(request) => self.forward_lost(now, request),
             Event::PeerUp(peer) => self.peer_up(now, peer),
             Event::PeerDown(host) => self.peer_down(now, &host),
             Event::Message { from, message } => self.message(now, from, message),
             Event::Document { text, index } => self.document(now, text, index),
-            Event::Hosts { list, index } => self.hosts_read(now, list, index),
+            Event::Hosts { list, index } => self.receive_hosts_from_platform(now, list, index),
             Event::Report {
                 endpoint,
                 busy,
@@ -245,7 +245,7 @@
             Event::Close => self.close(now),
             Event::Tick => self.tick(now),
         }
-        self.decide(now);
+        self.apply_decisions(now);
         std::mem::take(&mut self.out)
     }
 
--- a/crates/core/src/node/peer.rs
+++ b/crates/core/src/node/peer.rs
@@ -14,16 +14,16 @@
 impl Node {
     pub(super) fn peer_up(&mut self, now: Time, peer: Peer) {
         self.members.set_up(&peer);
-        self.beat_to(now, &peer.host);
-        self.view(now);
+        self.send_heartbeat(now, &peer.host);
+        self.update_live_nodes(now);
         // The peer may have lost this node's requests with the old connection.
         self.reroute(now, Some(&peer.host));
     }
 
     pub(super) fn peer_down(&mut self, now: Time, host: &id::Host) {
         self.members.set_down(host);
-        self.lose_sight(now, host);
-        self.view(now);
+        self.drop_if_unreachable(now, host);
+        self.update_live_nodes(now);
     }
 
     /// Builds this node's heartbeat.
@@ -40,23 +40,23 @@
         }
     }
 
-    fn beat_to(&mut self, now: Time, host: &id::Host) {
+    fn send_heartbeat(&mut self, now: Time, host: &id::Host) {
         let heartbeat = self.heartbeat(now);
         self.send(host, Message::Heartbeat(heartbeat));
     }
 
     /// Sends a heartbeat to every connected node.
-    pub(super) fn beat_all(&mut self, now: Time) {
+    pub(super) fn send_heartbeats(&mut self, now: Time) {
         let others = self.members.others.iter().filter(|(_, member)| member.up);
         let mut names: Vec<id::Host> = others.map(|(name, _)| name.clone()).collect();
         names.sort();
         for name in names {
-            self.beat_to(now, &name);
+            self.send_heartbeat(now, &name);
         }
     }
 
     /// Recomputes the live nodes, and moves asks and calls whose pool holder changed.
-    pub(super) fn view(&mut self, now: Time) {
+    pub(super) fn update_live_nodes(&mut self, now: Time) {
         let live = self.members.live(now, self.stage != Stage::Serving);
         if live == self.live {
             return;
@@ -67,7 +67,7 @@
         let gone = before.iter().filter(|host| !self.live.contains(host));
         let gone: Vec<id::Host> = gone.cloned().collect();
         for host in gone {
-            self.lose_sight(now, &host);
+            self.drop_if_unreachable(now, &host);
         }
         let back = self.live.iter().filter(|host| !before.contains(host));
         let back: Vec<id::Host> = back.cloned().collect();
@@ -85,7 +85,7 @@
 
     /// Drops a node's requests from the local pools, unless the node is still reachable.
     /// If it turns out to be live, `SayAgain` makes it repeat them.
-    fn lose_sight(&mut self, now: Time, host: &id::Host) {
+    fn drop_if_unreachable(&mut self, now: Time, host: &id::Host) {
         if self.members.is_reachable(now, host) {
             return;
         }
@@ -97,12 +97,12 @@
 
     pub(super) fn message(&mut self, now: Time, from: Peer, message: Message) {
         match message {
-            Message::Heartbeat(said) => self.heard(now, from, said),
+            Message::Heartbeat(heartbeat) => self.receive_heartbeat(now, from, heartbeat),
             Message::SayAgain => self.reroute(now, Some(&from.host)),
-            Message::WantDocument => self.give_document(&from.host),
+            Message::WantDocument => self.send_document(&from.host),
             Message::Document { text, index } => self.document(now, text, index),
-            Message::WantHosts => self.give_hosts(&from.host),
-            Message::Hosts { list, index } => self.hosts_passed(now, &from.host, list, index),
+            Message::WantHosts => self.send_hosts(&from.host),
+            Message::Hosts { list, index } => self.receive_hosts(now, &from.host, list, index),
             Message::Grant {
                 target,
                 request,
@@ -115,7 +115,7 @@
                     attempt,
                     endpoint,
                 };
-                self.granted(now, &from, grant);
+                self.handle_grant(now, &from, grant);
             }
             Message::Refuse {
                 request,
@@ -124,14 +124,14 @@
                 retry_after,
             } => {
                 let refusal = Node::to_refusal(code, retry_after);
-                self.refused(now, &from, request, attempt, refusal);
+                self.handle_refusal(now, &from, request, attempt, refusal);
             }
             Message::Estate(estate) => {
                 self.ledger.inherit(estate);
                 self.send(&from.host, Message::EstateTaken);
-                self.beat_all(now);
+                self.send_heartbeats(now);
             }
-            Message::EstateTaken => self.estate.taken(),
+            Message::EstateTaken => self.handover.confirm(),
             pool => self.pool_message(now, from, pool),
         }
     }
@@ -143,7 +143,7 @@
                 let (request, attempt) = (ask.request, ask.attempt);
                 match self.pool(&target) {
                     Some(pool) => pool.ask(now, from, ask),
-                    None => self.refuse_unknown(&from, request, attempt),
+                    None => self.refuse_undeclared(&from, request, attempt),
                 }
             }
             Message::Adopt {
@@ -182,7 +182,7 @@
     }
 
     /// Refuses an ask for a target that is declared at the sender but not here yet.
-    fn refuse_unknown(&mut self, to: &Peer, request: id::Request, attempt: u32) {
+    fn refuse_undeclared(&mut self, to: &Peer, request: id::Request, attempt: u32) {
         let code = woadstage_types::code::Code::NoEndpoint;
         let retry_after = woadstage_types::unit::Span::from_secs(1);
         self.send(
@@ -196,12 +196,12 @@
         );
     }
 
-    fn heard(&mut self, now: Time, from: Peer, said: Heartbeat) {
+    fn receive_heartbeat(&mut self, now: Time, from: Peer, heartbeat: Heartbeat) {
         let own = self
             .document
             .as_ref()
             .map_or(0, |held| held.config.confirmation.revision);
-        self.checked |= said.revision > 0 && said.revision <= own;
+        self.configuration_checked |= heartbeat.revision > 0 && heartbeat.revision <= own;
         let known = self
             .members
             .others
@@ -216,9 +216,9 @@
                 .values_mut()
                 .for_each(|pool| pool.drop_peer(now, &before));
         }
-        self.compare_documents(&from.host, &said);
-        self.compare_hosts(now, &from.host, &said);
-        self.members.hear(now, &from, said);
-        self.view(now);
+        self.compare_documents(&from.host, &heartbeat);
+        self.compare_hosts(now, &from.host, &heartbeat);
+        self.members.hear(now, &from, heartbeat);
+        self.update_live_nodes(now);
     }
 }
--- a/crates/core/src/node/platform.rs
+++ b/crates/core/src/node/platform.rs
@@ -17,7 +17,7 @@
 use crate::message::Message;
 
 /// How long a platform read confirms the host list: two blocking reads and a margin.
-const CONFIRMED: Span = Span::from_secs(75);
+const HOSTS_CONFIRMED_FOR: Span = Span::from_secs(75);
 
 impl Node {
     /// Handles a document from the platform or another node.
@@ -54,21 +54,26 @@
         });
         self.refresh(now);
         // An immediate heartbeat spreads the document to all nodes within seconds.
-        self.beat_all(now);
+        self.send_heartbeats(now);
     }
 
     /// Handles a host list that this node read from the platform.
-    pub(super) fn hosts_read(&mut self, now: Time, list: Arc<hosts::List>, index: u64) {
+    pub(super) fn receive_hosts_from_platform(
+        &mut self,
+        now: Time,
+        list: Arc<hosts::List>,
+        index: u64,
+    ) {
         let lower = index < self.list_index;
-        if lower && !self.may_lower(now) {
+        if lower && !self.accepts_lower_index(now) {
             return;
         }
         self.confirmed_at = Some(now);
-        self.take_hosts(now, list, index);
+        self.apply_hosts(now, list, index);
     }
 
     /// Handles a host list received from another node.
-    pub(super) fn hosts_passed(
+    pub(super) fn receive_hosts(
         &mut self,
         now: Time,
         from: &id::Host,
@@ -76,24 +81,25 @@
         index: u64,
     ) {
         let confirmed = self.members.confirms_hosts(from);
-        if self.follows_hosts(now, index, confirmed) {
+        if self.accepts_hosts(now, index, confirmed) {
             self.confirmed_at = None;
-            self.take_hosts(now, list, index);
+            self.apply_hosts(now, list, index);
         }
     }
 
     /// Whether to accept a list that another node holds. While platform reads
     /// confirm a list, only confirmed lists are accepted, unless this node has none.
-    fn follows_hosts(&self, now: Time, index: u64, confirmed: bool) -> bool {
+    fn accepts_hosts(&self, now: Time, index: u64, confirmed: bool) -> bool {
         let higher = index > self.list_index;
         if confirmed {
-            return higher || (index < self.list_index && self.may_lower(now));
+            return higher || (index < self.list_index && self.accepts_lower_index(now));
         }
-        let led = self.hosts_confirmed(now) || self.members.any_confirms_hosts(now, 0);
-        higher && (!led || self.list.is_none())
+        let platform_confirmed =
+            self.hosts_confirmed(now) || self.members.any_confirms_hosts(now, 0);
+        higher && (!platform_confirmed || self.list.is_none())
     }
 
-    fn take_hosts(&mut self, now: Time, list: Arc<hosts::List>, index: u64) {
+    fn apply_hosts(&mut self, now: Time, list: Arc<hosts::List>, index: u64) {
         self.list_index = index;
         if self.list.as_ref() == Some(&list) {
             return;
@@ -101,19 +107,19 @@
         self.members.set_list(&list);
         self.list = Some(list);
         self.refresh(now);
-        self.view(now);
+        self.update_live_nodes(now);
     }
 
     /// Whether this node's own reads recently confirmed its list.
     pub(super) fn hosts_confirmed(&self, now: Time) -> bool {
         self.confirmed_at
-            .is_some_and(|at| now.since(at) <= CONFIRMED)
+            .is_some_and(|at| now.since(at) <= HOSTS_CONFIRMED_FOR)
     }
 
     /// Whether a lower index may be accepted: the platform's service may have
     /// restarted and count from the beginning. While any node's reads confirm the
     /// current index, a list with a lower one is only a stale copy.
-    fn may_lower(&self, now: Time) -> bool {
+    fn accepts_lower_index(&self, now: Time) -> bool {
         !self.hosts_confirmed(now) && !self.members.any_confirms_hosts(now, self.list_index)
     }
 
@@ -203,26 +209,27 @@
     }
 
     /// Requests the document of another node if it is newer than the one held here.
-    pub(super) fn compare_documents(&mut self, host: &id::Host, said: &Heartbeat) {
+    pub(super) fn compare_documents(&mut self, host: &id::Host, heartbeat: &Heartbeat) {
         let held = self.document.as_ref();
         let ours = held.map_or((0, 0), |held| {
             (held.config.confirmation.revision, held.index)
         });
-        let same = held.is_some_and(|held| held.short_digest() == said.digest);
-        let newer = said.revision > ours.0 || (said.revision == ours.0 && said.index < ours.1);
-        if !same && newer && said.revision > 0 {
+        let same = held.is_some_and(|held| held.short_digest() == heartbeat.digest);
+        let newer = heartbeat.revision > ours.0
+            || (heartbeat.revision == ours.0 && heartbeat.index < ours.1);
+        if !same && newer && heartbeat.revision > 0 {
             self.send(host, Message::WantDocument);
         }
     }
 
-    pub(super) fn compare_hosts(&mut self, now: Time, host: &id::Host, said: &Heartbeat) {
-        let known = said.hosts_index > 0;
-        if known && self.follows_hosts(now, said.hosts_index, said.hosts_confirmed) {
+    pub(super) fn compare_hosts(&mut self, now: Time, host: &id::Host, heartbeat: &Heartbeat) {
+        let known = heartbeat.hosts_index > 0;
+        if known && self.accepts_hosts(now, heartbeat.hosts_index, heartbeat.hosts_confirmed) {
             self.send(host, Message::WantHosts);
         }
     }
 
-    pub(super) fn give_document(&mut self, to: &id::Host) {
+    pub(super) fn send_document(&mut self, to: &id::Host) {
         let Some(held) = &self.document else { return };
         let message = Message::Document {
             text: held.text.clone(),
@@ -231,7 +238,7 @@
         self.send(to, message);
     }
 
-    pub(super) fn give_hosts(&mut self, to: &id::Host) {
+    pub(super) fn send_hosts(&mut self, to: &id::Host) {
         let Some(list) = self.list.clone() else {
             return;
         };
--- a/crates/core/src/node/query.rs
+++ b/crates/core/src/node/query.rs
@@ -69,8 +69,8 @@
     /// through a new node.
     pub fn is_ready(&self) -> bool {
         let known = self.document.is_some() && self.list.is_some();
-        let checked = self.checked || self.members.listed.is_empty();
-        known && checked && self.stage == Stage::Serving
+        let configuration_checked = self.configuration_checked || self.members.listed.is_empty();
+        known && configuration_checked && self.stage == Stage::Serving
     }
 
     /// Whether this node should read the platform itself.
@@ -131,14 +131,17 @@
 
     /// Returns the next time at which [`super::Event::Tick`] is due.
     pub fn next_wake(&self) -> Time {
-        let beat = self.beat + self.options.heartbeat;
+        let next_heartbeat = self.last_heartbeat + self.options.heartbeat;
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let pools = self
             .pools
             .values()
             .filter_map(|pool| pool.next_wake_opt())
             .min();
-        deadline.into_iter().chain(pools).fold(beat, Time::min)
+        deadline
+            .into_iter()
+            .chain(pools)
+            .fold(next_heartbeat, Time::min)
     }
 
     /// Returns the number of requests in progress.
--- a/crates/core/src/node/stop.rs
+++ b/crates/core/src/node/stop.rs
@@ -9,31 +9,31 @@
 use crate::message::Message;
 
 /// How long to wait for the successor's confirmation.
-const CONFIRM_WITHIN: Span = Span::from_secs(1);
+const CONFIRM_TIMEOUT: Span = Span::from_secs(1);
 
 /// The state of the handover of unused tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Handover {
     /// Not started.
     #[default]
-    Held,
+    Pending,
     /// Sent at the given time and not confirmed yet.
-    Given(Time),
+    Sent(Time),
     /// Confirmed, timed out or impossible for lack of a successor.
-    Over,
+    Finished,
 }
 
 impl Handover {
-    pub(super) fn taken(&mut self) {
-        *self = Handover::Over;
+    pub(super) fn confirm(&mut self) {
+        *self = Handover::Finished;
     }
 }
 
 impl Node {
     pub(super) fn stop(&mut self, now: Time) {
         self.stage = self.stage.max(Stage::Leaving);
-        self.beat_all(now);
-        self.view(now);
+        self.send_heartbeats(now);
+        self.update_live_nodes(now);
     }
 
     pub(super) fn close(&mut self, now: Time) {
@@ -46,29 +46,29 @@
         if self.stage != Stage::Closed {
             return;
         }
-        match self.estate {
-            Handover::Held => {}
-            Handover::Given(at) if now.since(at) > CONFIRM_WITHIN => {
-                self.estate = Handover::Over;
+        match self.handover {
+            Handover::Pending => {}
+            Handover::Sent(at) if now.since(at) > CONFIRM_TIMEOUT => {
+                self.handover = Handover::Finished;
                 return;
             }
-            Handover::Given(_) | Handover::Over => return,
+            Handover::Sent(_) | Handover::Finished => return,
         }
         let own = &self.options.host;
         let Some(successor) = self.live.iter().find(|host| *host != own).cloned() else {
-            self.estate = Handover::Over;
+            self.handover = Handover::Finished;
             return;
         };
         let Some(estate) = self.ledger.try_give() else {
             return;
         };
-        self.estate = Handover::Given(now);
+        self.handover = Handover::Sent(now);
         self.send(&successor, Message::Estate(estate));
     }
 
     /// Whether no request is in progress and the handover is over.
     pub fn is_drained(&self) -> bool {
-        let over = self.estate == Handover::Over;
+        let over = self.handover == Handover::Finished;
         self.stage == Stage::Closed && self.tasks.is_empty() && over
     }
 }
--- a/crates/core/src/node/tick.rs
+++ b/crates/core/src/node/tick.rs
@@ -13,22 +13,22 @@
 use crate::message::Message;
 use crate::pool::End;
 
-/// The minimum time without a first token before a repeatable call counts as stalled;
-/// the limit is the greater of this and the share of the call's time given by
-/// `STUCK_SHARE`.
-const STUCK: Span = Span::from_secs(1);
-const STUCK_SHARE: u64 = 4;
+/// The minimum time without a first token after which a repeatable call is stalled.
+const MIN_STALL_TIMEOUT: Span = Span::from_secs(1);
+/// The share of a call's time limit, as a divisor, after which it is stalled if this
+/// is longer than `MIN_STALL_TIMEOUT`.
+const STALL_TIMEOUT_DIVISOR: u64 = 4;
 
 impl Node {
     pub(super) fn tick(&mut self, now: Time) {
         self.expire(now);
         self.pools.values_mut().for_each(|pool| pool.tick(now));
-        if now.since(self.beat) >= self.options.heartbeat {
-            self.beat = now;
-            self.beat_all(now);
-            self.tell_progress(now);
-            self.view(now);
-            self.move_stuck(now);
+        if now.since(self.last_heartbeat) >= self.options.heartbeat {
+            self.last_heartbeat = now;
+            self.send_heartbeats(now);
+            self.send_progress(now);
+            self.update_live_nodes(now);
+            self.restart_stalled(now);
             let reserves = self.reserves_at(now);
             if reserves != self.reserves {
                 self.reserves = reserves;
@@ -44,43 +44,43 @@
                 return;
             }
             self.deadlines.remove(&(deadline, request));
-            self.overdue(now, request);
+            self.expire_request(now, request);
         }
     }
 
-    fn tell_progress(&mut self, now: Time) {
+    fn send_progress(&mut self, now: Time) {
         let mut by_target: BTreeMap<id::Target, Vec<(id::Endpoint, Tokens, Span)>> =
             BTreeMap::new();
-        for ((target, endpoint), seen) in std::mem::take(&mut self.seen) {
-            let item = (endpoint, Tokens(seen.tokens), seen.busy);
+        for ((target, endpoint), unreported) in std::mem::take(&mut self.unreported) {
+            let item = (endpoint, Tokens(unreported.tokens), unreported.busy);
             by_target.entry(target).or_default().push(item);
         }
         for (target, endpoints) in by_target {
-            let of = self.holder(&target);
-            self.tell(now, &of, Message::Progress { target, endpoints });
+            let holder = self.holder(&target);
+            self.deliver(now, &holder, Message::Progress { target, endpoints });
         }
     }
 
     /// Restarts repeatable calls elsewhere if their endpoint sent nothing and the retry
     /// budget allows it.
-    fn move_stuck(&mut self, now: Time) {
-        let stuck = self.tasks.iter().filter(|(_, task)| {
+    fn restart_stalled(&mut self, now: Time) {
+        let stalled = self.tasks.iter().filter(|(_, task)| {
             let Phase::Calling { called, .. } = &task.phase else {
                 return false;
             };
             let time = task.deadline.since(*called);
-            let patience = Span(STUCK.0.max(time.0 / STUCK_SHARE));
-            let silent = task.first.is_none() && now.since(*called) > patience;
+            let stall_timeout = Span(MIN_STALL_TIMEOUT.0.max(time.0 / STALL_TIMEOUT_DIVISOR));
+            let silent = task.first.is_none() && now.since(*called) > stall_timeout;
             silent && task.class.repeatable && task.deadline > now
         });
-        let mut stuck: Vec<id::Request> = stuck.map(|(request, _)| *request).collect();
-        stuck.sort();
-        for request in stuck {
-            self.move_call_elsewhere(now, request);
+        let mut stalled: Vec<id::Request> = stalled.map(|(request, _)| *request).collect();
+        stalled.sort();
+        for request in stalled {
+            self.restart_call(now, request);
         }
     }
 
-    fn move_call_elsewhere(&mut self, now: Time, request: id::Request) {
+    fn restart_call(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
