--- a/crates/bench/src/bin/availability.rs
+++ b/crates/bench/src/bin/availability.rs
@@ -79,7 +79,7 @@
             let now = world.clock(node);
             let token = published::sha256(sample::TOKENS[0]);
             let core = world.hosts[node].node.as_mut()?;
-            core.issue(now, &token)
+            core.issue_ticket(now, &token)
                 .ok()
                 .map(|ticket| ticket.to_string())
         }
--- a/crates/core/src/node/arrive.rs
+++ b/crates/core/src/node/arrive.rs
@@ -140,7 +140,7 @@
     }
 
     /// Issues a ticket to the customer that the token belongs to.
-    pub fn issue(&mut self, now: Time, token: &[u8; 32]) -> Result<Ticket, Code> {
+    pub fn issue_ticket(&mut self, now: Time, token: &[u8; 32]) -> Result<Ticket, Code> {
         let document = self.document.as_ref().ok_or(Code::NotReady)?;
         let customer = document
             .config
--- a/crates/core/src/node/call.rs
+++ b/crates/core/src/node/call.rs
@@ -31,9 +31,9 @@
             return;
         }
         match what {
-            Call::First => self.call_first(now, request),
+            Call::FirstByte => self.call_first(now, request),
             Call::Tokens(count) => self.call_tokens(now, request, count),
-            Call::Whole {
+            Call::Complete {
                 prompt,
                 cached,
                 output,
@@ -103,7 +103,7 @@
             }
         }
         for dropped in self.ledger.trim_answers() {
-            self.out.push(Action::Forget(dropped));
+            self.out.push(Action::DropAnswer(dropped));
         }
         self.end_with(now, request, Code::Ran, cached);
     }
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -48,11 +48,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Call {
     /// The first byte of the answer's body arrived.
-    First,
+    FirstByte,
     /// Output tokens arrived.
     Tokens(u64),
     /// The complete answer arrived and was passed on.
-    Whole {
+    Complete {
         /// The prompt tokens counted by the endpoint.
         prompt: Tokens,
         /// The prompt tokens served from the endpoint's cache.
@@ -106,7 +106,7 @@
     /// A request arrived.
     Arrive(Arrival),
     /// The caller of a request disconnected.
-    Gone(id::Request),
+    CallerGone(id::Request),
     /// A call progressed or ended.
     Call {
         /// The request that the call belongs to.
@@ -182,11 +182,11 @@
     /// The caller disconnected.
     CallerGone,
     /// The deadline passed.
-    Late,
+    DeadlinePassed,
     /// The endpoint failed.
     EndpointLost,
     /// The call made no progress and was restarted at another endpoint.
-    Stuck,
+    Stalled,
 }
 
 /// The result of a finished request, for metrics.
@@ -273,7 +273,7 @@
         of: id::Request,
     },
     /// Drop a recorded answer.
-    Forget(id::Request),
+    DropAnswer(id::Request),
     /// Record the result of a finished request in the metrics.
     Ended(Ended),
     /// Record an upper bound of the discarded prompt tokens in the metrics.
--- a/crates/core/src/node/finish.rs
+++ b/crates/core/src/node/finish.rs
@@ -75,11 +75,11 @@
                 self.detach(now, request);
             }
             Phase::Calling { .. } if keyed => {
-                self.abandon(now, request, End::Unused, Waste::Late);
+                self.abandon(now, request, End::Unused, Waste::DeadlinePassed);
                 self.may_have_run(now, request, Code::AnswerLate);
             }
             Phase::Calling { .. } => {
-                self.abandon(now, request, End::Unused, Waste::Late);
+                self.abandon(now, request, End::Unused, Waste::DeadlinePassed);
                 self.finish(now, request, Refusal::new(Code::AnswerLate));
             }
         }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The complete state of a node, as a deterministic state machine.
 //!
 //! [`Node::handle`] is the only entry point that processes events: it takes the
-//! time and an event and returns actions. [`Node::issue`] hands out tickets, and the
+//! time and an event and returns actions. [`Node::issue_ticket`] hands out tickets, and the
 //! other public methods are queries. Modules: `arrive` and `keyed` admit requests,
 //! `ask` obtains endpoints from pool holders, `call` handles calls, `finish` ends
 //! requests, `peer` handles other nodes, `platform` published documents and host
@@ -221,7 +221,7 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Arrive(arrival) => self.arrive(now, arrival),
-            Event::Gone(request) => self.handle_caller_gone(now, request),
+            Event::CallerGone(request) => self.handle_caller_gone(now, request),
             Event::Call {
                 request,
                 attempt,
--- a/crates/core/src/node/query.rs
+++ b/crates/core/src/node/query.rs
@@ -119,7 +119,7 @@
 
     /// Returns the endpoints, with addresses, whose load reports this node reads:
     /// those whose pool it holds.
-    pub fn polled(&self) -> Vec<(id::Endpoint, Arc<str>)> {
+    pub fn polled_endpoints(&self) -> Vec<(id::Endpoint, Arc<str>)> {
         let held = |target: &id::Target| self.holder(target) == self.options.host;
         let ours = self
             .endpoints
--- a/crates/core/tests/core/at_most_once.rs
+++ b/crates/core/tests/core/at_most_once.rs
@@ -191,7 +191,7 @@
         let key = ticket(&mut world, 0).expect("a ticket");
         let first = confirm(&mut world, 0, &key, "shift");
         let second = confirm(&mut world, 0, &key, "shift");
-        world.tell(0, woadstage_core::node::Event::Gone(first));
+        world.tell(0, woadstage_core::node::Event::CallerGone(first));
         world.run_for(Span::from_secs(1));
         assert!(is_whole(&world, second));
         assert_eq!(runs(&world, "shift"), 1);
@@ -219,7 +219,7 @@
         let key = ticket(&mut world, 0).expect("a ticket");
         world.each_endpoint(|endpoint| endpoint.down = true);
         let asked = confirm(&mut world, 0, &key, "shift");
-        world.tell(0, woadstage_core::node::Event::Gone(asked));
+        world.tell(0, woadstage_core::node::Event::CallerGone(asked));
         world.each_endpoint(|endpoint| endpoint.down = false);
         world.run_for(Span::from_secs(20));
         let before = runs(&world, "shift");
--- a/crates/core/tests/core/support.rs
+++ b/crates/core/tests/core/support.rs
@@ -82,7 +82,7 @@
     let token = woadstage_config::published::sha256(sample::TOKENS[0]);
     let now = world.clock(node);
     let core = world.hosts[node].node.as_mut()?;
-    core.issue(now, &token)
+    core.issue_ticket(now, &token)
         .ok()
         .map(|ticket| ticket.to_string())
 }
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -130,7 +130,7 @@
         let issued = self
             .shared
             .handle
-            .ask(move |node, now| node.issue(now, &token))
+            .ask(move |node, now| node.issue_ticket(now, &token))
             .await;
         match issued.unwrap_or(Err(Code::Stopping)) {
             Ok(ticket) => reply::ticket(response, &ticket.to_string()),
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -60,7 +60,7 @@
 impl Drop for Answer {
     fn drop(&mut self) {
         if !self.over {
-            self.handle.put(Input::Event(Event::Gone(self.id)));
+            self.handle.put(Input::Event(Event::CallerGone(self.id)));
         }
     }
 }
--- a/crates/node/src/driver/act.rs
+++ b/crates/node/src/driver/act.rs
@@ -26,7 +26,7 @@
             Action::Refuse { request, refusal } => self.refuse(request, refusal),
             Action::Forward { request, to, left } => self.forward(request, &to, left),
             Action::Replay { request, of } => self.replay(request, of),
-            Action::Forget(request) => {
+            Action::DropAnswer(request) => {
                 self.answers.remove(&request);
             }
             Action::Ended(ended) => {
--- a/crates/node/src/endpoints/call.rs
+++ b/crates/node/src/endpoints/call.rs
@@ -198,7 +198,7 @@
             started = true;
             call.started.store(true, Ordering::Relaxed);
             let _ = call.reply.send(Reply::Head(head.clone())).await;
-            tell(call, node::Call::First, None);
+            tell(call, node::Call::FirstByte, None);
         }
         untold += reader.read(&part);
         record.add(&part);
@@ -233,7 +233,7 @@
     let answer = record.into_answer(head);
     let usage = reader.usage;
     let details = usage.prompt_tokens_details.unwrap_or_default();
-    let whole = node::Call::Whole {
+    let whole = node::Call::Complete {
         prompt: Tokens(usage.prompt_tokens),
         cached: Tokens(details.cached_tokens),
         output: Tokens(usage.completion_tokens.max(reader.tokens).max(1)),
--- a/crates/node/src/endpoints/report.rs
+++ b/crates/node/src/endpoints/report.rs
@@ -34,7 +34,7 @@
 pub async fn poll(client: Client, handle: Handle) {
     loop {
         tokio::time::sleep(EVERY).await;
-        let Some(polled) = handle.ask(|node, _| node.polled()).await else {
+        let Some(polled) = handle.ask(|node, _| node.polled_endpoints()).await else {
             return;
         };
         for (endpoint, address) in polled {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -170,9 +170,9 @@
     pub fn wasted(&self, tokens: Tokens, why: Waste) {
         let cause = match why {
             Waste::CallerGone => "caller-gone",
-            Waste::Late => "late",
+            Waste::DeadlinePassed => "late",
             Waste::EndpointLost => "endpoint-lost",
-            Waste::Stuck => "stuck",
+            Waste::Stalled => "stuck",
         };
         self.wasted.with_label_values(&[cause]).inc_by(tokens.0);
     }
--- a/crates/node/tests/node/answers.rs
+++ b/crates/node/tests/node/answers.rs
@@ -134,7 +134,7 @@
     let _ = running.await;
     while let Ok(input) = inputs.try_recv() {
         if let Input::Call {
-            what: node::Call::Whole { .. },
+            what: node::Call::Complete { .. },
             ..
         } = input
         {
--- a/crates/standin/src/world/act.rs
+++ b/crates/standin/src/world/act.rs
@@ -32,7 +32,7 @@
                     None => self.refuse(node, request, Refusal::new(Code::AnswerDropped)),
                 }
             }
-            Action::Forget(request) => {
+            Action::DropAnswer(request) => {
                 let run = self.hosts[node].incarnation;
                 self.recorded.remove(&(run, request));
             }
@@ -163,7 +163,7 @@
             self.forwards.remove(&(run, request));
             if let Some(to) = self.hosts.iter().position(|host| host.incarnation == run) {
                 let at = self.now + self.options.hop;
-                let event = Event::Gone(request);
+                let event = Event::CallerGone(request);
                 self.tell_at(at, to, run, event);
             }
         }
--- a/crates/standin/src/world/fault.rs
+++ b/crates/standin/src/world/fault.rs
@@ -176,7 +176,9 @@
             .map(|endpoint| (endpoint.name.clone(), endpoint.load(), endpoint.leaving))
             .collect();
         for node in 0..self.hosts.len() {
-            let polled = self.query(node, |core| core.polled()).unwrap_or_default();
+            let polled = self
+                .query(node, |core| core.polled_endpoints())
+                .unwrap_or_default();
             let incarnation = self.hosts[node].incarnation;
             for (endpoint, busy, leaving) in &loads {
                 if !polled.iter().any(|(name, _)| name == endpoint) {
--- a/crates/standin/src/world/forward.rs
+++ b/crates/standin/src/world/forward.rs
@@ -106,7 +106,7 @@
             };
             self.lose_forward(from, request, after);
             let when = self.now + after;
-            let event = Event::Gone(request);
+            let event = Event::CallerGone(request);
             self.tell_at(when, at, run, event);
         }
     }
--- a/crates/standin/src/world/serve.rs
+++ b/crates/standin/src/world/serve.rs
@@ -166,7 +166,7 @@
             state.started = true;
             state.told = now;
             self.first_byte(call);
-            self.tell_call(node, call, Call::First);
+            self.tell_call(node, call, Call::FirstByte);
             return;
         }
         state.untold += 1;
@@ -194,7 +194,7 @@
         if state.untold > 0 {
             self.tell_call(state.node, call, Call::Tokens(state.untold));
         }
-        let whole = Call::Whole {
+        let whole = Call::Complete {
             prompt: Tokens(work.prompt),
             cached: Tokens(cached),
             output: Tokens(work.output),
@@ -226,7 +226,7 @@
             self.tell_call(state.node, call, what);
             return;
         }
-        let whole = Call::Whole {
+        let whole = Call::Complete {
             prompt: Tokens(0),
             cached: Tokens(0),
             output: Tokens(1),
