--- a/crates/core/src/node/arrive.rs
+++ b/crates/core/src/node/arrive.rs
@@ -44,7 +44,7 @@
     /// Creates a refusal for a keyed request from a node that does not own the key.
     ///
     /// A `NotRun` outcome becomes `Unknown`, as another node may have run the key.
-    pub(super) fn of_key(code: Code) -> Refusal {
+    pub(super) fn for_unowned_key(code: Code) -> Refusal {
         let mut refusal = Refusal::new(code);
         if refusal.outcome == Outcome::NotRun {
             refusal.outcome = Outcome::Unknown;
@@ -60,9 +60,9 @@
         if let Err(code) = self.admit(now, arrival) {
             // An earlier request with the same key may have run, so refusing this one
             // must not claim that the key was not run.
-            let of_key = keyed && code.number() > 2_000;
-            let refusal = if of_key {
-                Refusal::of_key(code)
+            let key_may_have_run = keyed && code.number() > 2_000;
+            let refusal = if key_may_have_run {
+                Refusal::for_unowned_key(code)
             } else {
                 Refusal::new(code)
             };
@@ -109,13 +109,13 @@
             prompt: arrival.prompt,
             output_limit: arrival.output_limit,
             blocks: warm::blocks(identity, &arrival.prefix),
-            since: now,
+            arrived_at: now,
             deadline: now + wanted,
             attempt: 0,
             retries: 0,
             avoid: None,
             phase: Phase::Waiting,
-            caller: true,
+            caller_waiting: true,
             detached: false,
             wait: None,
             first: None,
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/ask.rs
@@ -204,7 +204,7 @@
             called: now,
             last: now,
         };
-        task.wait.get_or_insert(now.since(task.since));
+        task.wait.get_or_insert(now.since(task.arrived_at));
         let record = task.key.is_some();
         let key = task.key_text.clone().filter(|_| task.target.checks_keys);
         let (tier, priority) = (task.class.tier, task.target.priority);
@@ -283,7 +283,7 @@
     }
 
     /// Cancels a call in progress and reports the discarded prompt work.
-    pub(super) fn abandon(&mut self, now: Time, request: id::Request, end: End, why: Waste) {
+    pub(super) fn cancel_call(&mut self, now: Time, request: id::Request, end: End, why: Waste) {
         self.notify_end(now, request, end);
         let Some(task) = self.tasks.get(&request) else {
             return;
--- a/crates/core/src/node/call.rs
+++ b/crates/core/src/node/call.rs
@@ -31,8 +31,8 @@
             return;
         }
         match what {
-            Call::FirstByte => self.call_first(now, request),
-            Call::Tokens(count) => self.call_tokens(now, request, count),
+            Call::FirstByte => self.record_first_byte(now, request),
+            Call::Tokens(count) => self.record_tokens(now, request, count),
             Call::Complete {
                 prompt,
                 cached,
@@ -48,23 +48,23 @@
                         output,
                     },
                 );
-                self.call_whole(now, request, cached, recorded);
+                self.complete_call(now, request, cached, recorded);
             }
             Call::Failed {
                 sent,
                 started,
                 leaving,
             } => {
-                self.call_failed(now, request, sent, started, leaving);
+                self.handle_call_failure(now, request, sent, started, leaving);
             }
         }
     }
 
-    fn call_first(&mut self, now: Time, request: id::Request) {
+    fn record_first_byte(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        task.first.get_or_insert(now.since(task.since));
+        task.first.get_or_insert(now.since(task.arrived_at));
         let Phase::Calling { holder, last, .. } = &mut task.phase else {
             return;
         };
@@ -74,7 +74,7 @@
         self.deliver(now, &holder, Message::First { target, request });
     }
 
-    fn call_tokens(&mut self, now: Time, request: id::Request, count: u64) {
+    fn record_tokens(&mut self, now: Time, request: id::Request, count: u64) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
@@ -88,7 +88,7 @@
         *last = now;
     }
 
-    fn call_whole(
+    fn complete_call(
         &mut self,
         now: Time,
         request: id::Request,
@@ -108,7 +108,7 @@
         self.end_with(now, request, Code::Ran, cached);
     }
 
-    fn call_failed(
+    fn handle_call_failure(
         &mut self,
         now: Time,
         request: id::Request,
--- a/crates/core/src/node/finish.rs
+++ b/crates/core/src/node/finish.rs
@@ -24,7 +24,7 @@
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        task.caller = false;
+        task.caller_waiting = false;
         let keyed = task.key.is_some();
         match &task.phase {
             Phase::Waiting => {
@@ -46,7 +46,7 @@
             // finds the answer.
             Phase::Calling { .. } if keyed => {}
             Phase::Calling { .. } => {
-                self.abandon(now, request, End::Unused, Waste::CallerGone);
+                self.cancel_call(now, request, End::Unused, Waste::CallerGone);
                 self.end(now, request, Code::CallerLeft);
             }
         }
@@ -75,11 +75,11 @@
                 self.detach(now, request);
             }
             Phase::Calling { .. } if keyed => {
-                self.abandon(now, request, End::Unused, Waste::DeadlinePassed);
+                self.cancel_call(now, request, End::Unused, Waste::DeadlinePassed);
                 self.may_have_run(now, request, Code::AnswerLate);
             }
             Phase::Calling { .. } => {
-                self.abandon(now, request, End::Unused, Waste::DeadlinePassed);
+                self.cancel_call(now, request, End::Unused, Waste::DeadlinePassed);
                 self.finish(now, request, Refusal::new(Code::AnswerLate));
             }
         }
@@ -126,7 +126,7 @@
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        if std::mem::take(&mut task.caller) {
+        if std::mem::take(&mut task.caller_waiting) {
             self.out.push(Action::Refuse { request, refusal });
         }
     }
@@ -148,7 +148,7 @@
             tier: task.class.tier,
             customer: task.customer.name.clone(),
             code,
-            latency: now.since(task.since),
+            latency: now.since(task.arrived_at),
             wait: task.wait,
             first: task.first,
             cached,
--- a/crates/core/src/node/keyed.rs
+++ b/crates/core/src/node/keyed.rs
@@ -44,7 +44,7 @@
                 });
             }
             Route::Nowhere(code) => {
-                let mut refusal = Refusal::of_key(code);
+                let mut refusal = Refusal::for_unowned_key(code);
                 if code == Code::TicketNeeded {
                     // Nothing ever runs under such a key, so `NotRun` is certain.
                     refusal = self.offer_ticket(now, &task);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -114,14 +114,14 @@
     prompt: Tokens,
     output_limit: Option<Tokens>,
     blocks: Vec<u64>,
-    since: Time,
+    arrived_at: Time,
     deadline: Time,
     attempt: u32,
     retries: u32,
     avoid: Option<id::Endpoint>,
     phase: Phase,
     /// Whether the caller still waits for an answer.
-    caller: bool,
+    caller_waiting: bool,
     /// Whether a keyed call continues after its caller was answered.
     detached: bool,
     wait: Option<Span>,
--- a/crates/core/src/node/query.rs
+++ b/crates/core/src/node/query.rs
@@ -63,10 +63,11 @@
 }
 
 impl Node {
-    /// Whether callers may be sent to this node. It needs a configuration and a host
-    /// list and, if nodes are listed, a heartbeat from one whose configuration is
-    /// not newer, so that a stale platform cannot bring back an older configuration
-    /// through a new node.
+    /// Whether callers may be sent to this node.
+    ///
+    /// It needs a configuration and a host list and, if other live entry hosts are listed,
+    /// a heartbeat of a node whose configuration is not newer. Otherwise a stale platform
+    /// could bring back an older configuration through a new node.
     pub fn is_ready(&self) -> bool {
         let known = self.document.is_some() && self.list.is_some();
         let configuration_checked = self.configuration_checked || self.members.listed.is_empty();
--- a/crates/core/src/node/tick.rs
+++ b/crates/core/src/node/tick.rs
@@ -91,7 +91,7 @@
         if task.retries > 0 || !self.retries.has_one() {
             return;
         }
-        self.abandon(now, request, End::Failed, Waste::Stalled);
+        self.cancel_call(now, request, End::Failed, Waste::Stalled);
         self.retry(now, request, Some(endpoint));
     }
 }
