--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/ask.rs
@@ -201,8 +201,8 @@
         task.phase = Phase::Calling {
             holder,
             endpoint: endpoint.clone(),
-            called: now,
-            last: now,
+            called_at: now,
+            last_progress: now,
         };
         task.wait.get_or_insert(now.since(task.arrived_at));
         let record = task.key.is_some();
--- a/crates/core/src/node/call.rs
+++ b/crates/core/src/node/call.rs
@@ -65,10 +65,15 @@
             return;
         };
         task.first.get_or_insert(now.since(task.arrived_at));
-        let Phase::Calling { holder, last, .. } = &mut task.phase else {
+        let Phase::Calling {
+            holder,
+            last_progress,
+            ..
+        } = &mut task.phase
+        else {
             return;
         };
-        *last = now;
+        *last_progress = now;
         let (holder, target) = (holder.clone(), task.target.name.clone());
         self.trace.add(now, request, Step::First);
         self.deliver(now, &holder, Message::First { target, request });
@@ -78,14 +83,19 @@
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        let Phase::Calling { endpoint, last, .. } = &mut task.phase else {
+        let Phase::Calling {
+            endpoint,
+            last_progress,
+            ..
+        } = &mut task.phase
+        else {
             return;
         };
         let key = (task.target.name.clone(), endpoint.clone());
         let unreported = self.unreported.entry(key).or_default();
         unreported.tokens += count;
-        unreported.busy += now.since(*last);
-        *last = now;
+        unreported.busy += now.since(*last_progress);
+        *last_progress = now;
     }
 
     fn complete_call(
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -236,8 +236,8 @@
         tier: u8,
         /// Whether the engine accepts `priority` in the body.
         priority: bool,
-        /// The idempotency key, for endpoints that check keys; this node's incarnation
-        /// is sent with it as the fence.
+        /// The idempotency key, for endpoints that check keys; the request id and the
+        /// attempt number are sent with it as the fence.
         key: Option<String>,
         /// Whether to record the answer for repeats of the key.
         record: bool,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -98,8 +98,8 @@
     Calling {
         holder: id::Host,
         endpoint: id::Endpoint,
-        called: Time,
-        last: Time,
+        called_at: Time,
+        last_progress: Time,
     },
 }
 
--- a/crates/core/src/node/platform.rs
+++ b/crates/core/src/node/platform.rs
@@ -208,7 +208,8 @@
         }
     }
 
-    /// Requests the document of another node if it is newer than the one held here.
+    /// Requests the document of another node if its revision is higher, or if a different
+    /// document has the same revision and a lower index.
     pub(super) fn compare_documents(&mut self, host: &id::Host, heartbeat: &Heartbeat) {
         let held = self.document.as_ref();
         let ours = held.map_or((0, 0), |held| {
--- a/crates/core/src/node/tick.rs
+++ b/crates/core/src/node/tick.rs
@@ -65,12 +65,12 @@
     /// budget allows it.
     fn restart_stalled(&mut self, now: Time) {
         let stalled = self.tasks.iter().filter(|(_, task)| {
-            let Phase::Calling { called, .. } = &task.phase else {
+            let Phase::Calling { called_at, .. } = &task.phase else {
                 return false;
             };
-            let time = task.deadline.since(*called);
+            let time = task.deadline.since(*called_at);
             let stall_timeout = Span(MIN_STALL_TIMEOUT.0.max(time.0 / STALL_TIMEOUT_DIVISOR));
-            let silent = task.first.is_none() && now.since(*called) > stall_timeout;
+            let silent = task.first.is_none() && now.since(*called_at) > stall_timeout;
             silent && task.class.repeatable && task.deadline > now
         });
         let mut stalled: Vec<id::Request> = stalled.map(|(request, _)| *request).collect();
