--- a/crates/core/src/node/arrive.rs
+++ b/crates/core/src/node/arrive.rs
@@ -1,4 +1,4 @@
-//! A request comes: who sends it, what for, and may it.
+//! Admission of arriving requests: authentication, class selection and limits.
 
 use woadstage_config::published::Class;
 use woadstage_config::published::Config;
@@ -23,16 +23,16 @@
 use crate::pool::warm;
 use crate::trace::Step;
 
-/// The longest time a caller may ask for.
-const LONGEST: Span = Span::from_secs(3_600);
+/// The maximum timeout of a request; longer ones are cut to it.
+const MAX_TIMEOUT: Span = Span::from_secs(3_600);
 
-/// When to come back to a node that is not ready, stopping or full.
-const SOON: Span = Span::from_secs(1);
+/// The retry delay sent with refusals that may clear by themselves.
+const RETRY_DELAY: Span = Span::from_secs(1);
 
 impl Refusal {
-    /// The refusal that a code means by itself.
+    /// Creates a refusal with the outcome that the code implies.
     pub fn new(code: Code) -> Refusal {
-        let retry_after = code.is_transient().then_some(SOON);
+        let retry_after = code.is_transient().then_some(RETRY_DELAY);
         Refusal {
             code,
             outcome: code.outcome(),
@@ -41,8 +41,10 @@
         }
     }
 
-    /// The same from a node that cannot speak for the key.
-    pub(super) fn of_key(code: Code) -> Refusal {
+    /// Creates a refusal for a keyed request from a node that does not own the key.
+    ///
+    /// A `NotRun` outcome becomes `Unknown`, as another node may have run the key.
+    pub(super) fn for_unowned_key(code: Code) -> Refusal {
         let mut refusal = Refusal::new(code);
         if refusal.outcome == Outcome::NotRun {
             refusal.outcome = Outcome::Unknown;
@@ -56,11 +58,11 @@
         let request = arrival.request;
         let keyed = arrival.key.is_some();
         if let Err(code) = self.admit(now, arrival) {
-            // A key that an earlier request used may have run: what is said
-            // of this request must not be taken for a word on the key.
-            let of_key = keyed && code.number() > 2_000;
-            let refusal = if of_key {
-                Refusal::of_key(code)
+            // An earlier request with the same key may have run, so refusing this one
+            // must not claim that the key was not run.
+            let key_may_have_run = keyed && code.number() > 2_000;
+            let refusal = if key_may_have_run {
+                Refusal::for_unowned_key(code)
             } else {
                 Refusal::new(code)
             };
@@ -93,7 +95,7 @@
         {
             return Err(Code::CustomerLimit);
         }
-        let wanted = arrival.timeout.unwrap_or(class.timeout).min(LONGEST);
+        let wanted = arrival.timeout.unwrap_or(class.timeout).min(MAX_TIMEOUT);
         let step = Step::Arrived {
             class: class.name.clone(),
             revision: config.confirmation.revision,
@@ -107,14 +109,14 @@
             prompt: arrival.prompt,
             output_limit: arrival.output_limit,
             blocks: warm::blocks(identity, &arrival.prefix),
-            since: now,
+            arrived_at: now,
             deadline: now + wanted,
             attempt: 0,
             retries: 0,
             avoid: None,
             phase: Phase::Waiting,
-            caller: true,
-            lingers: false,
+            caller_waiting: true,
+            detached: false,
             wait: None,
             first: None,
             class,
@@ -137,8 +139,8 @@
         self.tasks.insert(request, task);
     }
 
-    /// Issues a ticket to the customer of a token.
-    pub fn issue(&mut self, now: Time, token: &[u8; 32]) -> Result<Ticket, Code> {
+    /// Issues a ticket to the customer that the token belongs to.
+    pub fn issue_ticket(&mut self, now: Time, token: &[u8; 32]) -> Result<Ticket, Code> {
         let document = self.document.as_ref().ok_or(Code::NotReady)?;
         let customer = document
             .config
@@ -157,7 +159,7 @@
     }
 }
 
-/// What a cached prefix must share: model, version, adapter and customer.
+/// Returns the hash that separates prefix caches by customer, model, version and adapter.
 fn identity(target: &Target, customer: u64) -> u64 {
     let model = hash::chain(customer, target.name.as_str().as_bytes());
     hash::chain(model, target.version.as_bytes())
--- a/crates/core/src/node/ask.rs
+++ b/crates/core/src/node/ask.rs
@@ -1,4 +1,4 @@
-//! The way to an endpoint: asking the holder of the pool, and its answers.
+//! Requests to pool holders for an endpoint, and handling of their answers.
 
 use woadstage_types::code::Code;
 use woadstage_types::hash;
@@ -20,10 +20,10 @@
 use crate::pool::Pool;
 use crate::trace::Step;
 
-/// Attempts at one request, the first among them.
-const ATTEMPTS: u32 = 3;
+/// The maximum number of attempts per request, including the first.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// A grant, as it came.
+/// A grant as received from a pool holder.
 pub(super) struct Grant {
     pub(super) target: id::Target,
     pub(super) request: id::Request,
@@ -32,7 +32,7 @@
 }
 
 impl Node {
-    /// The node that holds a target's pool, as far as this node can tell.
+    /// Returns the node that holds a target's pool according to this node's view.
     pub(super) fn holder(&self, target: &id::Target) -> id::Host {
         let live = self.live.iter();
         hash::owner(target.as_str(), live)
@@ -40,7 +40,7 @@
             .clone()
     }
 
-    /// Asks for an endpoint, anew or again.
+    /// Starts a new attempt and asks the pool holder for an endpoint.
     pub(super) fn ask(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
@@ -48,31 +48,33 @@
         let target = task.target.name.clone();
         task.attempt += 1;
         let attempt = task.attempt;
-        let of = self.holder(&target);
+        let holder = self.holder(&target);
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        task.phase = Phase::Asking { of: of.clone() };
+        task.phase = Phase::Asking {
+            holder: holder.clone(),
+        };
         let ask = to_ask(now, request, task);
         self.trace.add(
             now,
             request,
             Step::Asked {
-                of: of.clone(),
+                of: holder.clone(),
                 attempt,
             },
         );
-        if of == self.options.host {
+        if holder == self.options.host {
             let peer = self.peer();
             if let Some(pool) = self.pool(&target) {
                 pool.ask(now, peer, ask);
             }
         } else {
-            self.send(&of, Message::Ask { target, ask });
+            self.send(&holder, Message::Ask { target, ask });
         }
     }
 
-    /// The pool of a declared target, opened when first wanted.
+    /// Returns the pool of a declared target, creating it on first use.
     pub(super) fn pool(&mut self, target: &id::Target) -> Option<&mut Pool> {
         if !self.pools.contains_key(target) {
             let document = self.document.as_ref()?;
@@ -84,18 +86,18 @@
         self.pools.get_mut(target)
     }
 
-    /// Tells the holder of a pool that an ask is over.
-    pub(super) fn tell_done(&mut self, now: Time, request: id::Request, end: End) {
+    /// Tells the pool holder that the request's current attempt has ended.
+    pub(super) fn notify_end(&mut self, now: Time, request: id::Request, end: End) {
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
-        let (Phase::Asking { of } | Phase::Calling { of, .. }) = &task.phase else {
+        let (Phase::Asking { holder } | Phase::Calling { holder, .. }) = &task.phase else {
             return;
         };
-        let (of, attempt, target) = (of.clone(), task.attempt, task.target.name.clone());
-        self.tell(
+        let (holder, attempt, target) = (holder.clone(), task.attempt, task.target.name.clone());
+        self.deliver(
             now,
-            &of,
+            &holder,
             Message::Done {
                 target,
                 request,
@@ -105,18 +107,18 @@
         );
     }
 
-    /// Gives a message to the holder of a pool, which may be this node.
-    pub(super) fn tell(&mut self, now: Time, of: &id::Host, message: Message) {
-        if *of == self.options.host {
+    /// Delivers a message to a pool holder, which may be this node.
+    pub(super) fn deliver(&mut self, now: Time, holder: &id::Host, message: Message) {
+        if *holder == self.options.host {
             let peer = self.peer();
             self.pool_message(now, peer, message);
         } else {
-            self.send(of, message);
+            self.send(holder, message);
         }
     }
 
-    /// Acts on what the pools here decided, until they decide nothing more.
-    pub(super) fn decide(&mut self, now: Time) {
+    /// Carries out pending decisions of the local pools until none are left.
+    pub(super) fn apply_decisions(&mut self, now: Time) {
         loop {
             let decided: Vec<Decision> = self
                 .pools
@@ -127,12 +129,12 @@
                 return;
             }
             for decision in decided {
-                self.carry_out(now, decision);
+                self.apply_decision(now, decision);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Time, decision: Decision) {
+    fn apply_decision(&mut self, now: Time, decision: Decision) {
         let (to, message) = match decision {
             Decision::Grant {
                 to,
@@ -172,8 +174,8 @@
         }
     }
 
-    /// A holder granted an endpoint.
-    pub(super) fn granted(&mut self, now: Time, from: &Peer, grant: Grant) {
+    /// Handles a grant: calls the endpoint, or returns the grant if it is unusable.
+    pub(super) fn handle_grant(&mut self, now: Time, from: &Peer, grant: Grant) {
         let Grant {
             request,
             attempt,
@@ -195,14 +197,14 @@
             return;
         };
         let endpoint = endpoint.clone();
-        let of = from.host.clone();
+        let holder = from.host.clone();
         task.phase = Phase::Calling {
-            of,
+            holder,
             endpoint: endpoint.clone(),
-            called: now,
-            last: now,
+            called_at: now,
+            last_progress: now,
         };
-        task.wait.get_or_insert(now.since(task.since));
+        task.wait.get_or_insert(now.since(task.arrived_at));
         let record = task.key.is_some();
         let key = task.key_text.clone().filter(|_| task.target.checks_keys);
         let (tier, priority) = (task.class.tier, task.target.priority);
@@ -228,15 +230,15 @@
 
     fn is_asking(&self, from: &Peer, request: id::Request, attempt: u32) -> bool {
         self.tasks.get(&request).is_some_and(|task| {
-            let Phase::Asking { of } = &task.phase else {
+            let Phase::Asking { holder } = &task.phase else {
                 return false;
             };
-            task.attempt == attempt && *of == from.host
+            task.attempt == attempt && *holder == from.host
         })
     }
 
-    /// Gives back a grant that cannot be used: the ask is over, its time is
-    /// over, or the list here does not name the endpoint yet.
+    /// Returns a grant that cannot be used: the request no longer waits for it, its
+    /// deadline has passed, or the local host list does not name the endpoint yet.
     fn decline(&mut self, now: Time, from: &Peer, grant: Grant, asking: bool) {
         let Grant {
             target,
@@ -251,7 +253,7 @@
             return;
         }
         let end = End::Unused;
-        self.tell(
+        self.deliver(
             now,
             &from.host,
             Message::Done {
@@ -266,8 +268,8 @@
         }
     }
 
-    /// A holder refused.
-    pub(super) fn refused(
+    /// Handles a refusal by a pool holder; refusals of earlier attempts are ignored.
+    pub(super) fn handle_refusal(
         &mut self,
         now: Time,
         from: &Peer,
@@ -280,9 +282,9 @@
         }
     }
 
-    /// Stops a call in progress.
-    pub(super) fn abandon(&mut self, now: Time, request: id::Request, end: End, why: Waste) {
-        self.tell_done(now, request, end);
+    /// Cancels a call in progress and reports the discarded prompt work.
+    pub(super) fn cancel_call(&mut self, now: Time, request: id::Request, end: End, why: Waste) {
+        self.notify_end(now, request, end);
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
@@ -291,7 +293,9 @@
         self.out.push(Action::Wasted(task.prompt, why));
     }
 
-    /// Tries again elsewhere if attempts, budget and time allow; else false.
+    /// Starts another attempt if the attempt limit, retry budget and deadline allow it.
+    ///
+    /// Returns whether an attempt was started.
     pub(super) fn retry(
         &mut self,
         now: Time,
@@ -301,7 +305,7 @@
         let Some(task) = self.tasks.get_mut(&request) else {
             return false;
         };
-        if task.retries + 1 >= ATTEMPTS || task.deadline <= now || !self.retries.try_spend() {
+        if task.retries + 1 >= MAX_ATTEMPTS || task.deadline <= now || !self.retries.try_spend() {
             return false;
         }
         task.retries += 1;
@@ -310,15 +314,15 @@
         true
     }
 
-    /// Asks and calls go to the nodes that hold their pools now.
+    /// Moves pending asks and running calls to the current holders of their pools.
     pub(super) fn reroute(&mut self, now: Time, back: Option<&id::Host>) {
         let mut moved: Vec<(id::Request, Message)> = Vec::new();
         let mut again = Vec::new();
         for (request, task) in &self.tasks {
-            let (Phase::Asking { of } | Phase::Calling { of, .. }) = &task.phase else {
+            let (Phase::Asking { holder } | Phase::Calling { holder, .. }) = &task.phase else {
                 continue;
             };
-            if self.holder(&task.target.name) == *of && back != Some(of) {
+            if self.holder(&task.target.name) == *holder && back != Some(holder) {
                 continue;
             }
             let target = task.target.name.clone();
@@ -344,7 +348,7 @@
             self.move_call(now, request, message);
         }
         for request in again {
-            self.tell_done(now, request, End::Unused);
+            self.notify_end(now, request, End::Unused);
             self.ask(now, request);
         }
     }
@@ -353,22 +357,22 @@
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
-        let holder = self.holder(&task.target.name);
-        let Phase::Calling { of, .. } = &task.phase else {
+        let new_holder = self.holder(&task.target.name);
+        let Phase::Calling { holder, .. } = &task.phase else {
             return;
         };
-        if *of != holder {
-            self.tell_done(now, request, End::Unused);
+        if *holder != new_holder {
+            self.notify_end(now, request, End::Unused);
         }
         if let Some(task) = self.tasks.get_mut(&request)
-            && let Phase::Calling { of, .. } = &mut task.phase
+            && let Phase::Calling { holder, .. } = &mut task.phase
         {
-            *of = holder.clone();
+            *holder = new_holder.clone();
         }
-        self.tell(now, &holder, message);
+        self.deliver(now, &new_holder, message);
     }
 
-    /// Code and outcome of a refusal that a holder sent.
+    /// Builds the refusal for a code sent by a pool holder.
     pub(super) fn to_refusal(code: Code, retry_after: Span) -> Refusal {
         let retry_after = code.is_transient().then_some(retry_after);
         Refusal {
--- a/crates/core/src/node/call.rs
+++ b/crates/core/src/node/call.rs
@@ -1,4 +1,4 @@
-//! What endpoints and passed-on requests do.
+//! Handling of call events and of the results of forwarded requests.
 
 use woadstage_types::code::Code;
 use woadstage_types::id;
@@ -17,7 +17,13 @@
 use crate::trace::Step;
 
 impl Node {
-    pub(super) fn called(&mut self, now: Time, request: id::Request, attempt: u32, what: Call) {
+    pub(super) fn handle_call(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        attempt: u32,
+        what: Call,
+    ) {
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
@@ -25,15 +31,15 @@
             return;
         }
         match what {
-            Call::First => self.call_first(now, request),
-            Call::Tokens(count) => self.call_tokens(now, request, count),
-            Call::Whole {
+            Call::FirstByte => self.record_first_byte(now, request),
+            Call::Tokens(count) => self.record_tokens(now, request, count),
+            Call::Complete {
                 prompt,
                 cached,
                 output,
                 recorded,
             } => {
-                self.tell_done(
+                self.notify_end(
                     now,
                     request,
                     End::Whole {
@@ -42,47 +48,57 @@
                         output,
                     },
                 );
-                self.call_whole(now, request, cached, recorded);
+                self.complete_call(now, request, cached, recorded);
             }
             Call::Failed {
                 sent,
                 started,
                 leaving,
             } => {
-                self.call_failed(now, request, sent, started, leaving);
+                self.handle_call_failure(now, request, sent, started, leaving);
             }
         }
     }
 
-    fn call_first(&mut self, now: Time, request: id::Request) {
+    fn record_first_byte(&mut self, now: Time, request: id::Request) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        task.first.get_or_insert(now.since(task.since));
-        let Phase::Calling { of, last, .. } = &mut task.phase else {
+        task.first.get_or_insert(now.since(task.arrived_at));
+        let Phase::Calling {
+            holder,
+            last_progress,
+            ..
+        } = &mut task.phase
+        else {
             return;
         };
-        *last = now;
-        let (of, target) = (of.clone(), task.target.name.clone());
+        *last_progress = now;
+        let (holder, target) = (holder.clone(), task.target.name.clone());
         self.trace.add(now, request, Step::First);
-        self.tell(now, &of, Message::First { target, request });
+        self.deliver(now, &holder, Message::First { target, request });
     }
 
-    fn call_tokens(&mut self, now: Time, request: id::Request, count: u64) {
+    fn record_tokens(&mut self, now: Time, request: id::Request, count: u64) {
         let Some(task) = self.tasks.get_mut(&request) else {
             return;
         };
-        let Phase::Calling { endpoint, last, .. } = &mut task.phase else {
+        let Phase::Calling {
+            endpoint,
+            last_progress,
+            ..
+        } = &mut task.phase
+        else {
             return;
         };
         let key = (task.target.name.clone(), endpoint.clone());
-        let seen = self.seen.entry(key).or_default();
-        seen.tokens += count;
-        seen.busy += now.since(*last);
-        *last = now;
+        let unreported = self.unreported.entry(key).or_default();
+        unreported.tokens += count;
+        unreported.busy += now.since(*last_progress);
+        *last_progress = now;
     }
 
-    fn call_whole(
+    fn complete_call(
         &mut self,
         now: Time,
         request: id::Request,
@@ -97,12 +113,12 @@
             }
         }
         for dropped in self.ledger.trim_answers() {
-            self.out.push(Action::Forget(dropped));
+            self.out.push(Action::DropAnswer(dropped));
         }
         self.end_with(now, request, Code::Ran, cached);
     }
 
-    fn call_failed(
+    fn handle_call_failure(
         &mut self,
         now: Time,
         request: id::Request,
@@ -111,7 +127,7 @@
         leaving: bool,
     ) {
         let end = if leaving { End::Leaving } else { End::Failed };
-        self.tell_done(now, request, end);
+        self.notify_end(now, request, end);
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
--- a/crates/core/src/node/peer.rs
+++ b/crates/core/src/node/peer.rs
@@ -1,4 +1,4 @@
-//! Other nodes: what they say, and that they come and go.
+//! Membership changes and messages from other nodes.
 
 use woadstage_types::id;
 use woadstage_types::unit::Time;
@@ -14,19 +14,19 @@
 impl Node {
     pub(super) fn peer_up(&mut self, now: Time, peer: Peer) {
         self.members.set_up(&peer);
-        self.beat_to(now, &peer.host);
-        self.view(now);
-        // What it held for us may be lost with the old connection.
+        self.send_heartbeat(now, &peer.host);
+        self.update_live_nodes(now);
+        // The peer may have lost this node's requests with the old connection.
         self.reroute(now, Some(&peer.host));
     }
 
     pub(super) fn peer_down(&mut self, now: Time, host: &id::Host) {
         self.members.set_down(host);
-        self.lose_sight(now, host);
-        self.view(now);
+        self.drop_if_unreachable(now, host);
+        self.update_live_nodes(now);
     }
 
-    /// What this node says of itself.
+    /// Builds this node's heartbeat.
     fn heartbeat(&self, now: Time) -> Heartbeat {
         let document = self.document.as_ref();
         Heartbeat {
@@ -40,34 +40,34 @@
         }
     }
 
-    fn beat_to(&mut self, now: Time, host: &id::Host) {
+    fn send_heartbeat(&mut self, now: Time, host: &id::Host) {
         let heartbeat = self.heartbeat(now);
         self.send(host, Message::Heartbeat(heartbeat));
     }
 
-    /// Sends a heartbeat to every node that is up.
-    pub(super) fn beat_all(&mut self, now: Time) {
+    /// Sends a heartbeat to every connected node.
+    pub(super) fn send_heartbeats(&mut self, now: Time) {
         let others = self.members.others.iter().filter(|(_, member)| member.up);
         let mut names: Vec<id::Host> = others.map(|(name, _)| name.clone()).collect();
         names.sort();
         for name in names {
-            self.beat_to(now, &name);
+            self.send_heartbeat(now, &name);
         }
     }
 
-    /// Looks again at who is live; moves asks and calls where pools moved.
-    pub(super) fn view(&mut self, now: Time) {
+    /// Recomputes the live nodes, and moves asks and calls whose pool holder changed.
+    pub(super) fn update_live_nodes(&mut self, now: Time) {
         let live = self.members.live(now, self.stage != Stage::Serving);
         if live == self.live {
             return;
         }
         let before = std::mem::replace(&mut self.live, live);
-        // Another node may have been given plain keys until now.
+        // Until now, another node may have owned plain keys that this node owns now.
         self.ledger.raise_plain_floor(now);
         let gone = before.iter().filter(|host| !self.live.contains(host));
         let gone: Vec<id::Host> = gone.cloned().collect();
         for host in gone {
-            self.lose_sight(now, &host);
+            self.drop_if_unreachable(now, &host);
         }
         let back = self.live.iter().filter(|host| !before.contains(host));
         let back: Vec<id::Host> = back.cloned().collect();
@@ -83,9 +83,9 @@
         });
     }
 
-    /// Forgets what a node asked for, unless it is only leaving. If it lives
-    /// after all, it is told to say it again.
-    fn lose_sight(&mut self, now: Time, host: &id::Host) {
+    /// Drops a node's requests from the local pools, unless the node is still reachable.
+    /// If it turns out to be live, `SayAgain` makes it repeat them.
+    fn drop_if_unreachable(&mut self, now: Time, host: &id::Host) {
         if self.members.is_reachable(now, host) {
             return;
         }
@@ -97,12 +97,12 @@
 
     pub(super) fn message(&mut self, now: Time, from: Peer, message: Message) {
         match message {
-            Message::Heartbeat(said) => self.heard(now, from, said),
+            Message::Heartbeat(heartbeat) => self.receive_heartbeat(now, from, heartbeat),
             Message::SayAgain => self.reroute(now, Some(&from.host)),
-            Message::WantDocument => self.give_document(&from.host),
+            Message::WantDocument => self.send_document(&from.host),
             Message::Document { text, index } => self.document(now, text, index),
-            Message::WantHosts => self.give_hosts(&from.host),
-            Message::Hosts { list, index } => self.hosts_passed(now, &from.host, list, index),
+            Message::WantHosts => self.send_hosts(&from.host),
+            Message::Hosts { list, index } => self.receive_hosts(now, &from.host, list, index),
             Message::Grant {
                 target,
                 request,
@@ -115,7 +115,7 @@
                     attempt,
                     endpoint,
                 };
-                self.granted(now, &from, grant);
+                self.handle_grant(now, &from, grant);
             }
             Message::Refuse {
                 request,
@@ -124,26 +124,26 @@
                 retry_after,
             } => {
                 let refusal = Node::to_refusal(code, retry_after);
-                self.refused(now, &from, request, attempt, refusal);
+                self.handle_refusal(now, &from, request, attempt, refusal);
             }
             Message::Estate(estate) => {
                 self.ledger.inherit(estate);
                 self.send(&from.host, Message::EstateTaken);
-                self.beat_all(now);
+                self.send_heartbeats(now);
             }
-            Message::EstateTaken => self.estate.taken(),
+            Message::EstateTaken => self.handover.confirm(),
             pool => self.pool_message(now, from, pool),
         }
     }
 
-    /// Messages to the holder of a pool.
+    /// Handles a message addressed to a pool holder.
     pub(super) fn pool_message(&mut self, now: Time, from: Peer, message: Message) {
         match message {
             Message::Ask { target, ask } => {
                 let (request, attempt) = (ask.request, ask.attempt);
                 match self.pool(&target) {
                     Some(pool) => pool.ask(now, from, ask),
-                    None => self.refuse_unknown(&from, request, attempt),
+                    None => self.refuse_undeclared(&from, request, attempt),
                 }
             }
             Message::Adopt {
@@ -181,8 +181,8 @@
         }
     }
 
-    /// A target that is not declared here yet, though it is where the ask was made.
-    fn refuse_unknown(&mut self, to: &Peer, request: id::Request, attempt: u32) {
+    /// Refuses an ask for a target that is declared at the sender but not here yet.
+    fn refuse_undeclared(&mut self, to: &Peer, request: id::Request, attempt: u32) {
         let code = woadstage_types::code::Code::NoEndpoint;
         let retry_after = woadstage_types::unit::Span::from_secs(1);
         self.send(
@@ -196,12 +196,12 @@
         );
     }
 
-    fn heard(&mut self, now: Time, from: Peer, said: Heartbeat) {
+    fn receive_heartbeat(&mut self, now: Time, from: Peer, heartbeat: Heartbeat) {
         let own = self
             .document
             .as_ref()
             .map_or(0, |held| held.config.confirmation.revision);
-        self.checked |= said.revision > 0 && said.revision <= own;
+        self.configuration_checked |= heartbeat.revision > 0 && heartbeat.revision <= own;
         let known = self
             .members
             .others
@@ -216,9 +216,9 @@
                 .values_mut()
                 .for_each(|pool| pool.drop_peer(now, &before));
         }
-        self.compare_documents(&from.host, &said);
-        self.compare_hosts(now, &from.host, &said);
-        self.members.hear(now, &from, said);
-        self.view(now);
+        self.compare_documents(&from.host, &heartbeat);
+        self.compare_hosts(now, &from.host, &heartbeat);
+        self.members.hear(now, &from, heartbeat);
+        self.update_live_nodes(now);
     }
 }
--- a/crates/core/src/node/stop.rs
+++ b/crates/core/src/node/stop.rs
@@ -1,5 +1,5 @@
-//! The planned stop: ownership moves, unused tickets go to a successor, what
-//! is in progress ends in peace.
+//! The planned stop: pools and keys move to other nodes, unused tickets go to a
+//! successor, and requests in progress finish.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -8,32 +8,32 @@
 use super::Stage;
 use crate::message::Message;
 
-/// How long a successor may take to confirm.
-const CONFIRM_WITHIN: Span = Span::from_secs(1);
+/// How long to wait for the successor's confirmation.
+const CONFIRM_TIMEOUT: Span = Span::from_secs(1);
 
-/// The handing over of unused tickets.
+/// The state of the handover of unused tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Handover {
-    /// Not begun.
+    /// Not started.
     #[default]
-    Held,
-    /// Given away, not yet confirmed.
-    Given(Time),
-    /// Over, one way or the other.
-    Over,
+    Pending,
+    /// Sent at the given time and not confirmed yet.
+    Sent(Time),
+    /// Confirmed, timed out or impossible for lack of a successor.
+    Finished,
 }
 
 impl Handover {
-    pub(super) fn taken(&mut self) {
-        *self = Handover::Over;
+    pub(super) fn confirm(&mut self) {
+        *self = Handover::Finished;
     }
 }
 
 impl Node {
     pub(super) fn stop(&mut self, now: Time) {
         self.stage = self.stage.max(Stage::Leaving);
-        self.beat_all(now);
-        self.view(now);
+        self.send_heartbeats(now);
+        self.update_live_nodes(now);
     }
 
     pub(super) fn close(&mut self, now: Time) {
@@ -41,34 +41,34 @@
         self.hand_over(now);
     }
 
-    /// Gives unused tickets away once no keyed request is in progress.
+    /// Hands unused tickets to a successor once no keyed request is in progress.
     pub(super) fn hand_over(&mut self, now: Time) {
         if self.stage != Stage::Closed {
             return;
         }
-        match self.estate {
-            Handover::Held => {}
-            Handover::Given(at) if now.since(at) > CONFIRM_WITHIN => {
-                self.estate = Handover::Over;
+        match self.handover {
+            Handover::Pending => {}
+            Handover::Sent(at) if now.since(at) > CONFIRM_TIMEOUT => {
+                self.handover = Handover::Finished;
                 return;
             }
-            Handover::Given(_) | Handover::Over => return,
+            Handover::Sent(_) | Handover::Finished => return,
         }
         let own = &self.options.host;
         let Some(successor) = self.live.iter().find(|host| *host != own).cloned() else {
-            self.estate = Handover::Over;
+            self.handover = Handover::Finished;
             return;
         };
         let Some(estate) = self.ledger.try_give() else {
             return;
         };
-        self.estate = Handover::Given(now);
+        self.handover = Handover::Sent(now);
         self.send(&successor, Message::Estate(estate));
     }
 
-    /// True once nothing is in progress and the tickets are given away.
+    /// Whether no request is in progress and the handover is over.
     pub fn is_drained(&self) -> bool {
-        let over = self.estate == Handover::Over;
+        let over = self.handover == Handover::Finished;
         self.stage == Stage::Closed && self.tasks.is_empty() && over
     }
 }
