--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,17 +1,18 @@
-//! Limits: what a customer may send, and what may be retried.
+//! Rate limits for customers and a budget for retries.
 
 use std::collections::HashMap;
 
 use woadstage_types::unit::Rate;
 use woadstage_types::unit::Time;
 
-/// Requests a customer may send at once, in seconds of its rate.
+/// The burst that a customer may send, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// Customers kept before those with a full bucket are forgotten.
+/// The number of tracked customers from which those with a full bucket are
+/// dropped.
 const KEPT: usize = 4_096;
 
-/// A bucket that fills with time (token bucket).
+/// A token bucket.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     level: f64,
@@ -26,16 +27,16 @@
     }
 }
 
-/// What customers may send through this node.
+/// Rate limits of the customers that send through this node.
 #[derive(Debug, Default)]
 pub struct Customers {
     buckets: HashMap<u64, (Bucket, f64)>,
 }
 
 impl Customers {
-    /// Counts one request against a customer's share of its limit here; false
-    /// if it is over. `nodes` share the limit; since balancers are uneven,
-    /// each allows twice its even part.
+    /// Takes one request from a customer's bucket and returns whether it is
+    /// within the limit. `nodes` share the limit; each allows twice its even
+    /// part, because load balancers spread requests unevenly.
     pub fn admit(&mut self, now: Time, customer: u64, limit: Rate, nodes: usize) -> bool {
         let rate = limit.0 as f64 * (2.0 / nodes.max(2) as f64);
         let most = (rate * BURST_SECONDS).max(1.0);
@@ -66,41 +67,42 @@
         });
     }
 
-    /// Customers remembered.
+    /// Returns the number of tracked customers.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// True when none is remembered.
+    /// Returns whether no customer is tracked.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 }
 
-/// Retries as a share of first attempts, so that failing endpoints do not
-/// multiply the load (the retry budget of Finagle and of the SRE book).
+/// A retry budget in proportion to first attempts, so that failing endpoints do
+/// not multiply the load (as in Finagle and the SRE book).
 #[derive(Debug)]
 pub struct Retries {
     level: f64,
 }
 
 impl Retries {
-    /// Retries earned by one first attempt.
+    /// The number of retries that one first attempt adds to the budget.
     pub const SHARE: f64 = 0.1;
-    /// Retries that may be saved up.
+    /// The maximum number of retries in the budget.
     pub const MOST: f64 = 10.0;
 
-    /// A first attempt.
+    /// Adds one first attempt's share to the budget.
     pub fn earn(&mut self) {
         self.level = (self.level + Retries::SHARE).min(Retries::MOST);
     }
 
-    /// True if a retry may be made now.
+    /// Returns whether the budget covers a retry.
     pub fn has_one(&self) -> bool {
         self.level >= 1.0
     }
 
-    /// True if a retry may be made now, which is then counted.
+    /// Takes one retry from the budget if it covers one, and returns whether it
+    /// did.
     pub fn try_spend(&mut self) -> bool {
         let may = self.level >= 1.0;
         if may {
--- a/crates/core/src/pool/ask.rs
+++ b/crates/core/src/pool/ask.rs
@@ -1,4 +1,4 @@
-//! Commands by which requests come and go.
+//! Commands that add, end and take over requests.
 
 use std::sync::Arc;
 
@@ -18,12 +18,12 @@
 use super::queue::Entry;
 use super::worker::Worker;
 
-/// Times the forecast wait that length may set a request back.
+/// The maximum delay of a long request, as a multiple of the estimated wait.
 const WAITS: u64 = 4;
 
 impl Pool {
-    /// Takes the endpoints that the platform lists as live or leaving, and the
-    /// share of slots kept from each tier. Endpoints not named take no new work.
+    /// Sets the endpoints that accept work and the percentage of slots reserved
+    /// against each tier. Endpoints that are not in `live` get no new work.
     pub fn set_workers(&mut self, target: &Arc<Target>, live: &[id::Endpoint], reserves: &[u32]) {
         self.target = target.clone();
         self.reserves = reserves.to_vec();
@@ -48,7 +48,8 @@
         self.workers.len() - 1
     }
 
-    /// Asks for an endpoint. The same ask twice counts once.
+    /// Requests an endpoint. A repeated attempt has its grant sent again and
+    /// counts once.
     pub fn ask(&mut self, now: Time, peer: Peer, ask: Ask) {
         if let Some(hold) = self.holds.get(&ask.request) {
             if hold.ask.attempt == ask.attempt {
@@ -77,7 +78,7 @@
         self.place(now);
     }
 
-    /// Says why a request would be refused at once.
+    /// Returns why a request is refused on arrival, if it is.
     fn verdict(&self, entry: &Entry, spare: f64) -> Option<Code> {
         if !self
             .workers
@@ -89,8 +90,9 @@
         if spare <= 0.0 {
             return Some(Code::TooLate);
         }
-        // Half the forecast: what waits is an estimate, and a wrong early
-        // refusal costs an answer where a wrong wait costs little.
+        // Only half of the estimated wait counts: the cost of waiting requests
+        // is an estimate, and a wrong early refusal loses an answer, whereas a
+        // wrong wait costs little.
         let wait = self.wait(entry.ask.tier, entry.ask.customer) / 2.0;
         (wait > spare).then_some(Code::TooLate)
     }
@@ -110,9 +112,9 @@
         self.queue.push(entry, set_back);
     }
 
-    /// How far a request's length sets it back: the long go behind the short,
-    /// but never so far that length alone would make one late, unless the wait
-    /// does so for all.
+    /// Returns how far a request is moved back in the queue for its length.
+    /// Short requests go first, but length alone never makes a request late
+    /// unless the wait does so for all.
     pub(super) fn set_back(&self, entry: &Entry) -> Span {
         let spare = entry.latest.since(entry.since).0 * self.options.set_back / 100;
         let wait = self.wait(entry.ask.tier, entry.ask.customer) as u64 * WAITS;
@@ -148,7 +150,8 @@
         });
     }
 
-    /// Ends an ask, wherever it stands. An older ask's end changes nothing.
+    /// Ends one attempt of a request, waiting or running. Ending an older
+    /// attempt has no effect.
     pub fn end(&mut self, now: Time, request: id::Request, attempt: u32, end: End) {
         if self.queue.attempt_opt(request) == Some(attempt) {
             self.queue.remove(request);
@@ -163,7 +166,7 @@
         self.place(now);
     }
 
-    /// Takes over a call that runs under another holder's grant.
+    /// Adds a call that runs under a grant from another node.
     pub fn adopt(&mut self, now: Time, peer: Peer, ask: Ask, endpoint: &id::Endpoint) {
         if self.holds.contains_key(&ask.request) {
             return;
@@ -184,7 +187,7 @@
         self.holds.insert(hold.ask.request, hold);
     }
 
-    /// Forgets all that a run of a host asked for.
+    /// Drops all requests of one incarnation of a host.
     pub fn drop_peer(&mut self, now: Time, peer: &Peer) {
         let held: Vec<id::Request> = self
             .holds
@@ -199,7 +202,8 @@
         self.place(now);
     }
 
-    /// Ends a hold and learns from how it ended.
+    /// Removes a running request and updates the endpoint's state from its
+    /// result.
     pub(super) fn release(&mut self, now: Time, request: id::Request, end: End) {
         let Some(hold) = self.holds.remove(&request) else {
             return;
@@ -230,7 +234,8 @@
         let told = hold.ask.blocks.len() as u64 * super::warm::BLOCK_TOKENS;
         let hoped = hold.ask.prompt.0.saturating_sub(hold.uncached).min(told);
         if cached.0 + super::warm::BLOCK_TOKENS <= hoped {
-            // The hint was wrong; what was computed now stands there anyway.
+            // The prefix hint was wrong. The blocks are cached from now on,
+            // since the endpoint has just computed them.
             self.warm.correct(&hold.ask.blocks, hold.worker, cached.0);
         }
         self.warm.add(&hold.ask.blocks, hold.worker);
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -1,14 +1,14 @@
-//! One target's admission, held by one node: which request goes to which
-//! endpoint and when, what waits, what is refused.
+//! Admission and scheduling for one target, owned by one node: which request
+//! goes to which endpoint and when, what waits and what is refused.
 //!
-//! The node that holds a pool is computed from what is published and heard, so
-//! its count of what runs is its own and exact while the view holds. When two
-//! nodes hold one pool for a while, endpoints get more work than is good for
-//! them and nothing else happens: no promise rests on there being one holder.
+//! The owning node follows from published and received state, so its count of
+//! running requests is its own and exact while that view is stable. While two
+//! nodes own the same pool, endpoints may get more work than intended and
+//! nothing else happens: no guarantee depends on there being a single owner.
 //!
 //! * `ask.rs`, `observe.rs`, `place.rs`, `tick.rs`: commands.
 //! * `query.rs`: queries.
-//! * `queue.rs`: what waits. `worker.rs`: what is known of an endpoint.
+//! * `queue.rs`: waiting requests. `worker.rs`: the state of an endpoint.
 //!   `warm.rs`: where a prompt's prefix may still be cached.
 
 use std::collections::HashMap;
@@ -33,123 +33,127 @@
 pub mod warm;
 pub mod worker;
 
-/// Which run of which host speaks.
+/// One incarnation of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// The host.
+    /// The name of the host.
     pub host: id::Host,
-    /// The run of its process.
+    /// The incarnation of the host's process.
     pub incarnation: id::Incarnation,
 }
 
 /// A request for an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The request.
+    /// The identifier of the request.
     pub request: id::Request,
-    /// Counts the asks for one request, so that late answers are told apart.
+    /// The number of this attempt, which tells late answers to earlier ones
+    /// apart.
     pub attempt: u32,
-    /// Its class, under which output lengths are learnt.
+    /// The request's class, for which output lengths are learnt.
     pub class: id::Class,
-    /// Its tier.
+    /// The tier; lower numbers are more protected.
     pub tier: Tier,
-    /// Its customer's number.
+    /// The customer's number.
     pub customer: u64,
-    /// Its customer's weight.
+    /// The customer's weight in fair queueing.
     pub weight: u32,
-    /// Prompt tokens, estimated.
+    /// The estimated number of prompt tokens.
     pub prompt: Tokens,
-    /// Output tokens to expect until the class has been seen.
+    /// The expected number of output tokens until the class has been observed.
     pub output: Tokens,
-    /// The most output tokens that the caller allows.
+    /// The maximum number of output tokens that the caller allows.
     pub output_limit: Option<Tokens>,
-    /// The time left, as a span since clocks of hosts differ.
+    /// The remaining time; a span, because clocks of hosts differ.
     pub left: Span,
-    /// Hash chain of the prompt's blocks, see [`warm`].
+    /// The hash chain of the prompt's blocks, see [`warm`].
     pub blocks: Vec<u64>,
-    /// An endpoint that has just failed this request.
+    /// The endpoint that has just failed this request, if any.
     pub avoid: Option<id::Endpoint>,
 }
 
-/// What a pool decided.
+/// A decision about a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// The asker may call the endpoint.
+    /// The peer may call the endpoint.
     Grant {
-        /// Who asked.
+        /// The peer that requested an endpoint.
         to: Peer,
-        /// The target.
+        /// The target of the request.
         target: id::Target,
-        /// For which request.
+        /// The identifier of the request.
         request: id::Request,
-        /// For which ask.
+        /// The attempt that the grant answers.
         attempt: u32,
-        /// The endpoint.
+        /// The endpoint to call.
         endpoint: id::Endpoint,
     },
-    /// The pool has given up on the request.
+    /// The request is refused.
     Refuse {
-        /// Who asked.
+        /// The peer that requested an endpoint.
         to: Peer,
-        /// For which request.
+        /// The identifier of the request.
         request: id::Request,
-        /// For which ask.
+        /// The attempt that the refusal answers.
         attempt: u32,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// The delay before the caller should retry.
         retry_after: Span,
     },
 }
 
-/// How a call ended, as the pool learns from it.
+/// The result of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum End {
-    /// The whole answer came.
+    /// The answer was complete.
     Whole {
-        /// Prompt tokens by the endpoint's own count.
+        /// The number of prompt tokens, as counted by the endpoint.
         prompt: Tokens,
-        /// Of them, those it took from its cache.
+        /// The number of prompt tokens that the endpoint took from its cache.
         cached: Tokens,
-        /// Output tokens.
+        /// The number of output tokens.
         output: Tokens,
     },
-    /// The asker did not need it, or stopped it.
+    /// The peer did not use the grant, or cancelled the call.
     Unused,
-    /// It failed, and the endpoint is to blame.
+    /// The call failed because of the endpoint.
     Failed,
-    /// The endpoint said that it is leaving.
+    /// The endpoint answered that it is leaving.
     Leaving,
 }
 
-/// Bounds and weights of the policy. Defaults are those that `docs/MEASURES.md`
-/// gives figures for.
+/// Limits and weights of the scheduling policy. `docs/MEASURES.md` has
+/// measurements for the defaults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Requests that may wait.
+    /// The maximum number of waiting requests.
     pub queue_limit: usize,
-    /// How much later a request is taken for each second of its own cost.
+    /// The delay in the queue for each second of a request's own cost.
     pub short_first: f64,
-    /// The part of the time to spare, in percent, by which length may set a
-    /// request back at the most.
+    /// The maximum delay for a request's length, as a percentage of its slack.
     pub set_back: u64,
-    /// Requests an endpoint may have waiting beyond its slots, so that a free
-    /// slot does not wait for a grant to travel.
+    /// The number of requests that an endpoint may have beyond its slots, so
+    /// that a free slot does not idle while a grant is in transit.
     pub ahead: u32,
-    /// Prompt tokens an endpoint may have before it with no first token yet.
+    /// The number of prompt tokens without a first token from which an endpoint
+    /// gets no more requests.
     pub prefill_limit: u64,
-    /// Silence after which an endpoint with work in progress gets no more.
+    /// The silence after which an endpoint with running requests gets no more.
     pub silence: Span,
-    /// First wait after a failure; doubles up to [`Options::backoff_limit`].
+    /// The first backoff after a failure; doubles up to
+    /// [`Options::backoff_limit`].
     pub backoff: Span,
-    /// Longest wait after a failure.
+    /// The maximum backoff after a failure.
     pub backoff_limit: Span,
-    /// Prefix hints kept.
+    /// The maximum number of prefix hints.
     pub hints: usize,
-    /// Requests of a tier among which the warmest goes first, and beyond which
-    /// nobody looks when no free endpoint can finish one in time.
+    /// The number of requests per tier that are considered for an endpoint.
+    /// Among them the one with the longest cached prefix goes first; later ones
+    /// are not considered, even if no free endpoint can finish these in time.
     pub look_ahead: usize,
-    /// Share of the forecast that must fit into the time left, in percent.
+    /// The percentage of the estimated duration that must fit into the
+    /// remaining time.
     pub caution: u64,
 }
 
@@ -171,7 +175,7 @@
     }
 }
 
-/// What runs under a grant.
+/// A request that runs under a grant.
 #[derive(Debug, Clone)]
 struct Hold {
     ask: Ask,
@@ -184,7 +188,7 @@
     ahead: u64,
 }
 
-/// One target's admission.
+/// Admission and scheduling for one target.
 #[derive(Debug)]
 pub struct Pool {
     options: Options,
@@ -200,7 +204,7 @@
 }
 
 impl Pool {
-    /// An empty pool for a target.
+    /// Creates an empty pool for a target.
     pub fn new(target: Arc<Target>, options: Options) -> Pool {
         Pool {
             warm: warm::Warm::new(options.hints),
@@ -216,7 +220,7 @@
         }
     }
 
-    /// Takes what was decided since the last call.
+    /// Returns the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
--- a/crates/core/src/pool/observe.rs
+++ b/crates/core/src/pool/observe.rs
@@ -1,4 +1,4 @@
-//! Commands by which a pool learns what endpoints do.
+//! Commands that report what endpoints do.
 
 use woadstage_types::id;
 use woadstage_types::unit::Span;
@@ -8,7 +8,7 @@
 use super::Pool;
 
 impl Pool {
-    /// The first token of a call was seen.
+    /// Records the first token of a call.
     pub fn first(&mut self, now: Time, request: id::Request) {
         let Some(hold) = self.holds.get_mut(&request) else {
             return;
@@ -27,8 +27,8 @@
         self.place(now);
     }
 
-    /// Tokens were seen from an endpoint: `tokens` of them over `busy`, which
-    /// is the time its calls spent decoding, added up.
+    /// Records `tokens` tokens from an endpoint; `busy` is the total time that
+    /// its calls spent decoding them.
     pub fn progress(&mut self, now: Time, endpoint: &id::Endpoint, tokens: Tokens, busy: Span) {
         let Some(at) = self.index.get(endpoint) else {
             return;
@@ -40,7 +40,7 @@
         }
     }
 
-    /// An endpoint's own report, old on arrival.
+    /// Records an endpoint's own report, which may be out of date on arrival.
     pub fn report(&mut self, now: Time, endpoint: &id::Endpoint, busy: u32, leaving: bool) {
         let Some(at) = self.index.get(endpoint) else {
             return;
@@ -52,5 +52,6 @@
     }
 }
 
-/// Prompt tokens below which a first token says little about prefill speed.
+/// The minimum number of prompt tokens from which the prefill speed is learnt;
+/// with fewer, the time to the first token says little about it.
 const LEARN_FROM: u64 = 64;
--- a/crates/core/src/pool/place.rs
+++ b/crates/core/src/pool/place.rs
@@ -1,4 +1,4 @@
-//! Which waiting request goes to which endpoint now.
+//! Assigns waiting requests to endpoints.
 
 use woadstage_config::published::Tier;
 use woadstage_types::code::Code;
@@ -12,7 +12,7 @@
 use super::queue::Entry;
 use super::worker::Worker;
 
-/// An endpoint that could take a request, and what it would cost there.
+/// An endpoint that could take a request, with the estimated cost there.
 #[derive(Debug, Clone, Copy)]
 struct Choice {
     worker: usize,
@@ -21,7 +21,7 @@
 }
 
 impl Pool {
-    /// Grants endpoints until nothing fits.
+    /// Grants endpoints until no waiting request can be assigned.
     pub(super) fn place(&mut self, now: Time) {
         while let Some((request, choice)) = self.next(now) {
             let Some(entry) = self.queue.take(request) else {
@@ -31,14 +31,14 @@
         }
     }
 
-    /// The next request and its endpoint: of the most protected tier in which
-    /// any fits.
+    /// Returns the next request and its endpoint, from the most protected tier
+    /// in which a request can be assigned.
     fn next(&mut self, now: Time) -> Option<(id::Request, Choice)> {
         let tiers: Vec<Tier> = self.queue.tiers().collect();
         for tier in tiers {
             let rooms = self.rooms(now, tier);
             if rooms.is_empty() {
-                // Less protected tiers never have more room.
+                // Less protected tiers never have more capacity.
                 return None;
             }
             if let Some(found) = self.next_of(now, tier, &rooms) {
@@ -48,10 +48,11 @@
         None
     }
 
-    /// Of the first few of a tier the one whose prompt is warmest where there
-    /// is room, so that a free endpoint gets what it can do cheaply; but one
-    /// that has waited for most of the time it had to spare goes first. Those
-    /// that have become hopeless are refused.
+    /// Returns the request of a tier to assign next, among the first
+    /// [`Options::look_ahead`](super::Options::look_ahead). The longest cached
+    /// prefix wins, so that a free endpoint gets what it can do cheaply, but a
+    /// request that has used most of its slack goes first. Requests that can no
+    /// longer finish in time are refused.
     fn next_of(&mut self, now: Time, tier: Tier, rooms: &[usize]) -> Option<(id::Request, Choice)> {
         let mut best: Option<(u64, id::Request, Choice)> = None;
         let mut hopeless = Vec::new();
@@ -64,7 +65,7 @@
                         break;
                     }
                     let saved = entry.ask.prompt.0.saturating_sub(choice.uncached);
-                    // Equal ones keep their order.
+                    // Ties keep the queue order.
                     if best.is_none_or(|(most, ..)| saved > most) {
                         best = Some((saved, request, choice));
                     }
@@ -81,8 +82,8 @@
         best.map(|(_, request, choice)| (request, choice))
     }
 
-    /// The endpoints that have room for a tier. A reserve makes them fewer for
-    /// less protected tiers.
+    /// Returns the endpoints with capacity for a tier. Reserves leave less
+    /// capacity to less protected tiers.
     fn rooms(&self, now: Time, tier: Tier) -> Vec<usize> {
         let slots = self.slots(tier);
         let all = self.workers.iter().enumerate();
@@ -115,7 +116,7 @@
             && worker.takes_work(now, self.options.silence)
     }
 
-    /// Of the endpoints that have room, the one that would finish first.
+    /// Returns the endpoint among `rooms` that would finish the request first.
     fn choose(&self, rooms: &[usize], ask: &Ask) -> Option<Choice> {
         let warm = self.warm.candidates(&ask.blocks);
         let output = self.output(ask);
@@ -154,8 +155,8 @@
         choice.micros * self.options.caution as f64 / 100.0 <= left
     }
 
-    /// True where even the fastest endpoint, with nothing else to do, would
-    /// be late by what is known now; it may have been otherwise at arrival.
+    /// Returns whether even the fastest endpoint would be late if it were idle.
+    /// Estimates change, so this may not have been so on arrival.
     fn is_hopeless(&self, now: Time, entry: &Entry) -> bool {
         let left = entry.deadline.since(now).0 as f64;
         self.ideal(&entry.ask) * self.options.caution as f64 / 100.0 > left
@@ -192,8 +193,8 @@
     }
 }
 
-/// True once three quarters of the time that a request had to spare are gone:
-/// warmer prompts do not go before it any more.
+/// Returns whether three quarters of a request's slack are used up. From then
+/// on, requests with a longer cached prefix no longer overtake it.
 fn has_waited(now: Time, entry: &Entry) -> bool {
     now.since(entry.since).0 * 4 >= entry.latest.since(entry.since).0 * 3
 }
--- a/crates/core/src/pool/query.rs
+++ b/crates/core/src/pool/query.rs
@@ -1,4 +1,4 @@
-//! Queries: estimates and what operators are shown.
+//! Queries: estimates, and state shown to operators.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,38 +12,38 @@
 use super::Pool;
 use super::queue::Entry;
 
-/// What a pool's holder knows of one endpoint.
+/// State of one endpoint, as known to the pool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its name.
+    /// The name of the endpoint.
     pub name: id::Endpoint,
-    /// True while new work may go there.
+    /// Whether the endpoint gets new work.
     pub takes_work: bool,
-    /// Requests in progress under our grants.
+    /// The number of requests that run under this pool's grants.
     pub running: u32,
-    /// Requests it reports beyond ours.
+    /// The number of further requests that the endpoint reports.
     pub extra: u32,
-    /// Prompt tokens a second, learnt.
+    /// The learnt prefill speed, in prompt tokens per second.
     pub prefill_per_second: u64,
-    /// Microseconds between tokens, learnt.
+    /// The learnt time between tokens, in microseconds.
     pub step_us: u64,
 }
 
-/// What a pool holds.
+/// State of a pool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The model or service.
     pub target: id::Target,
-    /// Requests that wait, by tier.
+    /// The number of waiting requests by tier.
     pub waiting: Vec<(Tier, usize)>,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: usize,
-    /// Its endpoints.
+    /// The endpoints of the pool.
     pub endpoints: Vec<Endpoint>,
 }
 
 impl Pool {
-    /// What the pool holds at `now`.
+    /// Returns the state of the pool at `now`.
     pub fn summary(&self, now: Time) -> Summary {
         let endpoint = |worker: &super::worker::Worker| Endpoint {
             name: worker.name.clone(),
@@ -61,27 +61,28 @@
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests that run under grants.
+    /// Returns the number of requests that run under grants.
     pub fn running(&self) -> usize {
         self.holds.len()
     }
 
-    /// True while the request waits or runs here.
+    /// Returns whether the request waits or runs in this pool.
     pub fn knows(&self, request: id::Request) -> bool {
         self.queue.contains(request) || self.holds.contains_key(&request)
     }
 
-    /// The next moment at which [`Pool::tick`] has something to do.
+    /// Returns the time at which [`Pool::tick`] next has a waiting request to
+    /// refuse.
     pub fn next_wake_opt(&self) -> Option<Time> {
         self.queue.next_expiry_opt()
     }
 
-    /// Output tokens to expect of a request.
+    /// Returns the expected number of output tokens of a request.
     pub(super) fn output(&self, ask: &Ask) -> f64 {
         let known = self
             .outputs
@@ -98,7 +99,8 @@
         ask.prompt.0 as f64 * prefill + self.output(ask) * step
     }
 
-    /// Endpoint time a request takes on a middling endpoint, in microseconds.
+    /// Returns the estimated endpoint time of a request, in microseconds, at
+    /// the speed of the first listed endpoint.
     pub(super) fn cost(&self, ask: &Ask) -> f64 {
         let mut speeds = self.workers.iter().filter(|worker| worker.listed);
         match speeds.next() {
@@ -111,7 +113,9 @@
         }
     }
 
-    /// Endpoint time on the fastest endpoint, its prompt's warm part free.
+    /// Returns the estimated endpoint time on the fastest endpoint, in
+    /// microseconds, without the longest prefix that any endpoint may have
+    /// cached.
     pub(super) fn ideal(&self, ask: &Ask) -> f64 {
         let warm = self.warm.candidates(&ask.blocks);
         let warmest = warm.first().map_or(0, |(_, tokens)| *tokens);
@@ -125,8 +129,8 @@
         listed.map(time).fold(f64::INFINITY, f64::min)
     }
 
-    /// The time until the work ahead of a new request of `tier` has started,
-    /// in microseconds, if all endpoints kept their pace.
+    /// Returns the estimated time until the work ahead of a new request of
+    /// `tier` has started, in microseconds, if all endpoints keep their speed.
     pub(super) fn wait(&self, tier: Tier, customer: u64) -> f64 {
         let live = self
             .workers
@@ -137,8 +141,8 @@
         self.queue.cost_ahead(tier, customer) / slots.max(1.0)
     }
 
-    /// When a refused caller is to come back: when what waits now will have
-    /// been served, spread by a hash so that not all return together.
+    /// Returns when a refused caller should retry: after the estimated wait,
+    /// spread by a hash so that callers do not all return together.
     pub(super) fn retry_after(&self, entry: &Entry) -> Span {
         let base = Span(
             (self.wait(entry.ask.tier, entry.ask.customer) as u64).clamp(1_000_000, 60_000_000),
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -1,8 +1,10 @@
-//! What waits: tiers in strict order; within a tier customers by weighted
-//! fair share (start-time fair queuing, Goyal, Vin and Cheng 1996); within a
-//! customer the short before the long, with age counting against length.
+//! The queue of waiting requests: tiers in strict order, customers within a
+//! tier by weighted fair queueing (start-time fair queuing, Goyal, Vin and
+//! Cheng 1996), and a customer's short requests before its long ones, with age
+//! counting against length.
 //!
-//! Every command costs the logarithm of what waits.
+//! Adding or removing one request takes logarithmic time;
+//! [`Queue::remove_peer`] scans the whole queue.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,25 +18,25 @@
 use super::Ask;
 use super::Peer;
 
-/// One request that waits.
+/// A waiting request.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// What was asked.
+    /// The request for an endpoint.
     pub ask: Ask,
-    /// Who asked.
+    /// The peer that sent it.
     pub peer: Peer,
-    /// When it came.
+    /// The time of arrival.
     pub since: Time,
-    /// When its answer is of no more use.
+    /// The time after which an answer is of no use.
     pub deadline: Time,
-    /// The last moment at which starting it makes sense.
+    /// The latest time at which the request can start and still finish in time.
     pub latest: Time,
-    /// Endpoint time it will take, in microseconds, estimated.
+    /// The estimated endpoint time, in microseconds.
     pub cost: f64,
 }
 
 impl Entry {
-    /// What its customer's turn moves on by when it is taken.
+    /// Returns the virtual time that the request uses of its customer's share.
     fn share(&self) -> u64 {
         (self.cost / f64::from(self.ask.weight.max(1))).max(1.0) as u64
     }
@@ -80,7 +82,7 @@
 }
 
 impl Queue {
-    /// Puts a request in line, as if it had come `set_back` later than it did.
+    /// Adds a request, ordered as if it had arrived later by `set_back`.
     pub fn push(&mut self, entry: Entry, set_back: Span) {
         let Ask {
             request,
@@ -105,21 +107,21 @@
             .push(customer, rank, entry);
     }
 
-    /// The first requests of a tier, in the order in which turns would give
-    /// them, none of which is taken.
+    /// Returns up to `most` requests of a tier in fair queueing order, without
+    /// removing them.
     pub fn first(&self, tier: Tier, most: usize) -> Vec<&Entry> {
         self.lanes
             .get(&tier)
             .map_or_else(Vec::new, |lane| lane.first(most))
     }
 
-    /// The tiers in which something waits, the most protected first.
+    /// Returns the tiers with waiting requests, the most protected first.
     pub fn tiers(&self) -> impl Iterator<Item = Tier> + '_ {
         let waiting = self.lanes.iter().filter(|(_, lane)| lane.count > 0);
         waiting.map(|(tier, _)| *tier)
     }
 
-    /// Takes a certain request, which is its customer's turn.
+    /// Removes a request and charges it to its customer's share.
     pub fn take(&mut self, request: id::Request) -> Option<Entry> {
         let Place {
             tier,
@@ -131,15 +133,16 @@
         self.remove(request)
     }
 
-    /// Takes the next request of the most protected tier that has any, passing
-    /// over tiers above `least`.
+    /// Removes the next request of the most protected tier with waiting
+    /// requests and charges it to its customer's share. Returns `None` if that
+    /// tier is less protected than `least`.
     pub fn pop(&mut self, least: Tier) -> Option<Entry> {
         let tier = self.tiers().next().filter(|tier| *tier <= least)?;
         let request = self.first(tier, 1).first()?.ask.request;
         self.take(request)
     }
 
-    /// Takes a certain request out of line.
+    /// Removes a request without charging it to its customer's share.
     pub fn remove(&mut self, request: id::Request) -> Option<Entry> {
         let place = *self.places.get(&request)?;
         self.forget(request);
@@ -148,7 +151,7 @@
             .remove(place.customer, place.rank)
     }
 
-    /// Takes out all that one run of a host asked for.
+    /// Removes all requests of one incarnation of a host.
     pub fn remove_peer(&mut self, peer: &Peer) {
         let lines = self.lanes.values().flat_map(|lane| lane.lines.values());
         let entries = lines.flat_map(|line| line.entries.values());
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Takes a request whose last useful start lies before `now`.
+    /// Removes a request whose latest start is not after `now`, if any.
     pub fn pop_expired(&mut self, now: Time) -> Option<Entry> {
         let (latest, request) = *self.expiry.first()?;
         if latest > now {
@@ -171,8 +174,8 @@
         }
     }
 
-    /// Takes the request that matters least: of the least protected tier that
-    /// has any, the one whose customer waits for most, its longest.
+    /// Removes the longest request of the customer with the latest turn in the
+    /// least protected tier.
     pub fn pop_least(&mut self) -> Option<Entry> {
         let (_, lane) = self.lanes.iter().rev().find(|(_, lane)| lane.count > 0)?;
         let (_, customer) = *lane.turns.last()?;
@@ -187,29 +190,29 @@
         }
     }
 
-    /// The ask under which the request waits, if it does.
+    /// Returns the attempt under which the request waits, if it does.
     pub fn attempt_opt(&self, request: id::Request) -> Option<u32> {
         let place = self.places.get(&request)?;
         let line = self.lanes.get(&place.tier)?.lines.get(&place.customer)?;
         line.entries.get(&place.rank).map(|entry| entry.ask.attempt)
     }
 
-    /// True while the request waits.
+    /// Returns whether the request waits.
     pub fn contains(&self, request: id::Request) -> bool {
         self.places.contains_key(&request)
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// True when nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// Requests that wait in each tier.
+    /// Returns the number of waiting requests by tier.
     pub fn counts(&self) -> Vec<(Tier, usize)> {
         self.lanes
             .iter()
@@ -217,15 +220,17 @@
             .collect()
     }
 
-    /// Endpoint time that waits in tiers as protected as `tier`, in microseconds.
+    /// Returns the endpoint time of requests waiting in `tier` and more
+    /// protected tiers, in microseconds.
     pub fn cost_to(&self, tier: Tier) -> f64 {
         let lanes = self.lanes.range(..=tier);
         lanes.map(|(_, lane)| lane.cost.max(0.0)).sum()
     }
 
-    /// Endpoint time that will be taken before a new request of a customer:
-    /// all of more protected tiers, and of its own what its customer has
-    /// waiting, with as much for each other customer as fair shares give it.
+    /// Returns the endpoint time ahead of a new request of a customer, in
+    /// microseconds: all of the more protected tiers and, in its own tier, the
+    /// customer's waiting requests plus as much for each other customer, at
+    /// most all that waits there.
     pub fn cost_ahead(&self, tier: Tier, customer: u64) -> f64 {
         let above: f64 = self
             .lanes
@@ -243,7 +248,7 @@
         above + (own * customers).min(lane.cost.max(0.0))
     }
 
-    /// The least protected tier in which something waits.
+    /// Returns the least protected tier with waiting requests.
     pub fn least_tier_opt(&self) -> Option<Tier> {
         self.lanes
             .iter()
@@ -252,7 +257,7 @@
             .map(|(tier, _)| *tier)
     }
 
-    /// The next moment at which a request's last useful start passes.
+    /// Returns the earliest latest-start time of all waiting requests.
     pub fn next_expiry_opt(&self) -> Option<Time> {
         self.expiry.first().map(|(latest, _)| *latest)
     }
@@ -306,7 +311,7 @@
         found
     }
 
-    /// Moves a customer's turn on by one of its requests.
+    /// Advances a customer's start tag by the share of one of its requests.
     fn charge(&mut self, customer: u64, rank: Rank) {
         let Some(line) = self.lines.get_mut(&customer) else {
             return;
@@ -328,7 +333,8 @@
         Some(entry)
     }
 
-    /// Counts an entry out and gives its customer the next turn, if any waits.
+    /// Updates counts after a removal and schedules the customer's next turn,
+    /// if it has one.
     fn close(&mut self, customer: u64, entry: &Entry) {
         self.count -= 1;
         self.cost -= entry.cost;
@@ -344,5 +350,6 @@
     }
 }
 
-/// Lines of customers with nothing waiting that are kept for their turn.
+/// The number of customers in a tier above which one without waiting requests
+/// is dropped even if its start tag lies ahead of the virtual time.
 const IDLE_LINES: usize = 1_024;
--- a/crates/core/src/pool/tick.rs
+++ b/crates/core/src/pool/tick.rs
@@ -1,4 +1,4 @@
-//! What only the passing of time brings about.
+//! Changes that only the passing of time causes.
 
 use woadstage_types::code::Code;
 use woadstage_types::id;
@@ -8,12 +8,13 @@
 use super::End;
 use super::Pool;
 
-/// How long after its deadline a hold that nobody ended is dropped.
+/// The time after its deadline at which a running request that nobody ended is
+/// dropped.
 const OVERDUE: Span = Span::from_secs(5);
 
 impl Pool {
-    /// Refuses what can no longer be in time, at the moment that shows, and
-    /// gives free endpoints work.
+    /// Refuses waiting requests that can no longer finish in time, drops
+    /// overdue running ones, and assigns work to free endpoints.
     pub fn tick(&mut self, now: Time) {
         while let Some(entry) = self.queue.pop_expired(now) {
             self.refuse(entry, Code::TooLate);
--- a/crates/core/src/pool/warm.rs
+++ b/crates/core/src/pool/warm.rs
@@ -1,35 +1,37 @@
-//! Where a prompt's prefix may still be cached.
+//! Hints on which endpoints may have a prompt's prefix cached.
 //!
-//! A prompt is cut into blocks and each block's hash is chained to those before
-//! it and to model, version, adapter and customer, so that equal hashes mean an
-//! equal prefix under an equal identity. What is kept here are hints: a hit
-//! counts only when the endpoint's own usage confirms it (the rule argued for
-//! in the reading "Chapter 25, warm reuse", its section 25.2), and a hint that
-//! usage contradicts is dropped.
+//! A prompt is cut into blocks. Each block's hash is chained to the blocks
+//! before it and to model, version, adapter and customer, so that equal hashes
+//! mean an equal prefix under an equal identity. The entries are only hints: a
+//! hit counts when the endpoint's own usage report confirms it (see "Chapter
+//! 25, warm reuse", section 25.2), and a hint that the usage report contradicts
+//! is dropped.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
-/// Bytes of prompt in one block.
+/// The number of prompt bytes in one block.
 pub const BLOCK_BYTES: usize = 1_024;
 
-/// Prompt tokens that one block stands for.
+/// The estimated number of prompt tokens in one block.
 pub const BLOCK_TOKENS: u64 = 256;
 
-/// Blocks that are hashed; a longer prompt is told apart by its first ones.
+/// The maximum number of hashed blocks; longer prompts are identified by their
+/// first ones.
 pub const BLOCKS: usize = 64;
 
-/// Endpoints kept for one block.
+/// The maximum number of endpoints remembered for one block.
 const WORKERS: usize = 4;
 
-/// What is known of one block: where it was computed, and when last.
+/// The endpoints that computed a block, the latest first, and when the hint was
+/// last used.
 #[derive(Debug, Default)]
 struct Hint {
     workers: Vec<u32>,
     used: u64,
 }
 
-/// Hints, bounded in number; those unused for longest are dropped first.
+/// A bounded set of hints; the least recently updated ones are dropped first.
 #[derive(Debug)]
 pub struct Warm {
     limit: usize,
@@ -38,8 +40,9 @@
     uses: u64,
 }
 
-/// The blocks by which a prompt is known: those at depths of powers of two,
-/// so that long prompts that never come again do not push out all others.
+/// Returns the blocks at depths that are powers of two, with their depths.
+/// Storing only these keeps long prompts that are never repeated from evicting
+/// all others.
 fn marks(blocks: &[u64]) -> impl DoubleEndedIterator<Item = (u64, u64)> + '_ {
     let powers = blocks.len().checked_ilog2().map_or(0, |most| most + 1);
     (0..powers).map(|power| {
@@ -49,7 +52,7 @@
 }
 
 impl Warm {
-    /// No hints, and room for `limit`.
+    /// Creates an empty set for up to `limit` hints.
     pub fn new(limit: usize) -> Warm {
         Warm {
             limit,
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Notes that an endpoint computed a prompt.
+    /// Records that an endpoint computed a prompt.
     pub fn add(&mut self, blocks: &[u64], worker: usize) {
         for (block, _) in marks(blocks) {
             self.add_block(block, worker as u32);
@@ -84,7 +87,8 @@
         hint.workers.truncate(WORKERS);
     }
 
-    /// Drops what usage contradicted: all blocks beyond the confirmed tokens.
+    /// Drops an endpoint's hints for the blocks beyond the `cached` tokens that
+    /// its usage report confirmed.
     pub fn correct(&mut self, blocks: &[u64], worker: usize, cached: u64) {
         for (block, depth) in marks(blocks) {
             if depth * BLOCK_TOKENS <= cached {
@@ -96,15 +100,15 @@
         }
     }
 
-    /// Drops all hints of an endpoint that failed or went.
+    /// Drops all hints for an endpoint.
     pub fn forget(&mut self, worker: usize) {
         for hint in self.hints.values_mut() {
             hint.workers.retain(|known| *known != worker as u32);
         }
     }
 
-    /// Endpoints that may hold part of the prompt, with how many tokens, the
-    /// longest part first.
+    /// Returns endpoints that may have part of the prompt cached, with the
+    /// number of tokens, the longest prefix first.
     pub fn candidates(&self, blocks: &[u64]) -> Vec<(usize, u64)> {
         let mut found: Vec<(usize, u64)> = Vec::new();
         for (block, depth) in marks(blocks).rev() {
--- a/crates/core/src/pool/worker.rs
+++ b/crates/core/src/pool/worker.rs
@@ -1,48 +1,51 @@
-//! What is known of one endpoint: what it runs for us, how fast it has been,
-//! and whether it takes work.
+//! State of one endpoint: running requests, learnt speed and availability.
 
 use woadstage_types::id;
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// Weight of a new observation against what was known. Three observations
-/// make up two thirds of the estimate, so a slow-down shows in a few steps.
+/// The weight of a new observation in the moving averages. Three observations
+/// make up two thirds of the estimate, so a slow-down shows within a few steps.
 const NEWEST: f64 = 0.3;
 
-/// An endpoint, as the pool's holder knows it.
+/// State of an endpoint, as known to the pool.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// Its name.
+    /// The name of the endpoint.
     pub name: id::Endpoint,
-    /// True while the platform's list calls it live.
+    /// Whether the endpoint is in the last list passed to
+    /// [`Pool::set_workers`](super::Pool::set_workers).
     pub listed: bool,
-    /// True once it said itself that it is leaving.
+    /// Whether the endpoint reported that it is leaving.
     pub leaving: bool,
-    /// Microseconds for one prompt token.
+    /// The learnt time for one prompt token, in microseconds.
     pub prefill: f64,
-    /// Microseconds between two tokens, or for a whole service call.
+    /// The learnt time between two tokens, or for a whole service call, in
+    /// microseconds.
     pub step: f64,
-    /// Requests in progress under our grants.
+    /// The number of requests that run under this pool's grants.
     pub running: u32,
-    /// Prompt tokens granted whose first token has not been seen.
+    /// The number of granted prompt tokens whose first output token is
+    /// outstanding.
     pub pending: u64,
-    /// Requests it may run at once while it earns trust after a failure.
+    /// The concurrency limit while the endpoint recovers from a failure.
     pub trust: u32,
-    /// Failures in a row.
+    /// The number of consecutive failures.
     pub failures: u32,
-    /// No work before this time.
+    /// The end of the backoff; no work is assigned before.
     pub down_until: Time,
-    /// When it last showed progress, or got work after none.
+    /// The time of the last progress, or of the grant that ended an idle
+    /// period.
     pub heard: Time,
-    /// Requests it reports beyond ours.
+    /// The number of reported requests beyond this pool's own.
     pub extra: u32,
-    /// Most requests in progress since the last report but one.
+    /// The peak of `running` since the last report and in the interval before
+    /// it.
     peaks: [u32; 2],
 }
 
 impl Worker {
-    /// An endpoint of which only the configuration's expectations are known,
-    /// and which no list has called live yet.
+    /// Creates an unlisted endpoint with the configured speed.
     pub fn new(name: id::Endpoint, prefill: f64, step: f64, slots: u32) -> Worker {
         Worker {
             name,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Counts a grant in.
+    /// Counts a granted request.
     pub fn start(&mut self, now: Time, uncached: u64) {
         if self.running == 0 {
             self.heard = now;
@@ -71,24 +74,24 @@
         self.peaks[0] = self.peaks[0].max(self.running);
     }
 
-    /// Counts a grant out.
+    /// Counts the end of a granted request.
     pub fn end(&mut self, pending: u64) {
         self.running = self.running.saturating_sub(1);
         self.pending = self.pending.saturating_sub(pending);
     }
 
-    /// Learns the prefill speed from a first token.
+    /// Updates the prefill speed from the time to a first token.
     pub fn learn_prefill(&mut self, micros: f64, tokens: u64) {
         let seen = micros / tokens.max(1) as f64;
         self.prefill += (seen - self.prefill) * NEWEST;
     }
 
-    /// Learns the time between tokens.
+    /// Updates the time between tokens.
     pub fn learn_step(&mut self, micros: f64) {
         self.step += (micros - self.step) * NEWEST;
     }
 
-    /// Counts a failure and keeps work away for a while.
+    /// Counts a failure and starts a backoff.
     pub fn fail(&mut self, now: Time, backoff: Span, limit: Span) {
         let doubled = backoff.0 << self.failures.min(10);
         self.failures += 1;
@@ -96,21 +99,24 @@
         self.trust = 1;
     }
 
-    /// Counts a success: trust doubles until it is whole again.
+    /// Counts a success and doubles the concurrency limit, up to `slots`.
     pub fn succeed(&mut self, slots: u32) {
         self.failures = 0;
         self.trust = (self.trust * 2).min(slots);
     }
 
-    /// Takes in a report. It is old on arrival, so that only what exceeds the
-    /// most we ran over two reports counts as the work of others.
+    /// Records a reported number of running requests. Reports are out of date
+    /// on arrival, so only what exceeds the pool's own peak over two reports
+    /// counts as the work of others.
     pub fn report(&mut self, reported: u32) {
         let ours = self.peaks[0].max(self.peaks[1]);
         self.extra = reported.saturating_sub(ours);
         self.peaks = [self.running, self.peaks[0]];
     }
 
-    /// True while new work may go there.
+    /// Returns whether the endpoint gets new work. An endpoint with running
+    /// requests counts as silent after `silence` or 20 token steps, whichever
+    /// is longer.
     pub fn takes_work(&self, now: Time, silence: Span) -> bool {
         let silence = Span(silence.0.max((self.step * 20.0) as u64));
         let silent = self.running > 0 && now.since(self.heard) > silence;
--- a/crates/core/tests/core/limit.rs
+++ b/crates/core/tests/core/limit.rs
@@ -1,4 +1,4 @@
-//! Limits of customers and the budget of retries.
+//! Tests of customer rate limits and the retry budget.
 
 use woadstage_core::limit::Customers;
 use woadstage_core::limit::Retries;
--- a/crates/core/tests/core/pool.rs
+++ b/crates/core/tests/core/pool.rs
@@ -1,4 +1,4 @@
-//! One pool: queue, placement, learning.
+//! Tests of a single pool: queueing, assignment to endpoints and learning.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 
 const NOW: Time = Time(1_796_000_000_000_000);
 
-/// Slots of the sample's model.
+/// The number of slots of the sample's model.
 const SLOTS: usize = 16;
 
 fn peer() -> Peer {
@@ -159,8 +159,8 @@
         pool.ask(NOW, peer(), warm(1));
         let mut now = NOW + Span::from_millis(500);
         pool.end(now, id::Request(1), 1, whole(0));
-        // Every place is taken; the cold request is the first to wait, and warm
-        // ones keep coming behind it.
+        // All slots are taken. The cold request waits first, and requests with
+        // a cached prefix keep arriving behind it.
         let mut running = Vec::new();
         for request in 100..140 {
             pool.ask(now, peer(), warm(request));
@@ -290,8 +290,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, ..Default::default() })]
 
-    /// Whatever comes and goes, no less protected request is taken before a
-    /// more protected one, nothing is lost, and nothing is taken twice.
+    /// For any order of additions and removals, no request is taken before one
+    /// of a more protected tier, none is lost and none is taken twice.
     #[test]
     fn the_queue_keeps_the_order_of_tiers(
         pushes in proptest::collection::vec((0u8..4, 0u64..5, 1u32..1_000), 1..200),
@@ -317,8 +317,8 @@
         prop_assert!(queue.cost_to(u8::MAX).abs() < 1e-6);
     }
 
-    /// Two customers that always wait get equal shares, however many requests
-    /// one of them sends.
+    /// Two customers with waiting requests get equal shares, however many
+    /// requests one of them sends.
     #[test]
     fn the_queue_shares_between_customers(many in 50u64..500, cost in 1u32..1_000) {
         let mut queue = Queue::default();
--- a/crates/core/tests/core/support.rs
+++ b/crates/core/tests/core/support.rs
@@ -1,4 +1,5 @@
-//! What the tests share: requests, worlds, and what must hold in every world.
+//! Shared test support: requests, simulated worlds and invariants that hold in
+//! each of them.
 
 use std::sync::Arc;
 
@@ -16,7 +17,7 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Tokens;
 
-/// A call of a service.
+/// Creates a call to a service.
 pub fn service(class: &str, what: &str, key: Option<&str>) -> (Arrival, Work) {
     let target = if class == "booking" {
         "ledger"
@@ -46,7 +47,7 @@
     )
 }
 
-/// A request for the model.
+/// Creates a request to the model.
 pub fn chat(class: &str, what: &str, prompt: u64, output: u64) -> (Arrival, Work) {
     let (arrival, work) = service(class, what, None);
     let arrival = Arrival {
@@ -65,7 +66,7 @@
     )
 }
 
-/// A world of the roster fleet's kind, small.
+/// Creates a small world with engines and two services.
 pub fn world(options: Options) -> World {
     let mut endpoints = Endpoint::engines(3, &engine::Options::default());
     endpoints.extend(Endpoint::services("roster", 2, Span::from_millis(20)));
@@ -77,7 +78,7 @@
     World::new(options, endpoints)
 }
 
-/// A ticket from a node, for the customer that [`service`] uses.
+/// Issues a ticket at a node, for the customer that [`service`] uses.
 pub fn ticket(world: &mut World, node: usize) -> Option<String> {
     let token = woadstage_config::published::sha256(sample::TOKENS[0]);
     let now = world.clock(node);
@@ -87,14 +88,14 @@
         .map(|ticket| ticket.to_string())
 }
 
-/// The one answer to a request.
+/// Returns the only answer to a request.
 pub fn answer(world: &World, request: id::Request) -> &Answer {
     let asked = &world.asked[&request];
     assert_eq!(asked.answers.len(), 1, "{asked:?}");
     &asked.answers[0].1
 }
 
-/// The code of the refusal that a request got.
+/// Returns the code with which a request was refused.
 pub fn refused(world: &World, request: id::Request) -> String {
     match answer(world, request) {
         Answer::Refused(refusal) | Answer::Broken(refusal) => refusal.code.to_string(),
@@ -102,13 +103,14 @@
     }
 }
 
-/// True where the request got its whole answer.
+/// Returns whether the request got a complete answer.
 pub fn is_whole(world: &World, request: id::Request) -> bool {
     let answers = &world.asked[&request].answers;
     matches!(answers.first(), Some((_, Answer::Whole { .. })))
 }
 
-/// Says what a world broke of what must hold for every request at any time.
+/// Returns the violations of the invariants that hold for every request at any
+/// time.
 pub fn broken(world: &World) -> Vec<String> {
     let mut found = Vec::new();
     for (request, asked) in &world.asked {
--- a/crates/core/tests/core/tiers.rs
+++ b/crates/core/tests/core/tiers.rs
@@ -1,4 +1,4 @@
-//! Under pressure the more protected work goes first.
+//! Tests that more protected work goes first under overload.
 
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
 use crate::support::chat;
 use crate::support::world;
 
-/// A burst at an event's start: all at once, unevenly over the hosts.
+/// Sends a burst of requests at once, unevenly spread over the hosts.
 fn burst(world: &mut World, rescue: u64, routine: u64) -> HashMap<id::Request, bool> {
     let mut protected = HashMap::new();
     for turn in 0..rescue + routine {
@@ -22,7 +22,7 @@
         let class = if is_rescue { "rescue-summary" } else { "recap" };
         let (mut arrival, work) = chat(class, &format!("{class} {turn}"), 600, 60);
         arrival.timeout = Some(Span::from_secs(if is_rescue { 8 } else { 6 }));
-        // Two thirds of all callers reach one host.
+        // Two thirds of the callers are sent to the same host.
         let node = if turn % 3 == 0 {
             (turn % world.hosts.len() as u64) as usize
         } else {
@@ -47,7 +47,8 @@
     )
 }
 
-/// Counts: rescue shed, rescue served, routine served.
+/// Counts rescue requests refused, rescue requests served and routine requests
+/// served.
 fn count(world: &World, all: &HashMap<id::Request, bool>) -> (usize, usize, usize) {
     let rescue = |id: &&id::Request| all[*id];
     let rescue_shed = all
@@ -86,8 +87,8 @@
             let asked = &world.asked[request];
             let Some((at, Answer::Refused(refusal))) = asked.answers.first() else { continue };
             returns.push(refusal.retry_after.expect("a time to return"));
-            // What waits may be shed when waiting has become vain, which is
-            // its own service time before its deadline, and no later.
+            // A waiting request is refused no later than its own service time
+            // before its deadline.
             assert!(*at + Span::from_millis(100) < asked.deadline, "{asked:?}");
         }
         assert!(returns.len() > 500, "{}", returns.len());
