--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -10,20 +10,20 @@
 
 /// The number of tracked customers from which those with a full bucket are
 /// dropped.
-const KEPT: usize = 4_096;
+const PRUNE_THRESHOLD: usize = 4_096;
 
 /// A token bucket.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     level: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl Bucket {
     fn fill(&mut self, now: Time, per_second: f64, most: f64) {
-        let gained = now.since(self.at).as_secs_f64() * per_second;
+        let gained = now.since(self.updated_at).as_secs_f64() * per_second;
         self.level = (self.level + gained).min(most);
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
@@ -40,13 +40,13 @@
     pub fn admit(&mut self, now: Time, customer: u64, limit: Rate, nodes: usize) -> bool {
         let rate = limit.0 as f64 * (2.0 / nodes.max(2) as f64);
         let most = (rate * BURST_SECONDS).max(1.0);
-        if self.buckets.len() >= KEPT && !self.buckets.contains_key(&customer) {
-            self.forget_full(now);
+        if self.buckets.len() >= PRUNE_THRESHOLD && !self.buckets.contains_key(&customer) {
+            self.prune_full(now);
         }
         let full = (
             Bucket {
                 level: most,
-                at: now,
+                updated_at: now,
             },
             rate,
         );
@@ -60,10 +60,10 @@
         admitted
     }
 
-    fn forget_full(&mut self, now: Time) {
+    fn prune_full(&mut self, now: Time) {
         self.buckets.retain(|_, (bucket, rate)| {
             let missing = (*rate * BURST_SECONDS).max(1.0) - bucket.level;
-            now.since(bucket.at).as_secs_f64() * *rate < missing
+            now.since(bucket.updated_at).as_secs_f64() * *rate < missing
         });
     }
 
--- a/crates/core/src/pool/ask.rs
+++ b/crates/core/src/pool/ask.rs
@@ -12,14 +12,14 @@
 use super::Ask;
 use super::Decision;
 use super::End;
-use super::Hold;
+use super::InFlight;
 use super::Peer;
 use super::Pool;
 use super::queue::Entry;
 use super::worker::Worker;
 
 /// The maximum delay of a long request, as a multiple of the estimated wait.
-const WAITS: u64 = 4;
+const MAX_DELAY_WAITS: u64 = 4;
 
 impl Pool {
     /// Sets the endpoints that accept work and the percentage of slots reserved
@@ -51,9 +51,9 @@
     /// Requests an endpoint. A repeated attempt has its grant sent again and
     /// counts once.
     pub fn ask(&mut self, now: Time, peer: Peer, ask: Ask) {
-        if let Some(hold) = self.holds.get(&ask.request) {
-            if hold.ask.attempt == ask.attempt {
-                self.grant_again(ask.request);
+        if let Some(call) = self.in_flight.get(&ask.request) {
+            if call.ask.attempt == ask.attempt {
+                self.resend_grant(ask.request);
                 return;
             }
             self.release(now, ask.request, End::Unused);
@@ -62,16 +62,16 @@
         let cost = self.cost(&ask);
         let ideal = self.ideal(&ask);
         let deadline = now + ask.left;
-        let spare = ask.left.0 as f64 - ideal * self.options.caution as f64 / 100.0;
+        let slack = ask.left.0 as f64 - ideal * self.options.caution as f64 / 100.0;
         let entry = Entry {
-            latest: now + Span(spare.max(0.0) as u64),
+            latest: now + Span(slack.max(0.0) as u64),
             since: now,
             deadline,
             cost,
             peer,
             ask,
         };
-        match self.verdict(&entry, spare) {
+        match self.rejection_opt(&entry, slack) {
             Some(code) => self.refuse(entry, code),
             None => self.enqueue(entry),
         }
@@ -79,7 +79,7 @@
     }
 
     /// Returns why a request is refused on arrival, if it is.
-    fn verdict(&self, entry: &Entry, spare: f64) -> Option<Code> {
+    fn rejection_opt(&self, entry: &Entry, slack: f64) -> Option<Code> {
         if !self
             .workers
             .iter()
@@ -87,14 +87,14 @@
         {
             return Some(Code::NoEndpoint);
         }
-        if spare <= 0.0 {
+        if slack <= 0.0 {
             return Some(Code::TooLate);
         }
         // Only half of the estimated wait counts: the cost of waiting requests
         // is an estimate, and a wrong early refusal loses an answer, whereas a
         // wrong wait costs little.
         let wait = self.wait(entry.ask.tier, entry.ask.customer) / 2.0;
-        (wait > spare).then_some(Code::TooLate)
+        (wait > slack).then_some(Code::TooLate)
     }
 
     fn enqueue(&mut self, entry: Entry) {
@@ -116,10 +116,10 @@
     /// Short requests go first, but length alone never makes a request late
     /// unless the wait does so for all.
     pub(super) fn set_back(&self, entry: &Entry) -> Span {
-        let spare = entry.latest.since(entry.since).0 * self.options.set_back / 100;
-        let wait = self.wait(entry.ask.tier, entry.ask.customer) as u64 * WAITS;
-        let by_length = (entry.cost * self.options.short_first) as u64;
-        Span(by_length.min(spare.max(wait)))
+        let slack = entry.latest.since(entry.since).0 * self.options.set_back / 100;
+        let wait = self.wait(entry.ask.tier, entry.ask.customer) as u64 * MAX_DELAY_WAITS;
+        let length_delay = (entry.cost * self.options.short_first) as u64;
+        Span(length_delay.min(slack.max(wait)))
     }
 
     pub(super) fn refuse(&mut self, entry: Entry, code: Code) {
@@ -137,16 +137,16 @@
         });
     }
 
-    fn grant_again(&mut self, request: id::Request) {
-        let Some(hold) = self.holds.get(&request) else {
+    fn resend_grant(&mut self, request: id::Request) {
+        let Some(call) = self.in_flight.get(&request) else {
             return;
         };
         self.decisions.push(Decision::Grant {
-            to: hold.peer.clone(),
+            to: call.peer.clone(),
             target: self.target.name.clone(),
             request,
-            attempt: hold.ask.attempt,
-            endpoint: self.workers[hold.worker].name.clone(),
+            attempt: call.ask.attempt,
+            endpoint: self.workers[call.worker].name.clone(),
         });
     }
 
@@ -157,9 +157,9 @@
             self.queue.remove(request);
         }
         if self
-            .holds
+            .in_flight
             .get(&request)
-            .is_some_and(|hold| hold.ask.attempt == attempt)
+            .is_some_and(|call| call.ask.attempt == attempt)
         {
             self.release(now, request, end);
         }
@@ -168,13 +168,13 @@
 
     /// Adds a call that runs under a grant from another node.
     pub fn adopt(&mut self, now: Time, peer: Peer, ask: Ask, endpoint: &id::Endpoint) {
-        if self.holds.contains_key(&ask.request) {
+        if self.in_flight.contains_key(&ask.request) {
             return;
         }
         self.queue.remove(ask.request);
         let worker = self.worker(endpoint);
         self.workers[worker].start(now, 0);
-        let hold = Hold {
+        let call = InFlight {
             deadline: now + ask.left,
             worker,
             granted: now,
@@ -184,15 +184,15 @@
             peer,
             ask,
         };
-        self.holds.insert(hold.ask.request, hold);
+        self.in_flight.insert(call.ask.request, call);
     }
 
     /// Drops all requests of one incarnation of a host.
     pub fn drop_peer(&mut self, now: Time, peer: &Peer) {
         let held: Vec<id::Request> = self
-            .holds
+            .in_flight
             .iter()
-            .filter(|(_, hold)| hold.peer == *peer)
+            .filter(|(_, call)| call.peer == *peer)
             .map(|(id, _)| *id)
             .collect();
         for request in held {
@@ -205,49 +205,54 @@
     /// Removes a running request and updates the endpoint's state from its
     /// result.
     pub(super) fn release(&mut self, now: Time, request: id::Request, end: End) {
-        let Some(hold) = self.holds.remove(&request) else {
+        let Some(call) = self.in_flight.remove(&request) else {
             return;
         };
-        let pending = if hold.first.is_none() {
-            hold.uncached
+        let pending = if call.first.is_none() {
+            call.uncached
         } else {
             0
         };
-        let worker = &mut self.workers[hold.worker];
+        let worker = &mut self.workers[call.worker];
         worker.end(pending);
         match end {
             End::Whole { cached, output, .. } => {
-                worker.heard = now;
+                worker.last_progress = now;
                 worker.succeed(self.target.slots);
-                self.learn_whole(now, &hold, cached, output);
+                self.learn_from_answer(now, &call, cached, output);
             }
             End::Failed => {
                 worker.fail(now, self.options.backoff, self.options.backoff_limit);
-                self.warm.forget(hold.worker);
+                self.warm.forget(call.worker);
             }
             End::Leaving => worker.leaving = true,
             End::Unused => {}
         }
     }
 
-    fn learn_whole(&mut self, now: Time, hold: &Hold, cached: Tokens, output: Tokens) {
-        let told = hold.ask.blocks.len() as u64 * super::warm::BLOCK_TOKENS;
-        let hoped = hold.ask.prompt.0.saturating_sub(hold.uncached).min(told);
-        if cached.0 + super::warm::BLOCK_TOKENS <= hoped {
+    fn learn_from_answer(&mut self, now: Time, call: &InFlight, cached: Tokens, output: Tokens) {
+        let hashed_tokens = call.ask.blocks.len() as u64 * super::warm::BLOCK_TOKENS;
+        let expected_cached = call
+            .ask
+            .prompt
+            .0
+            .saturating_sub(call.uncached)
+            .min(hashed_tokens);
+        if cached.0 + super::warm::BLOCK_TOKENS <= expected_cached {
             // The prefix hint was wrong. The blocks are cached from now on,
             // since the endpoint has just computed them.
-            self.warm.correct(&hold.ask.blocks, hold.worker, cached.0);
+            self.warm.correct(&call.ask.blocks, call.worker, cached.0);
         }
-        self.warm.add(&hold.ask.blocks, hold.worker);
+        self.warm.add(&call.ask.blocks, call.worker);
         let known = self
             .outputs
-            .entry(hold.ask.class.clone())
+            .entry(call.ask.class.clone())
             .or_insert(output.0 as f64);
         *known += (output.0 as f64 - *known) * 0.1;
-        if hold.first.is_none() {
-            let prefill = hold.uncached as f64 * self.workers[hold.worker].prefill;
-            let rest = (now.since(hold.granted).0 as f64 - prefill).max(0.0);
-            self.workers[hold.worker].learn_step(rest / output.0.max(1) as f64);
+        if call.first.is_none() {
+            let prefill = call.uncached as f64 * self.workers[call.worker].prefill;
+            let rest = (now.since(call.granted).0 as f64 - prefill).max(0.0);
+            self.workers[call.worker].learn_step(rest / output.0.max(1) as f64);
         }
     }
 }
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -177,7 +177,7 @@
 
 /// A request that runs under a grant.
 #[derive(Debug, Clone)]
-struct Hold {
+struct InFlight {
     ask: Ask,
     peer: Peer,
     worker: usize,
@@ -196,7 +196,7 @@
     workers: Vec<worker::Worker>,
     index: HashMap<id::Endpoint, usize>,
     queue: queue::Queue,
-    holds: HashMap<id::Request, Hold>,
+    in_flight: HashMap<id::Request, InFlight>,
     warm: warm::Warm,
     outputs: HashMap<id::Class, f64>,
     reserves: Vec<u32>,
@@ -213,7 +213,7 @@
             workers: Vec::new(),
             index: HashMap::new(),
             queue: queue::Queue::default(),
-            holds: HashMap::new(),
+            in_flight: HashMap::new(),
             outputs: HashMap::new(),
             reserves: Vec::new(),
             decisions: Vec::new(),
--- a/crates/core/src/pool/observe.rs
+++ b/crates/core/src/pool/observe.rs
@@ -10,18 +10,18 @@
 impl Pool {
     /// Records the first token of a call.
     pub fn first(&mut self, now: Time, request: id::Request) {
-        let Some(hold) = self.holds.get_mut(&request) else {
+        let Some(call) = self.in_flight.get_mut(&request) else {
             return;
         };
-        if hold.first.replace(now).is_some() {
+        if call.first.replace(now).is_some() {
             return;
         }
-        let worker = &mut self.workers[hold.worker];
-        worker.pending = worker.pending.saturating_sub(hold.uncached);
-        worker.heard = now;
-        let since = now.since(hold.granted).0 as f64 - worker.step;
-        let tokens = hold.uncached + hold.ahead;
-        if tokens >= LEARN_FROM {
+        let worker = &mut self.workers[call.worker];
+        worker.pending = worker.pending.saturating_sub(call.uncached);
+        worker.last_progress = now;
+        let since = now.since(call.granted).0 as f64 - worker.step;
+        let tokens = call.uncached + call.ahead;
+        if tokens >= MIN_PREFILL_SAMPLE_TOKENS {
             worker.learn_prefill(since.max(0.0), tokens);
         }
         self.place(now);
@@ -34,7 +34,7 @@
             return;
         };
         let worker = &mut self.workers[*at];
-        worker.heard = now;
+        worker.last_progress = now;
         if tokens.0 > 0 && busy > Span::ZERO {
             worker.learn_step(busy.0 as f64 / tokens.0 as f64);
         }
@@ -54,4 +54,4 @@
 
 /// The minimum number of prompt tokens from which the prefill speed is learnt;
 /// with fewer, the time to the first token says little about it.
-const LEARN_FROM: u64 = 64;
+const MIN_PREFILL_SAMPLE_TOKENS: u64 = 64;
--- a/crates/core/src/pool/place.rs
+++ b/crates/core/src/pool/place.rs
@@ -7,14 +7,14 @@
 
 use super::Ask;
 use super::Decision;
-use super::Hold;
+use super::InFlight;
 use super::Pool;
 use super::queue::Entry;
 use super::worker::Worker;
 
 /// An endpoint that could take a request, with the estimated cost there.
 #[derive(Debug, Clone, Copy)]
-struct Choice {
+struct Candidate {
     worker: usize,
     uncached: u64,
     micros: f64,
@@ -23,25 +23,25 @@
 impl Pool {
     /// Grants endpoints until no waiting request can be assigned.
     pub(super) fn place(&mut self, now: Time) {
-        while let Some((request, choice)) = self.next(now) {
+        while let Some((request, candidate)) = self.next(now) {
             let Some(entry) = self.queue.take(request) else {
                 return;
             };
-            self.grant(now, entry, choice);
+            self.grant(now, entry, candidate);
         }
     }
 
     /// Returns the next request and its endpoint, from the most protected tier
     /// in which a request can be assigned.
-    fn next(&mut self, now: Time) -> Option<(id::Request, Choice)> {
+    fn next(&mut self, now: Time) -> Option<(id::Request, Candidate)> {
         let tiers: Vec<Tier> = self.queue.tiers().collect();
         for tier in tiers {
-            let rooms = self.rooms(now, tier);
-            if rooms.is_empty() {
+            let available = self.available(now, tier);
+            if available.is_empty() {
                 // Less protected tiers never have more capacity.
                 return None;
             }
-            if let Some(found) = self.next_of(now, tier, &rooms) {
+            if let Some(found) = self.next_in_tier(now, tier, &available) {
                 return Some(found);
             }
         }
@@ -53,41 +53,46 @@
     /// prefix wins, so that a free endpoint gets what it can do cheaply, but a
     /// request that has used most of its slack goes first. Requests that can no
     /// longer finish in time are refused.
-    fn next_of(&mut self, now: Time, tier: Tier, rooms: &[usize]) -> Option<(id::Request, Choice)> {
-        let mut best: Option<(u64, id::Request, Choice)> = None;
-        let mut hopeless = Vec::new();
+    fn next_in_tier(
+        &mut self,
+        now: Time,
+        tier: Tier,
+        available: &[usize],
+    ) -> Option<(id::Request, Candidate)> {
+        let mut best: Option<(u64, id::Request, Candidate)> = None;
+        let mut infeasible = Vec::new();
         for entry in self.queue.first(tier, self.options.look_ahead) {
             let request = entry.ask.request;
-            match self.choose(rooms, &entry.ask) {
-                Some(choice) if self.fits(now, entry, choice) => {
-                    if has_waited(now, entry) {
-                        best = Some((u64::MAX, request, choice));
+            match self.choose(available, &entry.ask) {
+                Some(candidate) if self.meets_deadline(now, entry, candidate) => {
+                    if has_used_slack(now, entry) {
+                        best = Some((u64::MAX, request, candidate));
                         break;
                     }
-                    let saved = entry.ask.prompt.0.saturating_sub(choice.uncached);
+                    let saved = entry.ask.prompt.0.saturating_sub(candidate.uncached);
                     // Ties keep the queue order.
                     if best.is_none_or(|(most, ..)| saved > most) {
-                        best = Some((saved, request, choice));
+                        best = Some((saved, request, candidate));
                     }
                 }
-                _ if self.is_hopeless(now, entry) => hopeless.push(request),
+                _ if self.is_infeasible(now, entry) => infeasible.push(request),
                 _ => {}
             }
         }
-        for request in hopeless {
+        for request in infeasible {
             if let Some(entry) = self.queue.remove(request) {
                 self.refuse(entry, Code::TooLate);
             }
         }
-        best.map(|(_, request, choice)| (request, choice))
+        best.map(|(_, request, candidate)| (request, candidate))
     }
 
     /// Returns the endpoints with capacity for a tier. Reserves leave less
     /// capacity to less protected tiers.
-    fn rooms(&self, now: Time, tier: Tier) -> Vec<usize> {
+    fn available(&self, now: Time, tier: Tier) -> Vec<usize> {
         let slots = self.slots(tier);
         let all = self.workers.iter().enumerate();
-        all.filter(|(_, worker)| self.has_room(now, worker, slots))
+        all.filter(|(_, worker)| self.has_capacity(now, worker, slots))
             .map(|(at, _)| at)
             .collect()
     }
@@ -103,25 +108,28 @@
         (all - all * reserve / 100 + self.options.ahead).max(1)
     }
 
-    fn has_room(&self, now: Time, worker: &Worker, slots: u32) -> bool {
+    fn has_capacity(&self, now: Time, worker: &Worker, slots: u32) -> bool {
         let all = self.target.slots;
-        let earned = if worker.trust < all {
-            worker.trust
+        let recovery_limit = if worker.concurrency_limit < all {
+            worker.concurrency_limit
         } else {
             u32::MAX
         };
-        let slots = slots.min(earned).saturating_sub(worker.extra).max(1);
+        let slots = slots
+            .min(recovery_limit)
+            .saturating_sub(worker.extra)
+            .max(1);
         worker.running < slots
             && worker.pending < self.options.prefill_limit
             && worker.takes_work(now, self.options.silence)
     }
 
-    /// Returns the endpoint among `rooms` that would finish the request first.
-    fn choose(&self, rooms: &[usize], ask: &Ask) -> Option<Choice> {
+    /// Returns the endpoint among `available` that would finish the request first.
+    fn choose(&self, available: &[usize], ask: &Ask) -> Option<Candidate> {
         let warm = self.warm.candidates(&ask.blocks);
         let output = self.output(ask);
-        let mut best: Option<Choice> = None;
-        for at in rooms {
+        let mut best: Option<Candidate> = None;
+        for at in available {
             let (at, worker) = (*at, &self.workers[*at]);
             if ask.avoid.as_ref() == Some(&worker.name) {
                 continue;
@@ -140,7 +148,7 @@
             };
             let micros = slot + prefill + output * worker.step;
             if best.is_none_or(|best| micros < best.micros) {
-                best = Some(Choice {
+                best = Some(Candidate {
                     worker: at,
                     uncached,
                     micros,
@@ -150,28 +158,28 @@
         best
     }
 
-    fn fits(&self, now: Time, entry: &Entry, choice: Choice) -> bool {
+    fn meets_deadline(&self, now: Time, entry: &Entry, candidate: Candidate) -> bool {
         let left = entry.deadline.since(now).0 as f64;
-        choice.micros * self.options.caution as f64 / 100.0 <= left
+        candidate.micros * self.options.caution as f64 / 100.0 <= left
     }
 
     /// Returns whether even the fastest endpoint would be late if it were idle.
     /// Estimates change, so this may not have been so on arrival.
-    fn is_hopeless(&self, now: Time, entry: &Entry) -> bool {
+    fn is_infeasible(&self, now: Time, entry: &Entry) -> bool {
         let left = entry.deadline.since(now).0 as f64;
         self.ideal(&entry.ask) * self.options.caution as f64 / 100.0 > left
     }
 
-    fn grant(&mut self, now: Time, entry: Entry, choice: Choice) {
+    fn grant(&mut self, now: Time, entry: Entry, candidate: Candidate) {
         let Entry {
             ask,
             peer,
             deadline,
             ..
         } = entry;
-        let worker = &mut self.workers[choice.worker];
+        let worker = &mut self.workers[candidate.worker];
         let ahead = worker.pending;
-        worker.start(now, choice.uncached);
+        worker.start(now, candidate.uncached);
         self.decisions.push(Decision::Grant {
             to: peer.clone(),
             target: self.target.name.clone(),
@@ -179,22 +187,22 @@
             attempt: ask.attempt,
             endpoint: worker.name.clone(),
         });
-        let hold = Hold {
-            worker: choice.worker,
+        let call = InFlight {
+            worker: candidate.worker,
             granted: now,
             first: None,
-            uncached: choice.uncached,
+            uncached: candidate.uncached,
             ahead,
             deadline,
             peer,
             ask,
         };
-        self.holds.insert(hold.ask.request, hold);
+        self.in_flight.insert(call.ask.request, call);
     }
 }
 
 /// Returns whether three quarters of a request's slack are used up. From then
 /// on, requests with a longer cached prefix no longer overtake it.
-fn has_waited(now: Time, entry: &Entry) -> bool {
+fn has_used_slack(now: Time, entry: &Entry) -> bool {
     now.since(entry.since).0 * 4 >= entry.latest.since(entry.since).0 * 3
 }
--- a/crates/core/src/pool/query.rs
+++ b/crates/core/src/pool/query.rs
@@ -56,7 +56,7 @@
         Summary {
             target: self.target.name.clone(),
             waiting: self.queue.counts(),
-            running: self.holds.len(),
+            running: self.in_flight.len(),
             endpoints: self.workers.iter().map(endpoint).collect(),
         }
     }
@@ -68,12 +68,12 @@
 
     /// Returns the number of requests that run under grants.
     pub fn running(&self) -> usize {
-        self.holds.len()
+        self.in_flight.len()
     }
 
     /// Returns whether the request waits or runs in this pool.
     pub fn knows(&self, request: id::Request) -> bool {
-        self.queue.contains(request) || self.holds.contains_key(&request)
+        self.queue.contains(request) || self.in_flight.contains_key(&request)
     }
 
     /// Returns the time at which [`Pool::tick`] next has a waiting request to
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -49,23 +49,23 @@
 }
 
 #[derive(Debug, Default)]
-struct Line {
+struct CustomerQueue {
     start: u64,
     cost: f64,
     entries: BTreeMap<Rank, Entry>,
 }
 
 #[derive(Debug, Default)]
-struct Lane {
-    clock: u64,
+struct TierQueue {
+    virtual_time: u64,
     turns: BTreeSet<(u64, u64)>,
-    lines: HashMap<u64, Line>,
+    customer_queues: HashMap<u64, CustomerQueue>,
     count: usize,
     cost: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct Position {
     tier: Tier,
     customer: u64,
     rank: Rank,
@@ -75,8 +75,8 @@
 /// The queue of one pool.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lanes: BTreeMap<Tier, Lane>,
-    places: HashMap<id::Request, Place>,
+    tier_queues: BTreeMap<Tier, TierQueue>,
+    positions: HashMap<id::Request, Position>,
     expiry: BTreeSet<(Time, id::Request)>,
     seq: u64,
 }
@@ -93,15 +93,15 @@
         self.seq += 1;
         let tag = (entry.since + set_back).0;
         let rank = Rank { tag, seq: self.seq };
-        let place = Place {
+        let position = Position {
             tier,
             customer,
             rank,
             latest: entry.latest,
         };
-        self.places.insert(request, place);
+        self.positions.insert(request, position);
         self.expiry.insert((entry.latest, request));
-        self.lanes
+        self.tier_queues
             .entry(tier)
             .or_default()
             .push(customer, rank, entry);
@@ -110,26 +110,29 @@
     /// Returns up to `most` requests of a tier in fair queueing order, without
     /// removing them.
     pub fn first(&self, tier: Tier, most: usize) -> Vec<&Entry> {
-        self.lanes
+        self.tier_queues
             .get(&tier)
-            .map_or_else(Vec::new, |lane| lane.first(most))
+            .map_or_else(Vec::new, |tier_queue| tier_queue.first(most))
     }
 
     /// Returns the tiers with waiting requests, the most protected first.
     pub fn tiers(&self) -> impl Iterator<Item = Tier> + '_ {
-        let waiting = self.lanes.iter().filter(|(_, lane)| lane.count > 0);
+        let waiting = self
+            .tier_queues
+            .iter()
+            .filter(|(_, tier_queue)| tier_queue.count > 0);
         waiting.map(|(tier, _)| *tier)
     }
 
     /// Removes a request and charges it to its customer's share.
     pub fn take(&mut self, request: id::Request) -> Option<Entry> {
-        let Place {
+        let Position {
             tier,
             customer,
             rank,
             ..
-        } = *self.places.get(&request)?;
-        self.lanes.get_mut(&tier)?.charge(customer, rank);
+        } = *self.positions.get(&request)?;
+        self.tier_queues.get_mut(&tier)?.advance(customer, rank);
         self.remove(request)
     }
 
@@ -144,17 +147,20 @@
 
     /// Removes a request without charging it to its customer's share.
     pub fn remove(&mut self, request: id::Request) -> Option<Entry> {
-        let place = *self.places.get(&request)?;
+        let position = *self.positions.get(&request)?;
         self.forget(request);
-        self.lanes
-            .get_mut(&place.tier)?
-            .remove(place.customer, place.rank)
+        self.tier_queues
+            .get_mut(&position.tier)?
+            .remove(position.customer, position.rank)
     }
 
     /// Removes all requests of one incarnation of a host.
     pub fn remove_peer(&mut self, peer: &Peer) {
-        let lines = self.lanes.values().flat_map(|lane| lane.lines.values());
-        let entries = lines.flat_map(|line| line.entries.values());
+        let customer_queues = self
+            .tier_queues
+            .values()
+            .flat_map(|tier_queue| tier_queue.customer_queues.values());
+        let entries = customer_queues.flat_map(|customer_queue| customer_queue.entries.values());
         let theirs: Vec<id::Request> = entries
             .filter(|entry| entry.peer == *peer)
             .map(|entry| entry.ask.request)
@@ -177,54 +183,72 @@
     /// Removes the longest request of the customer with the latest turn in the
     /// least protected tier.
     pub fn pop_least(&mut self) -> Option<Entry> {
-        let (_, lane) = self.lanes.iter().rev().find(|(_, lane)| lane.count > 0)?;
-        let (_, customer) = *lane.turns.last()?;
-        let entry = lane.lines.get(&customer)?.entries.values().next_back()?;
+        let (_, tier_queue) = self
+            .tier_queues
+            .iter()
+            .rev()
+            .find(|(_, tier_queue)| tier_queue.count > 0)?;
+        let (_, customer) = *tier_queue.turns.last()?;
+        let entry = tier_queue
+            .customer_queues
+            .get(&customer)?
+            .entries
+            .values()
+            .next_back()?;
         let request = entry.ask.request;
         self.remove(request)
     }
 
     fn forget(&mut self, request: id::Request) {
-        if let Some(place) = self.places.remove(&request) {
-            self.expiry.remove(&(place.latest, request));
+        if let Some(position) = self.positions.remove(&request) {
+            self.expiry.remove(&(position.latest, request));
         }
     }
 
     /// Returns the attempt under which the request waits, if it does.
     pub fn attempt_opt(&self, request: id::Request) -> Option<u32> {
-        let place = self.places.get(&request)?;
-        let line = self.lanes.get(&place.tier)?.lines.get(&place.customer)?;
-        line.entries.get(&place.rank).map(|entry| entry.ask.attempt)
+        let position = self.positions.get(&request)?;
+        let customer_queue = self
+            .tier_queues
+            .get(&position.tier)?
+            .customer_queues
+            .get(&position.customer)?;
+        customer_queue
+            .entries
+            .get(&position.rank)
+            .map(|entry| entry.ask.attempt)
     }
 
     /// Returns whether the request waits.
     pub fn contains(&self, request: id::Request) -> bool {
-        self.places.contains_key(&request)
+        self.positions.contains_key(&request)
     }
 
     /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// Returns the number of waiting requests by tier.
     pub fn counts(&self) -> Vec<(Tier, usize)> {
-        self.lanes
+        self.tier_queues
             .iter()
-            .map(|(tier, lane)| (*tier, lane.count))
+            .map(|(tier, tier_queue)| (*tier, tier_queue.count))
             .collect()
     }
 
     /// Returns the endpoint time of requests waiting in `tier` and more
     /// protected tiers, in microseconds.
     pub fn cost_to(&self, tier: Tier) -> f64 {
-        let lanes = self.lanes.range(..=tier);
-        lanes.map(|(_, lane)| lane.cost.max(0.0)).sum()
+        let tier_queues = self.tier_queues.range(..=tier);
+        tier_queues
+            .map(|(_, tier_queue)| tier_queue.cost.max(0.0))
+            .sum()
     }
 
     /// Returns the endpoint time ahead of a new request of a customer, in
@@ -233,27 +257,27 @@
     /// most all that waits there.
     pub fn cost_ahead(&self, tier: Tier, customer: u64) -> f64 {
         let above: f64 = self
-            .lanes
+            .tier_queues
             .range(..tier)
-            .map(|(_, lane)| lane.cost.max(0.0))
+            .map(|(_, tier_queue)| tier_queue.cost.max(0.0))
             .sum();
-        let Some(lane) = self.lanes.get(&tier) else {
+        let Some(tier_queue) = self.tier_queues.get(&tier) else {
             return above;
         };
-        let own = lane
-            .lines
+        let own = tier_queue
+            .customer_queues
             .get(&customer)
-            .map_or(0.0, |line| line.cost.max(0.0));
-        let customers = lane.turns.len().max(1) as f64;
-        above + (own * customers).min(lane.cost.max(0.0))
+            .map_or(0.0, |customer_queue| customer_queue.cost.max(0.0));
+        let customers = tier_queue.turns.len().max(1) as f64;
+        above + (own * customers).min(tier_queue.cost.max(0.0))
     }
 
     /// Returns the least protected tier with waiting requests.
     pub fn least_tier_opt(&self) -> Option<Tier> {
-        self.lanes
+        self.tier_queues
             .iter()
             .rev()
-            .find(|(_, lane)| lane.count > 0)
+            .find(|(_, tier_queue)| tier_queue.count > 0)
             .map(|(tier, _)| *tier)
     }
 
@@ -263,21 +287,21 @@
     }
 }
 
-impl Lane {
+impl TierQueue {
     fn push(&mut self, customer: u64, rank: Rank, entry: Entry) {
         self.count += 1;
         self.cost += entry.cost;
-        let line = self.lines.entry(customer).or_default();
-        if line.entries.is_empty() {
-            line.start = line.start.max(self.clock);
-            self.turns.insert((line.start, customer));
+        let customer_queue = self.customer_queues.entry(customer).or_default();
+        if customer_queue.entries.is_empty() {
+            customer_queue.start = customer_queue.start.max(self.virtual_time);
+            self.turns.insert((customer_queue.start, customer));
         }
-        line.cost += entry.cost;
-        line.entries.insert(rank, entry);
+        customer_queue.cost += entry.cost;
+        customer_queue.entries.insert(rank, entry);
     }
 
     fn first(&self, most: usize) -> Vec<&Entry> {
-        let mut lines: Vec<_> = self
+        let mut customer_queues: Vec<_> = self
             .turns
             .iter()
             .take(most)
@@ -285,13 +309,13 @@
                 Some((
                     *start,
                     *customer,
-                    self.lines.get(customer)?.entries.values(),
+                    self.customer_queues.get(customer)?.entries.values(),
                 ))
             })
             .collect();
         let mut found = Vec::new();
         while found.len() < most {
-            let turn = lines
+            let turn = customer_queues
                 .iter_mut()
                 .min_by_key(|(start, customer, _)| (*start, *customer));
             let Some((start, _, entries)) = turn else {
@@ -304,7 +328,7 @@
                 }
                 None => *start = u64::MAX,
             }
-            if lines.iter().all(|(start, ..)| *start == u64::MAX) {
+            if customer_queues.iter().all(|(start, ..)| *start == u64::MAX) {
                 break;
             }
         }
@@ -312,23 +336,23 @@
     }
 
     /// Advances a customer's start tag by the share of one of its requests.
-    fn charge(&mut self, customer: u64, rank: Rank) {
-        let Some(line) = self.lines.get_mut(&customer) else {
+    fn advance(&mut self, customer: u64, rank: Rank) {
+        let Some(customer_queue) = self.customer_queues.get_mut(&customer) else {
             return;
         };
-        let Some(entry) = line.entries.get(&rank) else {
+        let Some(entry) = customer_queue.entries.get(&rank) else {
             return;
         };
-        self.turns.remove(&(line.start, customer));
-        self.clock = self.clock.max(line.start);
-        line.start += entry.share();
-        self.turns.insert((line.start, customer));
+        self.turns.remove(&(customer_queue.start, customer));
+        self.virtual_time = self.virtual_time.max(customer_queue.start);
+        customer_queue.start += entry.share();
+        self.turns.insert((customer_queue.start, customer));
     }
 
     fn remove(&mut self, customer: u64, rank: Rank) -> Option<Entry> {
-        let line = self.lines.get_mut(&customer)?;
-        let entry = line.entries.remove(&rank)?;
-        self.turns.remove(&(line.start, customer));
+        let customer_queue = self.customer_queues.get_mut(&customer)?;
+        let entry = customer_queue.entries.remove(&rank)?;
+        self.turns.remove(&(customer_queue.start, customer));
         self.close(customer, &entry);
         Some(entry)
     }
@@ -338,18 +362,20 @@
     fn close(&mut self, customer: u64, entry: &Entry) {
         self.count -= 1;
         self.cost -= entry.cost;
-        let Some(line) = self.lines.get_mut(&customer) else {
+        let Some(customer_queue) = self.customer_queues.get_mut(&customer) else {
             return;
         };
-        line.cost -= entry.cost;
-        if !line.entries.is_empty() {
-            self.turns.insert((line.start, customer));
-        } else if line.start <= self.clock || self.lines.len() > IDLE_LINES {
-            self.lines.remove(&customer);
+        customer_queue.cost -= entry.cost;
+        if !customer_queue.entries.is_empty() {
+            self.turns.insert((customer_queue.start, customer));
+        } else if customer_queue.start <= self.virtual_time
+            || self.customer_queues.len() > MAX_IDLE_CUSTOMERS
+        {
+            self.customer_queues.remove(&customer);
         }
     }
 }
 
 /// The number of customers in a tier above which one without waiting requests
 /// is dropped even if its start tag lies ahead of the virtual time.
-const IDLE_LINES: usize = 1_024;
+const MAX_IDLE_CUSTOMERS: usize = 1_024;
--- a/crates/core/src/pool/tick.rs
+++ b/crates/core/src/pool/tick.rs
@@ -10,7 +10,7 @@
 
 /// The time after its deadline at which a running request that nobody ended is
 /// dropped.
-const OVERDUE: Span = Span::from_secs(5);
+const OVERDUE_GRACE: Span = Span::from_secs(5);
 
 impl Pool {
     /// Refuses waiting requests that can no longer finish in time, drops
@@ -25,9 +25,9 @@
 
     fn drop_overdue(&mut self, now: Time) {
         let overdue: Vec<id::Request> = self
-            .holds
+            .in_flight
             .iter()
-            .filter(|(_, hold)| hold.deadline + OVERDUE < now)
+            .filter(|(_, call)| call.deadline + OVERDUE_GRACE < now)
             .map(|(request, _)| *request)
             .collect();
         for request in overdue {
--- a/crates/core/src/pool/warm.rs
+++ b/crates/core/src/pool/warm.rs
@@ -21,7 +21,7 @@
 pub const BLOCKS: usize = 64;
 
 /// The maximum number of endpoints remembered for one block.
-const WORKERS: usize = 4;
+const MAX_WORKERS_PER_BLOCK: usize = 4;
 
 /// The endpoints that computed a block, the latest first, and when the hint was
 /// last used.
@@ -43,7 +43,7 @@
 /// Returns the blocks at depths that are powers of two, with their depths.
 /// Storing only these keeps long prompts that are never repeated from evicting
 /// all others.
-fn marks(blocks: &[u64]) -> impl DoubleEndedIterator<Item = (u64, u64)> + '_ {
+fn sampled_blocks(blocks: &[u64]) -> impl DoubleEndedIterator<Item = (u64, u64)> + '_ {
     let powers = blocks.len().checked_ilog2().map_or(0, |most| most + 1);
     (0..powers).map(|power| {
         let depth = 1usize << power;
@@ -64,7 +64,7 @@
 
     /// Records that an endpoint computed a prompt.
     pub fn add(&mut self, blocks: &[u64], worker: usize) {
-        for (block, _) in marks(blocks) {
+        for (block, _) in sampled_blocks(blocks) {
             self.add_block(block, worker as u32);
         }
         while self.hints.len() > self.limit || self.order.len() > self.limit * 4 {
@@ -84,13 +84,13 @@
         hint.used = self.uses;
         hint.workers.retain(|known| *known != worker);
         hint.workers.insert(0, worker);
-        hint.workers.truncate(WORKERS);
+        hint.workers.truncate(MAX_WORKERS_PER_BLOCK);
     }
 
     /// Drops an endpoint's hints for the blocks beyond the `cached` tokens that
     /// its usage report confirmed.
     pub fn correct(&mut self, blocks: &[u64], worker: usize, cached: u64) {
-        for (block, depth) in marks(blocks) {
+        for (block, depth) in sampled_blocks(blocks) {
             if depth * BLOCK_TOKENS <= cached {
                 continue;
             }
@@ -111,7 +111,7 @@
     /// number of tokens, the longest prefix first.
     pub fn candidates(&self, blocks: &[u64]) -> Vec<(usize, u64)> {
         let mut found: Vec<(usize, u64)> = Vec::new();
-        for (block, depth) in marks(blocks).rev() {
+        for (block, depth) in sampled_blocks(blocks).rev() {
             for worker in self
                 .hints
                 .get(&block)
@@ -123,7 +123,7 @@
                     found.push((worker, depth * BLOCK_TOKENS));
                 }
             }
-            if found.len() >= WORKERS {
+            if found.len() >= MAX_WORKERS_PER_BLOCK {
                 break;
             }
         }
--- a/crates/core/src/pool/worker.rs
+++ b/crates/core/src/pool/worker.rs
@@ -6,7 +6,7 @@
 
 /// The weight of a new observation in the moving averages. Three observations
 /// make up two thirds of the estimate, so a slow-down shows within a few steps.
-const NEWEST: f64 = 0.3;
+const EWMA_WEIGHT: f64 = 0.3;
 
 /// State of an endpoint, as known to the pool.
 #[derive(Debug, Clone)]
@@ -29,14 +29,14 @@
     /// outstanding.
     pub pending: u64,
     /// The concurrency limit while the endpoint recovers from a failure.
-    pub trust: u32,
+    pub concurrency_limit: u32,
     /// The number of consecutive failures.
     pub failures: u32,
     /// The end of the backoff; no work is assigned before.
-    pub down_until: Time,
+    pub backoff_until: Time,
     /// The time of the last progress, or of the grant that ended an idle
     /// period.
-    pub heard: Time,
+    pub last_progress: Time,
     /// The number of reported requests beyond this pool's own.
     pub extra: u32,
     /// The peak of `running` since the last report and in the interval before
@@ -55,10 +55,10 @@
             step,
             running: 0,
             pending: 0,
-            trust: slots,
+            concurrency_limit: slots,
             failures: 0,
-            down_until: Time(0),
-            heard: Time(0),
+            backoff_until: Time(0),
+            last_progress: Time(0),
             extra: 0,
             peaks: [0; 2],
         }
@@ -67,7 +67,7 @@
     /// Counts a granted request.
     pub fn start(&mut self, now: Time, uncached: u64) {
         if self.running == 0 {
-            self.heard = now;
+            self.last_progress = now;
         }
         self.running += 1;
         self.pending += uncached;
@@ -83,26 +83,26 @@
     /// Updates the prefill speed from the time to a first token.
     pub fn learn_prefill(&mut self, micros: f64, tokens: u64) {
         let seen = micros / tokens.max(1) as f64;
-        self.prefill += (seen - self.prefill) * NEWEST;
+        self.prefill += (seen - self.prefill) * EWMA_WEIGHT;
     }
 
     /// Updates the time between tokens.
     pub fn learn_step(&mut self, micros: f64) {
-        self.step += (micros - self.step) * NEWEST;
+        self.step += (micros - self.step) * EWMA_WEIGHT;
     }
 
     /// Counts a failure and starts a backoff.
     pub fn fail(&mut self, now: Time, backoff: Span, limit: Span) {
         let doubled = backoff.0 << self.failures.min(10);
         self.failures += 1;
-        self.down_until = now + Span(doubled.min(limit.0));
-        self.trust = 1;
+        self.backoff_until = now + Span(doubled.min(limit.0));
+        self.concurrency_limit = 1;
     }
 
     /// Counts a success and doubles the concurrency limit, up to `slots`.
     pub fn succeed(&mut self, slots: u32) {
         self.failures = 0;
-        self.trust = (self.trust * 2).min(slots);
+        self.concurrency_limit = (self.concurrency_limit * 2).min(slots);
     }
 
     /// Records a reported number of running requests. Reports are out of date
@@ -119,7 +119,7 @@
     /// is longer.
     pub fn takes_work(&self, now: Time, silence: Span) -> bool {
         let silence = Span(silence.0.max((self.step * 20.0) as u64));
-        let silent = self.running > 0 && now.since(self.heard) > silence;
-        self.listed && !self.leaving && now >= self.down_until && !silent
+        let silent = self.running > 0 && now.since(self.last_progress) > silence;
+        self.listed && !self.leaving && now >= self.backoff_until && !silent
     }
 }
