--- a/crates/bench/src/bin/state.rs
+++ b/crates/bench/src/bin/state.rs
@@ -20,7 +20,7 @@
 use woadstage_core::pool::End;
 use woadstage_core::pool::Peer;
 use woadstage_core::pool::Pool;
-use woadstage_core::pool::warm::Warm;
+use woadstage_core::pool::prefix_cache::PrefixCache;
 use woadstage_node::peers::wire;
 use woadstage_standin::sample;
 use woadstage_types::code::Code;
@@ -151,9 +151,9 @@
         buckets
     })?;
     let _hints = weigh("prefix hint", 20_000, || {
-        let mut warm = Warm::new(20_000);
-        (0..20_000u64).for_each(|block| warm.add(&[block], (block % 32) as usize));
-        warm
+        let mut cache = PrefixCache::new(20_000);
+        (0..20_000u64).for_each(|block| cache.record(&[block], (block % 32) as usize));
+        cache
     })?;
     let _workers = weigh("endpoint in a pool", 3_100, || {
         let names: HashMap<u64, id::Endpoint> = (0..3_100)
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use woadstage_config::published;
-use woadstage_core::pool::warm;
+use woadstage_core::pool::prefix_cache;
 use woadstage_standin::engine;
 use woadstage_standin::sample;
 use woadstage_types::unit::Span;
@@ -198,7 +198,9 @@
 impl Request {
     /// The prompt's bytes, as far as prefixes are hashed.
     pub fn prefix(&self, deployment: &Deployment) -> Arc<[u8]> {
-        let most = (self.prompt * 4).min((warm::BLOCKS * warm::BLOCK_BYTES) as u64) as usize;
+        let most = (self.prompt * 4)
+            .min((prefix_cache::MAX_BLOCKS * prefix_cache::BLOCK_BYTES) as u64)
+            as usize;
         let (_, context_tokens) = deployment.classes[self.class].contexts;
         let shared = self
             .context
--- a/crates/bench/src/scheduler.rs
+++ b/crates/bench/src/scheduler.rs
@@ -8,7 +8,7 @@
 use woadstage_config::published;
 use woadstage_core::node::Arrival;
 use woadstage_core::pool;
-use woadstage_core::pool::warm;
+use woadstage_core::pool::prefix_cache;
 use woadstage_standin::sample;
 use woadstage_standin::world::Endpoint;
 use woadstage_standin::world::Options;
@@ -130,7 +130,7 @@
     let prefix = request.prefix(deployment);
     // Customers differ in the salt of their contexts, so that no identity
     // needs to stand in the engine's own hashes.
-    let blocks = warm::blocks(0, &prefix);
+    let blocks = prefix_cache::blocks(0, &prefix);
     let what = format!("{:x}", request.salt);
     (
         prefix,
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -81,23 +81,23 @@
 /// A retry budget in proportion to first attempts, so that failing endpoints do
 /// not multiply the load (as in Finagle and the SRE book).
 #[derive(Debug)]
-pub struct Retries {
+pub struct RetryBudget {
     level: f64,
 }
 
-impl Retries {
+impl RetryBudget {
     /// The number of retries that one first attempt adds to the budget.
     pub const SHARE: f64 = 0.1;
     /// The maximum number of retries in the budget.
-    pub const MOST: f64 = 10.0;
+    pub const CAPACITY: f64 = 10.0;
 
     /// Adds one first attempt's share to the budget.
-    pub fn earn(&mut self) {
-        self.level = (self.level + Retries::SHARE).min(Retries::MOST);
+    pub fn note_request(&mut self) {
+        self.level = (self.level + RetryBudget::SHARE).min(RetryBudget::CAPACITY);
     }
 
     /// Returns whether the budget covers a retry.
-    pub fn has_one(&self) -> bool {
+    pub fn has_retry(&self) -> bool {
         self.level >= 1.0
     }
 
@@ -112,10 +112,10 @@
     }
 }
 
-impl Default for Retries {
-    fn default() -> Retries {
-        Retries {
-            level: Retries::MOST,
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget {
+            level: RetryBudget::CAPACITY,
         }
     }
 }
--- a/crates/core/src/node/arrive.rs
+++ b/crates/core/src/node/arrive.rs
@@ -20,7 +20,7 @@
 use super::Stage;
 use super::Task;
 use crate::ledger::Ticket;
-use crate::pool::warm;
+use crate::pool::prefix_cache;
 use crate::trace::Step;
 
 /// The longest time a caller may ask for.
@@ -106,7 +106,7 @@
             key_text: None,
             prompt: arrival.prompt,
             output_limit: arrival.output_limit,
-            blocks: warm::blocks(identity, &arrival.prefix),
+            blocks: prefix_cache::blocks(identity, &arrival.prefix),
             since: now,
             deadline: now + wanted,
             attempt: 0,
@@ -124,7 +124,7 @@
         match keyed {
             true => self.arrive_keyed(now, arrival, task),
             false => {
-                self.retries.earn();
+                self.retries.note_request();
                 self.insert(arrival.request, task);
                 self.ask(now, arrival.request);
             }
--- a/crates/core/src/node/tick.rs
+++ b/crates/core/src/node/tick.rs
@@ -86,7 +86,7 @@
             return;
         };
         let endpoint = endpoint.clone();
-        if task.retries > 0 || !self.retries.has_one() {
+        if task.retries > 0 || !self.retries.has_retry() {
             return;
         }
         self.abandon(now, request, End::Failed, Waste::Stuck);
--- a/crates/core/src/pool/ask.rs
+++ b/crates/core/src/pool/ask.rs
@@ -62,9 +62,9 @@
         let cost = self.cost(&ask);
         let ideal = self.ideal(&ask);
         let deadline = now + ask.left;
-        let slack = ask.left.0 as f64 - ideal * self.options.caution as f64 / 100.0;
+        let slack = ask.left.0 as f64 - ideal * self.options.safety_percent as f64 / 100.0;
         let entry = Entry {
-            latest: now + Span(slack.max(0.0) as u64),
+            latest_start: now + Span(slack.max(0.0) as u64),
             since: now,
             deadline,
             cost,
@@ -99,26 +99,26 @@
 
     fn enqueue(&mut self, entry: Entry) {
         if self.queue.len() >= self.options.queue_limit {
-            let least = self.queue.least_tier_opt().unwrap_or(0);
+            let least = self.queue.least_protected_tier_opt().unwrap_or(0);
             if least <= entry.ask.tier {
                 self.refuse(entry, Code::QueueFull);
                 return;
             }
-            if let Some(displaced) = self.queue.pop_least() {
+            if let Some(displaced) = self.queue.pop_least_protected() {
                 self.refuse(displaced, Code::Displaced);
             }
         }
-        let set_back = self.set_back(&entry);
-        self.queue.push(entry, set_back);
+        let queue_delay = self.queue_delay(&entry);
+        self.queue.push(entry, queue_delay);
     }
 
     /// Returns how far a request is moved back in the queue for its length.
     /// Short requests go first, but length alone never makes a request late
     /// unless the wait does so for all.
-    pub(super) fn set_back(&self, entry: &Entry) -> Span {
-        let slack = entry.latest.since(entry.since).0 * self.options.set_back / 100;
+    pub(super) fn queue_delay(&self, entry: &Entry) -> Span {
+        let slack = entry.latest_start.since(entry.since).0 * self.options.max_delay_percent / 100;
         let wait = self.wait(entry.ask.tier, entry.ask.customer) as u64 * MAX_DELAY_WAITS;
-        let length_delay = (entry.cost * self.options.short_first) as u64;
+        let length_delay = (entry.cost * self.options.cost_delay_factor) as u64;
         Span(length_delay.min(slack.max(wait)))
     }
 
@@ -223,7 +223,7 @@
             }
             End::Failed => {
                 worker.fail(now, self.options.backoff, self.options.backoff_limit);
-                self.warm.forget(call.worker);
+                self.prefix_cache.remove_endpoint(call.worker);
             }
             End::Leaving => worker.leaving = true,
             End::Unused => {}
@@ -231,19 +231,20 @@
     }
 
     fn learn_from_answer(&mut self, now: Time, call: &InFlight, cached: Tokens, output: Tokens) {
-        let hashed_tokens = call.ask.blocks.len() as u64 * super::warm::BLOCK_TOKENS;
+        let hashed_tokens = call.ask.blocks.len() as u64 * super::prefix_cache::BLOCK_TOKENS;
         let expected_cached = call
             .ask
             .prompt
             .0
             .saturating_sub(call.uncached)
             .min(hashed_tokens);
-        if cached.0 + super::warm::BLOCK_TOKENS <= expected_cached {
+        if cached.0 + super::prefix_cache::BLOCK_TOKENS <= expected_cached {
             // The prefix hint was wrong. The blocks are cached from now on,
             // since the endpoint has just computed them.
-            self.warm.correct(&call.ask.blocks, call.worker, cached.0);
+            self.prefix_cache
+                .drop_unconfirmed(&call.ask.blocks, call.worker, cached.0);
         }
-        self.warm.add(&call.ask.blocks, call.worker);
+        self.prefix_cache.record(&call.ask.blocks, call.worker);
         let known = self
             .outputs
             .entry(call.ask.class.clone())
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -9,7 +9,7 @@
 //! * `ask.rs`, `observe.rs`, `place.rs`, `tick.rs`: commands.
 //! * `query.rs`: queries.
 //! * `queue.rs`: waiting requests. `worker.rs`: the state of an endpoint.
-//!   `warm.rs`: where a prompt's prefix may still be cached.
+//!   `prefix_cache.rs`: where a prompt's prefix may still be cached.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,10 +27,10 @@
 mod ask;
 mod observe;
 mod place;
+pub mod prefix_cache;
 pub mod query;
 pub mod queue;
 mod tick;
-pub mod warm;
 pub mod worker;
 
 /// One incarnation of a host.
@@ -66,7 +66,7 @@
     pub output_limit: Option<Tokens>,
     /// The remaining time; a span, because clocks of hosts differ.
     pub left: Span,
-    /// The hash chain of the prompt's blocks, see [`warm`].
+    /// The hash chain of the prompt's blocks, see [`prefix_cache`].
     pub blocks: Vec<u64>,
     /// The endpoint that has just failed this request, if any.
     pub avoid: Option<id::Endpoint>,
@@ -130,9 +130,9 @@
     /// The maximum number of waiting requests.
     pub queue_limit: usize,
     /// The delay in the queue for each second of a request's own cost.
-    pub short_first: f64,
+    pub cost_delay_factor: f64,
     /// The maximum delay for a request's length, as a percentage of its slack.
-    pub set_back: u64,
+    pub max_delay_percent: u64,
     /// The number of requests that an endpoint may have beyond its slots, so
     /// that a free slot does not idle while a grant is in transit.
     pub ahead: u32,
@@ -154,15 +154,15 @@
     pub look_ahead: usize,
     /// The percentage of the estimated duration that must fit into the
     /// remaining time.
-    pub caution: u64,
+    pub safety_percent: u64,
 }
 
 impl Default for Options {
     fn default() -> Options {
         Options {
             queue_limit: 10_000,
-            short_first: 2.0,
-            set_back: 50,
+            cost_delay_factor: 2.0,
+            max_delay_percent: 50,
             ahead: 1,
             prefill_limit: 2_048,
             silence: Span::from_millis(500),
@@ -170,7 +170,7 @@
             backoff_limit: Span::from_secs(10),
             hints: 20_000,
             look_ahead: 16,
-            caution: 130,
+            safety_percent: 130,
         }
     }
 }
@@ -197,7 +197,7 @@
     index: HashMap<id::Endpoint, usize>,
     queue: queue::Queue,
     in_flight: HashMap<id::Request, InFlight>,
-    warm: warm::Warm,
+    prefix_cache: prefix_cache::PrefixCache,
     outputs: HashMap<id::Class, f64>,
     reserves: Vec<u32>,
     decisions: Vec<Decision>,
@@ -207,7 +207,7 @@
     /// Creates an empty pool for a target.
     pub fn new(target: Arc<Target>, options: Options) -> Pool {
         Pool {
-            warm: warm::Warm::new(options.hints),
+            prefix_cache: prefix_cache::PrefixCache::new(options.hints),
             options,
             target,
             workers: Vec::new(),
--- a/crates/core/src/pool/place.rs
+++ b/crates/core/src/pool/place.rs
@@ -126,7 +126,7 @@
 
     /// Returns the endpoint among `available` that would finish the request first.
     fn choose(&self, available: &[usize], ask: &Ask) -> Option<Candidate> {
-        let warm = self.warm.candidates(&ask.blocks);
+        let cached_on = self.prefix_cache.candidates(&ask.blocks);
         let output = self.output(ask);
         let mut best: Option<Candidate> = None;
         for at in available {
@@ -134,7 +134,7 @@
             if ask.avoid.as_ref() == Some(&worker.name) {
                 continue;
             }
-            let cached = warm
+            let cached = cached_on
                 .iter()
                 .find(|(known, _)| *known == at)
                 .map_or(0, |(_, n)| *n);
@@ -160,14 +160,14 @@
 
     fn meets_deadline(&self, now: Time, entry: &Entry, candidate: Candidate) -> bool {
         let left = entry.deadline.since(now).0 as f64;
-        candidate.micros * self.options.caution as f64 / 100.0 <= left
+        candidate.micros * self.options.safety_percent as f64 / 100.0 <= left
     }
 
     /// Returns whether even the fastest endpoint would be late if it were idle.
     /// Estimates change, so this may not have been so on arrival.
     fn is_infeasible(&self, now: Time, entry: &Entry) -> bool {
         let left = entry.deadline.since(now).0 as f64;
-        self.ideal(&entry.ask) * self.options.caution as f64 / 100.0 > left
+        self.ideal(&entry.ask) * self.options.safety_percent as f64 / 100.0 > left
     }
 
     fn grant(&mut self, now: Time, entry: Entry, candidate: Candidate) {
@@ -204,5 +204,5 @@
 /// Returns whether three quarters of a request's slack are used up. From then
 /// on, requests with a longer cached prefix no longer overtake it.
 fn has_used_slack(now: Time, entry: &Entry) -> bool {
-    now.since(entry.since).0 * 4 >= entry.latest.since(entry.since).0 * 3
+    now.since(entry.since).0 * 4 >= entry.latest_start.since(entry.since).0 * 3
 }
--- a/crates/core/src/pool/warm.rs
+++ b/crates/core/src/pool/prefix_cache.rs
@@ -18,7 +18,7 @@
 
 /// The maximum number of hashed blocks; longer prompts are identified by their
 /// first ones.
-pub const BLOCKS: usize = 64;
+pub const MAX_BLOCKS: usize = 64;
 
 /// The maximum number of endpoints remembered for one block.
 const MAX_WORKERS_PER_BLOCK: usize = 4;
@@ -33,7 +33,7 @@
 
 /// A bounded set of hints; the least recently updated ones are dropped first.
 #[derive(Debug)]
-pub struct Warm {
+pub struct PrefixCache {
     limit: usize,
     hints: HashMap<u64, Hint>,
     order: VecDeque<(u64, u64)>,
@@ -51,10 +51,10 @@
     })
 }
 
-impl Warm {
+impl PrefixCache {
     /// Creates an empty set for up to `limit` hints.
-    pub fn new(limit: usize) -> Warm {
-        Warm {
+    pub fn new(limit: usize) -> PrefixCache {
+        PrefixCache {
             limit,
             hints: HashMap::new(),
             order: VecDeque::new(),
@@ -63,7 +63,7 @@
     }
 
     /// Records that an endpoint computed a prompt.
-    pub fn add(&mut self, blocks: &[u64], worker: usize) {
+    pub fn record(&mut self, blocks: &[u64], worker: usize) {
         for (block, _) in sampled_blocks(blocks) {
             self.add_block(block, worker as u32);
         }
@@ -89,7 +89,7 @@
 
     /// Drops an endpoint's hints for the blocks beyond the `cached` tokens that
     /// its usage report confirmed.
-    pub fn correct(&mut self, blocks: &[u64], worker: usize, cached: u64) {
+    pub fn drop_unconfirmed(&mut self, blocks: &[u64], worker: usize, cached: u64) {
         for (block, depth) in sampled_blocks(blocks) {
             if depth * BLOCK_TOKENS <= cached {
                 continue;
@@ -101,7 +101,7 @@
     }
 
     /// Drops all hints for an endpoint.
-    pub fn forget(&mut self, worker: usize) {
+    pub fn remove_endpoint(&mut self, worker: usize) {
         for hint in self.hints.values_mut() {
             hint.workers.retain(|known| *known != worker as u32);
         }
@@ -134,7 +134,7 @@
 /// Hashes a prompt's blocks under an identity.
 pub fn blocks(identity: u64, prompt: &[u8]) -> Vec<u64> {
     let mut chain = identity;
-    let whole = prompt.chunks_exact(BLOCK_BYTES).take(BLOCKS);
+    let whole = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
     whole
         .map(|block| {
             chain = woadstage_types::hash::chain(chain, block);
--- a/crates/core/src/pool/query.rs
+++ b/crates/core/src/pool/query.rs
@@ -117,9 +117,9 @@
     /// microseconds, without the longest prefix that any endpoint may have
     /// cached.
     pub(super) fn ideal(&self, ask: &Ask) -> f64 {
-        let warm = self.warm.candidates(&ask.blocks);
-        let warmest = warm.first().map_or(0, |(_, tokens)| *tokens);
-        let prompt = ask.prompt.0.saturating_sub(warmest) as f64;
+        let cached_on = self.prefix_cache.candidates(&ask.blocks);
+        let longest_prefix = cached_on.first().map_or(0, |(_, tokens)| *tokens);
+        let prompt = ask.prompt.0.saturating_sub(longest_prefix) as f64;
         let output = self.output(ask);
         let time = |worker: &super::worker::Worker| prompt * worker.prefill + output * worker.step;
         let listed = self
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -30,7 +30,7 @@
     /// The time after which an answer is of no use.
     pub deadline: Time,
     /// The latest time at which the request can start and still finish in time.
-    pub latest: Time,
+    pub latest_start: Time,
     /// The estimated endpoint time, in microseconds.
     pub cost: f64,
 }
@@ -69,7 +69,7 @@
     tier: Tier,
     customer: u64,
     rank: Rank,
-    latest: Time,
+    latest_start: Time,
 }
 
 /// The queue of one pool.
@@ -82,8 +82,8 @@
 }
 
 impl Queue {
-    /// Adds a request, ordered as if it had arrived later by `set_back`.
-    pub fn push(&mut self, entry: Entry, set_back: Span) {
+    /// Adds a request, ordered as if it had arrived later by `queue_delay`.
+    pub fn push(&mut self, entry: Entry, queue_delay: Span) {
         let Ask {
             request,
             tier,
@@ -91,16 +91,16 @@
             ..
         } = entry.ask;
         self.seq += 1;
-        let tag = (entry.since + set_back).0;
+        let tag = (entry.since + queue_delay).0;
         let rank = Rank { tag, seq: self.seq };
         let position = Position {
             tier,
             customer,
             rank,
-            latest: entry.latest,
+            latest_start: entry.latest_start,
         };
         self.positions.insert(request, position);
-        self.expiry.insert((entry.latest, request));
+        self.expiry.insert((entry.latest_start, request));
         self.tier_queues
             .entry(tier)
             .or_default()
@@ -172,8 +172,8 @@
 
     /// Removes a request whose latest start is not after `now`, if any.
     pub fn pop_expired(&mut self, now: Time) -> Option<Entry> {
-        let (latest, request) = *self.expiry.first()?;
-        if latest > now {
+        let (latest_start, request) = *self.expiry.first()?;
+        if latest_start > now {
             None
         } else {
             self.remove(request)
@@ -182,7 +182,7 @@
 
     /// Removes the longest request of the customer with the latest turn in the
     /// least protected tier.
-    pub fn pop_least(&mut self) -> Option<Entry> {
+    pub fn pop_least_protected(&mut self) -> Option<Entry> {
         let (_, tier_queue) = self
             .tier_queues
             .iter()
@@ -201,7 +201,7 @@
 
     fn forget(&mut self, request: id::Request) {
         if let Some(position) = self.positions.remove(&request) {
-            self.expiry.remove(&(position.latest, request));
+            self.expiry.remove(&(position.latest_start, request));
         }
     }
 
@@ -244,7 +244,7 @@
 
     /// Returns the endpoint time of requests waiting in `tier` and more
     /// protected tiers, in microseconds.
-    pub fn cost_to(&self, tier: Tier) -> f64 {
+    pub fn cost_through(&self, tier: Tier) -> f64 {
         let tier_queues = self.tier_queues.range(..=tier);
         tier_queues
             .map(|(_, tier_queue)| tier_queue.cost.max(0.0))
@@ -273,7 +273,7 @@
     }
 
     /// Returns the least protected tier with waiting requests.
-    pub fn least_tier_opt(&self) -> Option<Tier> {
+    pub fn least_protected_tier_opt(&self) -> Option<Tier> {
         self.tier_queues
             .iter()
             .rev()
@@ -283,7 +283,7 @@
 
     /// Returns the earliest latest-start time of all waiting requests.
     pub fn next_expiry_opt(&self) -> Option<Time> {
-        self.expiry.first().map(|(latest, _)| *latest)
+        self.expiry.first().map(|(latest_start, _)| *latest_start)
     }
 }
 
--- a/crates/core/tests/core/limit.rs
+++ b/crates/core/tests/core/limit.rs
@@ -1,7 +1,7 @@
 //! Tests of customer rate limits and the retry budget.
 
 use woadstage_core::limit::Customers;
-use woadstage_core::limit::Retries;
+use woadstage_core::limit::RetryBudget;
 use woadstage_standin::cases;
 use woadstage_types::unit::Rate;
 use woadstage_types::unit::Span;
@@ -35,11 +35,11 @@
     };
 
     retries_are_a_tenth_of_first_attempts => {
-        let mut retries = Retries::default();
+        let mut retries = RetryBudget::default();
         while retries.try_spend() {}
         let mut spent = 0;
         for _ in 0..1_000 {
-            retries.earn();
+            retries.note_request();
             spent += u32::from(retries.try_spend());
         }
         assert!((95..=101).contains(&spent), "{spent}");
--- a/crates/core/tests/core/pool.rs
+++ b/crates/core/tests/core/pool.rs
@@ -10,9 +10,9 @@
 use woadstage_core::pool::Options;
 use woadstage_core::pool::Peer;
 use woadstage_core::pool::Pool;
+use woadstage_core::pool::prefix_cache::PrefixCache;
 use woadstage_core::pool::queue::Entry;
 use woadstage_core::pool::queue::Queue;
-use woadstage_core::pool::warm::Warm;
 use woadstage_standin::cases;
 use woadstage_standin::sample;
 use woadstage_types::id;
@@ -89,7 +89,7 @@
         peer: peer(),
         since: NOW,
         deadline: NOW + Span::from_secs(20),
-        latest: NOW + Span::from_secs(10),
+        latest_start: NOW + Span::from_secs(10),
         cost,
     }
 }
@@ -190,13 +190,13 @@
     };
 
     a_hint_that_usage_contradicts_is_dropped => {
-        let mut warm = Warm::new(100);
+        let mut cache = PrefixCache::new(100);
         let blocks: Vec<u64> = (100..108).collect();
-        warm.add(&blocks, 3);
-        assert_eq!(warm.candidates(&blocks), [(3, 2_048)]);
-        warm.correct(&blocks, 3, 512);
-        assert_eq!(warm.candidates(&blocks), [(3, 512)]);
-        assert!(warm.candidates(&[1, 2, 3]).is_empty(), "the miss control");
+        cache.record(&blocks, 3);
+        assert_eq!(cache.candidates(&blocks), [(3, 2_048)]);
+        cache.drop_unconfirmed(&blocks, 3, 512);
+        assert_eq!(cache.candidates(&blocks), [(3, 512)]);
+        assert!(cache.candidates(&[1, 2, 3]).is_empty(), "the miss control");
     };
 
     a_call_taken_over_makes_no_leaving_endpoint_live => {
@@ -278,12 +278,12 @@
     };
 
     hints_stay_bounded => {
-        let mut warm = Warm::new(100);
+        let mut cache = PrefixCache::new(100);
         for turn in 0..10_000u64 {
-            warm.add(&[turn, turn + 1], (turn % 9) as usize);
+            cache.record(&[turn, turn + 1], (turn % 9) as usize);
         }
-        assert!(warm.candidates(&[9_999, 10_000]).iter().any(|(worker, _)| *worker == 0));
-        assert!(warm.candidates(&[1, 2]).is_empty());
+        assert!(cache.candidates(&[9_999, 10_000]).iter().any(|(worker, _)| *worker == 0));
+        assert!(cache.candidates(&[1, 2]).is_empty());
     };
 }
 
@@ -314,7 +314,7 @@
             prop_assert_eq!(queue.len(), waiting.len());
         }
         prop_assert!(waiting.is_empty());
-        prop_assert!(queue.cost_to(u8::MAX).abs() < 1e-6);
+        prop_assert!(queue.cost_through(u8::MAX).abs() < 1e-6);
     }
 
     /// Two customers with waiting requests get equal shares, however many
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
-use woadstage_core::pool::warm::BLOCK_TOKENS;
+use woadstage_core::pool::prefix_cache::BLOCK_TOKENS;
 use woadstage_types::unit::Span;
 
 /// What an engine is like.
--- a/crates/standin/src/http/engine.rs
+++ b/crates/standin/src/http/engine.rs
@@ -24,7 +24,7 @@
 use serde_json::json;
 use tokio::sync::Notify;
 use tokio::sync::mpsc;
-use woadstage_core::pool::warm;
+use woadstage_core::pool::prefix_cache;
 
 use super::BODY_LIMIT;
 use crate::engine::Engine;
@@ -253,7 +253,7 @@
             let id = state.next;
             state.waiters.insert(id, to);
             let priority = fields["priority"].as_u64().unwrap_or(0) as u8;
-            let blocks = warm::blocks(0, text.as_bytes());
+            let blocks = prefix_cache::blocks(0, text.as_bytes());
             state.engine.submit(Job {
                 id,
                 priority,
