--- a/crates/core/src/pool/ask.rs
+++ b/crates/core/src/pool/ask.rs
@@ -22,8 +22,8 @@
 const MAX_DELAY_WAITS: u64 = 4;
 
 impl Pool {
-    /// Sets the endpoints that accept work and the percentage of slots reserved
-    /// against each tier. Endpoints that are not in `live` get no new work.
+    /// Sets the listed endpoints and the percentage of slots that each tier may
+    /// not use. Endpoints that are not in `live` get no new work.
     pub fn set_workers(&mut self, target: &Arc<Target>, live: &[id::Endpoint], reserves: &[u32]) {
         self.target = target.clone();
         self.reserves = reserves.to_vec();
@@ -65,7 +65,7 @@
         let slack = ask.left.0 as f64 - ideal * self.options.safety_percent as f64 / 100.0;
         let entry = Entry {
             latest_start: now + Span(slack.max(0.0) as u64),
-            since: now,
+            arrived_at: now,
             deadline,
             cost,
             peer,
@@ -116,7 +116,8 @@
     /// Short requests go first, but length alone never makes a request late
     /// unless the wait does so for all.
     pub(super) fn queue_delay(&self, entry: &Entry) -> Span {
-        let slack = entry.latest_start.since(entry.since).0 * self.options.max_delay_percent / 100;
+        let slack =
+            entry.latest_start.since(entry.arrived_at).0 * self.options.max_delay_percent / 100;
         let wait = self.wait(entry.ask.tier, entry.ask.customer) as u64 * MAX_DELAY_WAITS;
         let length_delay = (entry.cost * self.options.cost_delay_factor) as u64;
         Span(length_delay.min(slack.max(wait)))
@@ -180,7 +181,7 @@
             granted: now,
             first: Some(now),
             uncached: 0,
-            ahead: 0,
+            tokens_ahead: 0,
             peer,
             ask,
         };
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -135,7 +135,7 @@
     pub max_delay_percent: u64,
     /// The number of requests that an endpoint may have beyond its slots, so
     /// that a free slot does not idle while a grant is in transit.
-    pub ahead: u32,
+    pub queued_per_endpoint: u32,
     /// The number of prompt tokens without a first token from which an endpoint
     /// gets no more requests.
     pub prefill_limit: u64,
@@ -163,7 +163,7 @@
             queue_limit: 10_000,
             cost_delay_factor: 2.0,
             max_delay_percent: 50,
-            ahead: 1,
+            queued_per_endpoint: 1,
             prefill_limit: 2_048,
             silence: Span::from_millis(500),
             backoff: Span::from_millis(500),
@@ -185,7 +185,7 @@
     deadline: Time,
     first: Option<Time>,
     uncached: u64,
-    ahead: u64,
+    tokens_ahead: u64,
 }
 
 /// Admission and scheduling for one target.
--- a/crates/core/src/pool/observe.rs
+++ b/crates/core/src/pool/observe.rs
@@ -20,7 +20,7 @@
         worker.pending = worker.pending.saturating_sub(call.uncached);
         worker.last_progress = now;
         let since = now.since(call.granted).0 as f64 - worker.step;
-        let tokens = call.uncached + call.ahead;
+        let tokens = call.uncached + call.tokens_ahead;
         if tokens >= MIN_PREFILL_SAMPLE_TOKENS {
             worker.learn_prefill(since.max(0.0), tokens);
         }
--- a/crates/core/src/pool/place.rs
+++ b/crates/core/src/pool/place.rs
@@ -61,7 +61,7 @@
     ) -> Option<(id::Request, Candidate)> {
         let mut best: Option<(u64, id::Request, Candidate)> = None;
         let mut infeasible = Vec::new();
-        for entry in self.queue.first(tier, self.options.look_ahead) {
+        for entry in self.queue.peek(tier, self.options.look_ahead) {
             let request = entry.ask.request;
             match self.choose(available, &entry.ask) {
                 Some(candidate) if self.meets_deadline(now, entry, candidate) => {
@@ -105,7 +105,7 @@
             .get(usize::from(tier))
             .copied()
             .unwrap_or(last);
-        (all - all * reserve / 100 + self.options.ahead).max(1)
+        (all - all * reserve / 100 + self.options.queued_per_endpoint).max(1)
     }
 
     fn has_capacity(&self, now: Time, worker: &Worker, slots: u32) -> bool {
@@ -117,7 +117,7 @@
         };
         let slots = slots
             .min(recovery_limit)
-            .saturating_sub(worker.extra)
+            .saturating_sub(worker.external)
             .max(1);
         worker.running < slots
             && worker.pending < self.options.prefill_limit
@@ -178,7 +178,7 @@
             ..
         } = entry;
         let worker = &mut self.workers[candidate.worker];
-        let ahead = worker.pending;
+        let tokens_ahead = worker.pending;
         worker.start(now, candidate.uncached);
         self.decisions.push(Decision::Grant {
             to: peer.clone(),
@@ -192,7 +192,7 @@
             granted: now,
             first: None,
             uncached: candidate.uncached,
-            ahead,
+            tokens_ahead,
             deadline,
             peer,
             ask,
@@ -204,5 +204,5 @@
 /// Returns whether three quarters of a request's slack are used up. From then
 /// on, requests with a longer cached prefix no longer overtake it.
 fn has_used_slack(now: Time, entry: &Entry) -> bool {
-    now.since(entry.since).0 * 4 >= entry.latest_start.since(entry.since).0 * 3
+    now.since(entry.arrived_at).0 * 4 >= entry.latest_start.since(entry.arrived_at).0 * 3
 }
--- a/crates/core/src/pool/prefix_cache.rs
+++ b/crates/core/src/pool/prefix_cache.rs
@@ -3,7 +3,7 @@
 //! A prompt is cut into blocks. Each block's hash is chained to the blocks
 //! before it and to model, version, adapter and customer, so that equal hashes
 //! mean an equal prefix under an equal identity. The entries are only hints: a
-//! hit counts when the endpoint's own usage report confirms it (see "Chapter
+//! hit counts only when the endpoint's own usage report confirms it (see "Chapter
 //! 25, warm reuse", section 25.2), and a hint that the usage report contradicts
 //! is dropped.
 
--- a/crates/core/src/pool/query.rs
+++ b/crates/core/src/pool/query.rs
@@ -49,7 +49,7 @@
             name: worker.name.clone(),
             takes_work: worker.takes_work(now, self.options.silence),
             running: worker.running,
-            extra: worker.extra,
+            extra: worker.external,
             prefill_per_second: (1e6 / worker.prefill.max(0.01)) as u64,
             step_us: worker.step as u64,
         };
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -26,7 +26,7 @@
     /// The peer that sent it.
     pub peer: Peer,
     /// The time of arrival.
-    pub since: Time,
+    pub arrived_at: Time,
     /// The time after which an answer is of no use.
     pub deadline: Time,
     /// The latest time at which the request can start and still finish in time.
@@ -91,7 +91,7 @@
             ..
         } = entry.ask;
         self.seq += 1;
-        let tag = (entry.since + queue_delay).0;
+        let tag = (entry.arrived_at + queue_delay).0;
         let rank = Rank { tag, seq: self.seq };
         let position = Position {
             tier,
@@ -107,12 +107,12 @@
             .push(customer, rank, entry);
     }
 
-    /// Returns up to `most` requests of a tier in fair queueing order, without
+    /// Returns up to `limit` requests of a tier in fair queueing order, without
     /// removing them.
-    pub fn first(&self, tier: Tier, most: usize) -> Vec<&Entry> {
+    pub fn peek(&self, tier: Tier, limit: usize) -> Vec<&Entry> {
         self.tier_queues
             .get(&tier)
-            .map_or_else(Vec::new, |tier_queue| tier_queue.first(most))
+            .map_or_else(Vec::new, |tier_queue| tier_queue.peek(limit))
     }
 
     /// Returns the tiers with waiting requests, the most protected first.
@@ -141,7 +141,7 @@
     /// tier is less protected than `least`.
     pub fn pop(&mut self, least: Tier) -> Option<Entry> {
         let tier = self.tiers().next().filter(|tier| *tier <= least)?;
-        let request = self.first(tier, 1).first()?.ask.request;
+        let request = self.peek(tier, 1).first()?.ask.request;
         self.take(request)
     }
 
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Removes the longest request of the customer with the latest turn in the
-    /// least protected tier.
+    /// Removes the last request of the customer whose turn is last in the least
+    /// protected tier with waiting requests, without charging it.
     pub fn pop_least_protected(&mut self) -> Option<Entry> {
         let (_, tier_queue) = self
             .tier_queues
@@ -254,7 +254,7 @@
     /// Returns the endpoint time ahead of a new request of a customer, in
     /// microseconds: all of the more protected tiers and, in its own tier, the
     /// customer's waiting requests plus as much for each other customer, at
-    /// most all that waits there.
+    /// most all that waits there. Weights are ignored.
     pub fn cost_ahead(&self, tier: Tier, customer: u64) -> f64 {
         let above: f64 = self
             .tier_queues
@@ -281,7 +281,7 @@
             .map(|(tier, _)| *tier)
     }
 
-    /// Returns the earliest latest-start time of all waiting requests.
+    /// Returns the time at which the next waiting request expires.
     pub fn next_expiry_opt(&self) -> Option<Time> {
         self.expiry.first().map(|(latest_start, _)| *latest_start)
     }
@@ -300,11 +300,11 @@
         customer_queue.entries.insert(rank, entry);
     }
 
-    fn first(&self, most: usize) -> Vec<&Entry> {
+    fn peek(&self, limit: usize) -> Vec<&Entry> {
         let mut customer_queues: Vec<_> = self
             .turns
             .iter()
-            .take(most)
+            .take(limit)
             .filter_map(|(start, customer)| {
                 Some((
                     *start,
@@ -314,7 +314,7 @@
             })
             .collect();
         let mut found = Vec::new();
-        while found.len() < most {
+        while found.len() < limit {
             let turn = customer_queues
                 .iter_mut()
                 .min_by_key(|(start, customer, _)| (*start, *customer));
--- a/crates/core/src/pool/worker.rs
+++ b/crates/core/src/pool/worker.rs
@@ -38,7 +38,7 @@
     /// period.
     pub last_progress: Time,
     /// The number of reported requests beyond this pool's own.
-    pub extra: u32,
+    pub external: u32,
     /// The peak of `running` since the last report and in the interval before
     /// it.
     peaks: [u32; 2],
@@ -59,7 +59,7 @@
             failures: 0,
             backoff_until: Time(0),
             last_progress: Time(0),
-            extra: 0,
+            external: 0,
             peaks: [0; 2],
         }
     }
@@ -110,7 +110,7 @@
     /// counts as the work of others.
     pub fn report(&mut self, reported: u32) {
         let ours = self.peaks[0].max(self.peaks[1]);
-        self.extra = reported.saturating_sub(ours);
+        self.external = reported.saturating_sub(ours);
         self.peaks = [self.running, self.peaks[0]];
     }
 
--- a/crates/core/tests/core/limit.rs
+++ b/crates/core/tests/core/limit.rs
@@ -8,7 +8,7 @@
 use woadstage_types::unit::Time;
 
 cases! {
-    one_customer_over_its_limit_does_not_touch_another => {
+    a_customer_over_its_limit_does_not_affect_another => {
         let mut customers = Customers::default();
         let now = Time(1_000_000_000);
         let admitted = (0..1_000).filter(|_| customers.admit(now, 1, Rate(100), 1)).count();
@@ -16,7 +16,7 @@
         assert!(customers.admit(now, 2, Rate(100), 1));
     };
 
-    a_limit_fills_with_time => {
+    a_bucket_refills_with_time => {
         let mut customers = Customers::default();
         let start = Time(1_000_000_000);
         while customers.admit(start, 1, Rate(100), 1) {}
@@ -25,7 +25,7 @@
         assert!((99..=101).contains(&admitted), "{admitted}");
     };
 
-    thirty_thousand_customers_cost_bounded_memory => {
+    the_number_of_tracked_customers_is_bounded => {
         let mut customers = Customers::default();
         for turn in 0..120_000u64 {
             let now = Time(1_000_000_000 + turn * 1_000);
@@ -34,7 +34,7 @@
         assert!(customers.len() <= 4_096, "{}", customers.len());
     };
 
-    retries_are_a_tenth_of_first_attempts => {
+    retries_are_limited_to_a_tenth_of_first_attempts => {
         let mut retries = RetryBudget::default();
         while retries.try_spend() {}
         let mut spent = 0;
--- a/crates/core/tests/core/pool.rs
+++ b/crates/core/tests/core/pool.rs
@@ -50,7 +50,7 @@
 }
 
 fn pool(workers: usize) -> Pool {
-    let config = published::parse(&sample::document()).expect("the sample is whole");
+    let config = published::parse(&sample::document()).expect("the sample is valid");
     let target: Arc<_> = config.targets[&id::Target::new("roster-model")].clone();
     let mut pool = Pool::new(target.clone(), Options::default());
     let names: Vec<id::Endpoint> = (0..workers)
@@ -87,7 +87,7 @@
             ..ask(request, tier)
         },
         peer: peer(),
-        since: NOW,
+        arrived_at: NOW,
         deadline: NOW + Span::from_secs(20),
         latest_start: NOW + Span::from_secs(10),
         cost,
@@ -95,15 +95,15 @@
 }
 
 cases! {
-    the_same_ask_twice_counts_once => {
+    a_repeated_ask_counts_once => {
         let mut pool = pool(1);
         pool.ask(NOW, peer(), ask(1, 0));
         pool.ask(NOW, peer(), ask(1, 0));
-        assert_eq!(granted(&mut pool).len(), 2, "the grant is said again");
+        assert_eq!(granted(&mut pool).len(), 2, "the grant is sent again");
         assert_eq!(pool.running(), 1);
     };
 
-    an_older_asks_end_does_not_end_a_newer_ask => {
+    ending_an_older_attempt_keeps_the_newer_one => {
         let mut pool = pool(1);
         pool.ask(NOW, peer(), Ask { attempt: 2, ..ask(1, 0) });
         pool.end(NOW, id::Request(1), 1, End::Unused);
@@ -112,7 +112,7 @@
         assert_eq!(pool.running(), 0);
     };
 
-    with_no_endpoint_the_answer_comes_at_once => {
+    a_request_is_refused_at_once_without_endpoints => {
         let mut pool = pool(0);
         pool.ask(NOW, peer(), ask(1, 0));
         let decided = pool.take_decisions();
@@ -120,7 +120,7 @@
         assert_eq!(code.number(), 2004);
     };
 
-    what_cannot_be_finished_in_time_is_not_started => {
+    a_request_that_cannot_finish_in_time_is_refused => {
         let mut pool = pool(2);
         pool.ask(NOW, peer(), Ask { left: Span::from_millis(50), ..ask(1, 0) });
         let decided = pool.take_decisions();
@@ -128,7 +128,7 @@
         assert_eq!(code.number(), 2002);
     };
 
-    short_work_does_not_go_behind_a_long_prompt => {
+    short_requests_avoid_an_endpoint_with_a_long_prompt => {
         let mut pool = pool(2);
         pool.ask(NOW, peer(), Ask { prompt: Tokens(20_000), ..ask(1, 2) });
         let long = granted(&mut pool)[0].1.clone();
@@ -138,7 +138,7 @@
         assert!(granted(&mut pool).iter().all(|(_, endpoint)| *endpoint != long));
     };
 
-    a_prompt_goes_where_its_prefix_is_warm => {
+    a_prompt_goes_to_the_endpoint_that_cached_its_prefix => {
         let mut pool = pool(4);
         let blocks: Vec<u64> = (100..110).collect();
         let long = |request| Ask { prompt: Tokens(2_600), blocks: blocks.clone(), ..ask(request, 1) };
@@ -152,7 +152,7 @@
         }
     };
 
-    a_cold_prompt_is_not_passed_over_for_ever => {
+    cached_prompts_do_not_starve_an_uncached_one => {
         let mut pool = pool(1);
         let blocks: Vec<u64> = (100..108).collect();
         let warm = |request| Ask { prompt: Tokens(2_100), blocks: blocks.clone(), ..ask(request, 1) };
@@ -189,17 +189,17 @@
         assert!(now.since(asked) < Span::from_secs(16), "waited {}", now.since(asked));
     };
 
-    a_hint_that_usage_contradicts_is_dropped => {
+    a_hint_that_the_usage_report_contradicts_is_dropped => {
         let mut cache = PrefixCache::new(100);
         let blocks: Vec<u64> = (100..108).collect();
         cache.record(&blocks, 3);
         assert_eq!(cache.candidates(&blocks), [(3, 2_048)]);
         cache.drop_unconfirmed(&blocks, 3, 512);
         assert_eq!(cache.candidates(&blocks), [(3, 512)]);
-        assert!(cache.candidates(&[1, 2, 3]).is_empty(), "the miss control");
+        assert!(cache.candidates(&[1, 2, 3]).is_empty(), "unknown blocks have no candidates");
     };
 
-    a_call_taken_over_makes_no_leaving_endpoint_live => {
+    adopting_a_call_does_not_list_its_endpoint => {
         let mut pool = pool(1);
         let leaving = id::Endpoint::new("engine-9");
         pool.adopt(NOW, peer(), ask(1, 0), &leaving);
@@ -212,7 +212,7 @@
         assert!(granted.iter().all(|(_, name)| name == "engine-0"), "{granted:?}");
     };
 
-    a_failed_endpoint_rests_and_comes_back_gently => {
+    a_failed_endpoint_backs_off_and_recovers_gradually => {
         let mut pool = pool(1);
         pool.ask(NOW, peer(), ask(1, 0));
         pool.end(NOW, id::Request(1), 1, End::Failed);
@@ -224,12 +224,12 @@
         let later = NOW + Span::from_secs(1);
         pool.tick(later);
         let probe = granted(&mut pool);
-        assert_eq!(probe.len(), 1, "one to begin with");
+        assert_eq!(probe.len(), 1, "one request after the backoff");
         pool.end(later, id::Request(probe[0].0), 1, whole(0));
-        assert_eq!(granted(&mut pool).len(), 2, "then two");
+        assert_eq!(granted(&mut pool).len(), 2, "two after the first success");
     };
 
-    a_silent_endpoint_gets_no_more => {
+    a_silent_endpoint_gets_no_new_work => {
         let mut pool = pool(1);
         pool.ask(NOW, peer(), Ask { prompt: Tokens(10), ..ask(1, 0) });
         assert_eq!(granted(&mut pool).len(), 1);
@@ -241,7 +241,7 @@
         assert_eq!(granted(&mut pool).len(), 1);
     };
 
-    a_slowed_endpoint_is_noticed_within_a_few_steps => {
+    a_slow_endpoint_is_detected_within_a_few_steps => {
         let mut pool = pool(2);
         let slow = id::Endpoint::new("engine-0");
         for step in 0..5u64 {
@@ -255,7 +255,7 @@
         assert_eq!(to_slow, 0);
     };
 
-    a_host_that_dies_gives_its_places_back_and_what_it_asked_is_forgotten => {
+    dropping_a_peer_frees_its_slots_and_removes_its_requests => {
         let mut pool = pool(1);
         let other = Peer { host: id::Host::new("entry-1"), incarnation: id::Incarnation(2) };
         for request in 1..40 {
@@ -264,20 +264,20 @@
         for request in 100..110 {
             pool.ask(NOW, other.clone(), Ask { prompt: Tokens(10), ..ask(request, 1) });
         }
-        let places = SLOTS + Options::default().ahead as usize;
-        assert_eq!(pool.running(), places);
+        let capacity = SLOTS + Options::default().queued_per_endpoint as usize;
+        assert_eq!(pool.running(), capacity);
         let successor = Peer { incarnation: id::Incarnation(3), ..peer() };
         pool.drop_peer(NOW, &successor);
-        assert_eq!(pool.running(), places, "another run of the host is another peer");
+        assert_eq!(pool.running(), capacity, "another incarnation of the host is another peer");
         granted(&mut pool);
         pool.drop_peer(NOW, &peer());
         let now = granted(&mut pool);
         assert_eq!(now.len(), 10);
-        assert!(now.iter().all(|(request, _)| *request >= 100), "none for the dead");
+        assert!(now.iter().all(|(request, _)| *request >= 100), "no grants for the dropped peer");
         assert_eq!(pool.waiting(), 0);
     };
 
-    hints_stay_bounded => {
+    the_number_of_hints_is_bounded => {
         let mut cache = PrefixCache::new(100);
         for turn in 0..10_000u64 {
             cache.record(&[turn, turn + 1], (turn % 9) as usize);
--- a/crates/core/tests/core/tiers.rs
+++ b/crates/core/tests/core/tiers.rs
@@ -69,7 +69,7 @@
 }
 
 cases! {
-    a_burst_sheds_routine_work_and_no_rescue_work => {
+    a_burst_sheds_routine_requests_only => {
         let mut world = world(Options { nodes: 4, ..Options::default() });
         let all = burst(&mut world, 150, 900);
         world.run_for(Span::from_secs(20));
@@ -78,7 +78,7 @@
         assert_eq!(broken(&world), Vec::<String>::new());
     };
 
-    a_shed_request_is_answered_at_the_decision_with_a_time_to_return => {
+    a_shed_request_is_refused_early_with_a_retry_delay => {
         let mut world = world(Options::default());
         let all = burst(&mut world, 100, 2_000);
         world.run_for(Span::from_secs(20));
@@ -86,7 +86,7 @@
         for request in all.keys() {
             let asked = &world.asked[request];
             let Some((at, Answer::Refused(refusal))) = asked.answers.first() else { continue };
-            returns.push(refusal.retry_after.expect("a time to return"));
+            returns.push(refusal.retry_after.expect("a refusal has a retry delay"));
             // A waiting request is refused no later than its own service time
             // before its deadline.
             assert!(*at + Span::from_millis(100) < asked.deadline, "{asked:?}");
@@ -94,10 +94,10 @@
         assert!(returns.len() > 500, "{}", returns.len());
         returns.sort();
         returns.dedup();
-        assert!(returns.len() > 400, "returns are spread");
+        assert!(returns.len() > 400, "retry delays are spread");
     };
 
-    a_full_queue_gives_up_its_least_protected => {
+    a_full_queue_displaces_its_least_protected_requests => {
         let pool = woadstage_core::pool::Options { queue_limit: 100, ..Default::default() };
         let mut world = world(Options { pool, ..Options::default() });
         for turn in 0..300 {
@@ -114,7 +114,7 @@
         assert!(rescue.iter().all(|request| served(&world, request)));
     };
 
-    hosts_fail_in_the_burst_and_no_rescue_work_is_shed_by_the_living => {
+    a_host_failure_in_a_burst_sheds_no_rescue_requests_elsewhere => {
         for dead in 0..4 {
             let mut world = world(Options { nodes: 4, ..Options::default() });
             let all = burst(&mut world, 100, 600);
