--- a/crates/core/tests/core/at_most_once.rs
+++ b/crates/core/tests/core/at_most_once.rs
@@ -10,11 +10,11 @@
 use woadstage_types::unit::Span;
 
 use crate::support::answer;
-use crate::support::broken;
-use crate::support::is_whole;
-use crate::support::refused;
+use crate::support::is_complete;
+use crate::support::refusal_code;
 use crate::support::service;
 use crate::support::ticket;
+use crate::support::violations;
 use crate::support::world;
 
 const NODES: usize = 4;
@@ -43,7 +43,7 @@
         world.run_for(Span::from_secs(1));
         let again = confirm(&mut world, 2, &key, "shift");
         world.run_for(Span::from_secs(1));
-        assert!(is_whole(&world, first) && is_whole(&world, again));
+        assert!(is_complete(&world, first) && is_complete(&world, again));
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -53,7 +53,7 @@
         let asked: Vec<_> =
             (0..NODES).map(|node| confirm(&mut world, node, &key, "shift")).collect();
         world.run_for(Span::from_secs(1));
-        assert!(asked.iter().all(|request| is_whole(&world, *request)));
+        assert!(asked.iter().all(|request| is_complete(&world, *request)));
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -66,8 +66,8 @@
         let theirs = world.ask(1, arrival, work);
         let ours = confirm(&mut world, 2, &key, "ours");
         world.run_for(Span::from_secs(1));
-        assert_eq!(refused(&world, theirs), "W1011");
-        assert!(is_whole(&world, ours));
+        assert_eq!(refusal_code(&world, theirs), "W1011");
+        assert!(is_complete(&world, ours));
         assert_eq!((runs(&world, "theirs"), runs(&world, "ours")), (0, 1));
     };
 
@@ -85,14 +85,14 @@
             let elsewhere = confirm(&mut world, 2, &key, "shift");
             world.run_for(Span::from_secs(6));
             assert!(runs(&world, "shift") <= 1);
-            assert_eq!(refused(&world, again), "W3001");
-            assert_eq!(refused(&world, elsewhere), "W3001");
+            assert_eq!(refusal_code(&world, again), "W3001");
+            assert_eq!(refusal_code(&world, elsewhere), "W3001");
             for request in [first, again, elsewhere] {
                 if let Answer::Refused(refusal) = answer(&world, request) {
                     assert_eq!(refusal.outcome, Outcome::Unknown, "{after}");
                 }
             }
-            assert_eq!(broken(&world), Vec::<String>::new());
+            assert_eq!(violations(&world), Vec::<String>::new());
         }
     };
 
@@ -103,13 +103,13 @@
         let asked = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(6));
         // The caller has its answer, and it does not say that nothing ran.
-        assert_eq!(refused(&world, asked), "W3005");
+        assert_eq!(refusal_code(&world, asked), "W3005");
         world.resume(0);
         world.run_for(Span::from_secs(2));
         assert_eq!(runs(&world, "shift"), 0, "nobody waits for it any more");
         let again = confirm(&mut world, 2, &key, "shift");
         world.run_for(Span::from_secs(2));
-        assert!(is_whole(&world, again));
+        assert!(is_complete(&world, again));
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -125,8 +125,8 @@
         let near = confirm(&mut world, 1, &key, "shift");
         let far = confirm(&mut world, 3, &key, "shift");
         world.run_for(Span::from_secs(6));
-        assert!(is_whole(&world, near));
-        assert_eq!(refused(&world, far), "W3001");
+        assert!(is_complete(&world, near));
+        assert_eq!(refusal_code(&world, far), "W3001");
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -140,7 +140,7 @@
         let direct = confirm(&mut world, 0, &key, "shift");
         let passed = confirm(&mut world, 2, &key, "shift");
         world.run_for(Span::from_secs(2));
-        assert!(is_whole(&world, direct) && is_whole(&world, passed));
+        assert!(is_complete(&world, direct) && is_complete(&world, passed));
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -150,13 +150,13 @@
         world.each_endpoint(|endpoint| endpoint.mute = true);
         let asked = confirm(&mut world, 0, &key, "shift");
         world.run_for(Span::from_secs(6));
-        assert_eq!(refused(&world, asked), "W3005");
+        assert_eq!(refusal_code(&world, asked), "W3005");
         world.each_endpoint(|endpoint| endpoint.mute = false);
         world.run_for(Span::from_secs(1));
         // The answer came after the caller had given up; a repeat finds it.
         let again = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(1));
-        assert!(is_whole(&world, again));
+        assert!(is_complete(&world, again));
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -166,12 +166,12 @@
         world.each_endpoint(|endpoint| endpoint.breaks = true);
         let asked = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(1));
-        assert_eq!(refused(&world, asked), "W3003");
+        assert_eq!(refusal_code(&world, asked), "W3003");
         world.each_endpoint(|endpoint| endpoint.breaks = false);
         world.run_for(Span::from_secs(15));
         let again = confirm(&mut world, 2, &key, "shift");
         world.run_for(Span::from_secs(1));
-        assert_eq!(refused(&world, again), "W3004");
+        assert_eq!(refusal_code(&world, again), "W3004");
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -182,7 +182,7 @@
         first.expect("it is there").down = true;
         let asked = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(1));
-        assert!(is_whole(&world, asked));
+        assert!(is_complete(&world, asked));
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -193,7 +193,7 @@
         let second = confirm(&mut world, 0, &key, "shift");
         world.tell(0, woadstage_core::node::Event::Gone(first));
         world.run_for(Span::from_secs(1));
-        assert!(is_whole(&world, second));
+        assert!(is_complete(&world, second));
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -203,14 +203,14 @@
         world.each_endpoint(|endpoint| endpoint.mute = true);
         let asked = confirm(&mut world, 0, &key, "shift");
         world.run_for(Span::from_secs(6));
-        assert_eq!(refused(&world, asked), "W3005");
+        assert_eq!(refusal_code(&world, asked), "W3005");
         assert_eq!(world.query(0, |core| core.requests()), Some(1), "it may still answer");
         world.run_for(Span::from_secs(70));
         assert_eq!(world.query(0, |core| core.requests()), Some(0));
         world.each_endpoint(|endpoint| endpoint.mute = false);
         let again = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(1));
-        assert_eq!(refused(&world, again), "W3004");
+        assert_eq!(refusal_code(&world, again), "W3004");
         assert_eq!(runs(&world, "shift"), 1);
     };
 
@@ -225,7 +225,7 @@
         let before = runs(&world, "shift");
         let again = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(2));
-        assert!(is_whole(&world, again));
+        assert!(is_complete(&world, again));
         assert_eq!((before, runs(&world, "shift")), (0, 1));
     };
 
@@ -238,7 +238,7 @@
         let key = refusal.ticket.clone().expect("a ticket");
         let again = confirm(&mut world, 2, &key, "shift");
         world.run_for(Span::from_secs(1));
-        assert!(is_whole(&world, again));
+        assert!(is_complete(&world, again));
     };
 
     a_plain_key_runs_once_at_an_endpoint_that_checks => {
@@ -251,7 +251,7 @@
         world.run_for(Span::from_secs(1));
         let again = ask(&mut world, 3);
         world.run_for(Span::from_secs(1));
-        assert!(is_whole(&world, first) && is_whole(&world, again));
+        assert!(is_complete(&world, first) && is_complete(&world, again));
         assert_eq!(runs(&world, "seat"), 1);
     };
 }
--- a/crates/core/tests/core/leaving.rs
+++ b/crates/core/tests/core/leaving.rs
@@ -8,9 +8,9 @@
 use woadstage_standin::world::World;
 use woadstage_types::unit::Span;
 
-use crate::support::broken;
 use crate::support::chat;
-use crate::support::is_whole;
+use crate::support::is_complete;
+use crate::support::violations;
 use crate::support::world;
 
 fn trickle(world: &mut World, count: u64, every: Span) {
@@ -27,7 +27,7 @@
     world
         .asked
         .keys()
-        .filter(|request| is_whole(world, **request))
+        .filter(|request| is_complete(world, **request))
         .count()
 }
 
@@ -138,7 +138,7 @@
         world.run_for(Span::from_secs(5));
         assert_eq!(world.endpoints[0].late_work, 1);
         assert_eq!(whole(&world), 100, "the one refused ran elsewhere");
-        assert_eq!(broken(&world), Vec::<String>::new());
+        assert_eq!(violations(&world), Vec::<String>::new());
     };
 
     a_frozen_engine_gets_no_more_and_what_it_had_runs_elsewhere => {
--- a/crates/core/tests/core/repeats.rs
+++ b/crates/core/tests/core/repeats.rs
@@ -5,8 +5,8 @@
 use woadstage_standin::world::World;
 use woadstage_types::unit::Span;
 
-use crate::support::broken;
 use crate::support::chat;
+use crate::support::violations;
 use crate::support::world;
 
 /// Load while some engines break every call; calls made for each request.
@@ -24,7 +24,7 @@
         });
     }
     world.run_for(Span::from_secs(40));
-    assert_eq!(broken(&world), Vec::<String>::new());
+    assert_eq!(violations(&world), Vec::<String>::new());
     world.called as f64 / requests as f64
 }
 
@@ -50,6 +50,6 @@
         world.tell(node, event);
         world.run_for(Span::from_secs(1));
         assert_eq!(world.called, before);
-        assert_eq!(crate::support::refused(&world, asked), "W3008");
+        assert_eq!(crate::support::refusal_code(&world, asked), "W3008");
     };
 }
--- a/crates/core/tests/core/stop.rs
+++ b/crates/core/tests/core/stop.rs
@@ -6,11 +6,11 @@
 use woadstage_standin::world::World;
 use woadstage_types::unit::Span;
 
-use crate::support::broken;
 use crate::support::chat;
-use crate::support::is_whole;
+use crate::support::is_complete;
 use crate::support::service;
 use crate::support::ticket;
+use crate::support::violations;
 use crate::support::world;
 
 fn four() -> World {
@@ -39,7 +39,7 @@
             stop(&mut world, node);
             world.run_for(Span::from_secs(15));
             assert_eq!(world.query(node, |core| core.is_drained()), Some(true));
-            let whole = world.asked.keys().filter(|id| is_whole(&world, **id)).count();
+            let whole = world.asked.keys().filter(|id| is_complete(&world, **id)).count();
             assert_eq!(whole, 40, "node {node}");
         }
     };
@@ -62,10 +62,10 @@
             world.ask(turn % 4, arrival, work);
         }
         world.run_for(Span::from_secs(2));
-        let whole = world.asked.keys().filter(|id| is_whole(&world, **id)).count();
+        let whole = world.asked.keys().filter(|id| is_complete(&world, **id)).count();
         assert_eq!(whole, 40);
         assert!(world.runs.values().all(|count| *count == 1));
-        assert_eq!(broken(&world), Vec::<String>::new());
+        assert_eq!(violations(&world), Vec::<String>::new());
     };
 
     a_stopping_node_turns_new_callers_away_with_a_time_to_return => {
@@ -75,6 +75,6 @@
         let (arrival, work) = chat("handover-summary", "late", 50, 5);
         let late = world.ask(0, arrival, work);
         world.run_for(Span::from_secs(1));
-        assert_eq!(crate::support::refused(&world, late), "W2006");
+        assert_eq!(crate::support::refusal_code(&world, late), "W2006");
     };
 }
--- a/crates/core/tests/core/stories.rs
+++ b/crates/core/tests/core/stories.rs
@@ -6,9 +6,9 @@
 use woadstage_standin::world::World;
 use woadstage_types::unit::Span;
 
-use crate::support::broken;
 use crate::support::service;
 use crate::support::ticket;
+use crate::support::violations;
 use crate::support::world;
 
 const NODES: usize = 4;
@@ -125,7 +125,7 @@
     fn tickets_run_at_most_once_in_any_story(story in story()) {
         let world = tell(&story, "shift-confirmation", &[]);
         prop_assert_eq!(doubled(&world), vec![]);
-        prop_assert_eq!(broken(&world), Vec::<String>::new());
+        prop_assert_eq!(violations(&world), Vec::<String>::new());
     }
 
     #[test]
@@ -136,6 +136,6 @@
         // other, so that one is all that the promise can mean.
         let each = world.endpoints.iter().filter(|one| one.checks).count() as u64;
         prop_assert!(world.runs.values().all(|count| *count <= each));
-        prop_assert_eq!(broken(&world), Vec::<String>::new());
+        prop_assert_eq!(violations(&world), Vec::<String>::new());
     }
 }
--- a/crates/core/tests/core/support.rs
+++ b/crates/core/tests/core/support.rs
@@ -96,7 +96,7 @@
 }
 
 /// Returns the code with which a request was refused.
-pub fn refused(world: &World, request: id::Request) -> String {
+pub fn refusal_code(world: &World, request: id::Request) -> String {
     match answer(world, request) {
         Answer::Refused(refusal) | Answer::Broken(refusal) => refusal.code.to_string(),
         Answer::Whole { what } => panic!("{request} got {what}"),
@@ -104,14 +104,14 @@
 }
 
 /// Returns whether the request got a complete answer.
-pub fn is_whole(world: &World, request: id::Request) -> bool {
+pub fn is_complete(world: &World, request: id::Request) -> bool {
     let answers = &world.asked[&request].answers;
     matches!(answers.first(), Some((_, Answer::Whole { .. })))
 }
 
 /// Returns the violations of the invariants that hold for every request at any
 /// time.
-pub fn broken(world: &World) -> Vec<String> {
+pub fn violations(world: &World) -> Vec<String> {
     let mut found = Vec::new();
     for (request, asked) in &world.asked {
         let host = &world.hosts[asked.node];
--- a/crates/core/tests/core/tiers.rs
+++ b/crates/core/tests/core/tiers.rs
@@ -10,8 +10,8 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-use crate::support::broken;
 use crate::support::chat;
+use crate::support::violations;
 use crate::support::world;
 
 /// Sends a burst of requests at once, unevenly spread over the hosts.
@@ -75,7 +75,7 @@
         world.run_for(Span::from_secs(20));
         let (rescue_shed, rescue_served, _) = count(&world, &all);
         assert_eq!((rescue_shed, rescue_served), (0, 150));
-        assert_eq!(broken(&world), Vec::<String>::new());
+        assert_eq!(violations(&world), Vec::<String>::new());
     };
 
     a_shed_request_is_refused_early_with_a_retry_delay => {
