--- a/crates/bench/src/bin/state.rs
+++ b/crates/bench/src/bin/state.rs
@@ -151,9 +151,9 @@
         buckets
     })?;
     let _hints = weigh("prefix hint", 20_000, || {
-        let mut cache = PrefixCache::new(20_000);
-        (0..20_000u64).for_each(|block| cache.record(&[block], (block % 32) as usize));
-        cache
+        let mut warm = PrefixCache::new(20_000);
+        (0..20_000u64).for_each(|block| warm.record(&[block], (block % 32) as usize));
+        warm
     })?;
     let _workers = weigh("endpoint in a pool", 3_100, || {
         let names: HashMap<u64, id::Endpoint> = (0..3_100)
--- a/crates/core/src/pool/ask.rs
+++ b/crates/core/src/pool/ask.rs
@@ -22,8 +22,8 @@
 const MAX_DELAY_WAITS: u64 = 4;
 
 impl Pool {
-    /// Sets the listed endpoints and the percentage of slots that each tier may
-    /// not use. Endpoints that are not in `live` get no new work.
+    /// Sets the endpoints that are live and not leaving, and the percentage of
+    /// slots that each tier may not use. Other endpoints get no new work.
     pub fn set_workers(&mut self, target: &Arc<Target>, live: &[id::Endpoint], reserves: &[u32]) {
         self.target = target.clone();
         self.reserves = reserves.to_vec();
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -42,12 +42,14 @@
     }
 }
 
+/// The order within a customer: by delayed arrival time, then by insertion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     tag: u64,
     seq: u64,
 }
 
+/// The waiting requests of one customer in one tier, and its start tag.
 #[derive(Debug, Default)]
 struct CustomerQueue {
     start: u64,
@@ -55,6 +57,7 @@
     entries: BTreeMap<Rank, Entry>,
 }
 
+/// The waiting requests of one tier; `turns` orders customers by start tag.
 #[derive(Debug, Default)]
 struct TierQueue {
     virtual_time: u64,
@@ -64,6 +67,7 @@
     cost: f64,
 }
 
+/// The position of a waiting request.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     tier: Tier,
