--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,51 +1,52 @@
-//! Limits: what a customer may send, and what may be retried.
+//! Rate limits for customers and a budget for retries.
 
 use std::collections::HashMap;
 
 use woadstage_types::unit::Rate;
 use woadstage_types::unit::Time;
 
-/// Requests a customer may send at once, in seconds of its rate.
+/// The burst that a customer may send, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// Customers kept before those with a full bucket are forgotten.
-const KEPT: usize = 4_096;
+/// The number of tracked customers from which those with a full bucket are
+/// dropped.
+const PRUNE_THRESHOLD: usize = 4_096;
 
-/// A bucket that fills with time (token bucket).
+/// A token bucket.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     level: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl Bucket {
     fn fill(&mut self, now: Time, per_second: f64, most: f64) {
-        let gained = now.since(self.at).as_secs_f64() * per_second;
+        let gained = now.since(self.updated_at).as_secs_f64() * per_second;
         self.level = (self.level + gained).min(most);
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
-/// What customers may send through this node.
+/// Rate limits of the customers that send through this node.
 #[derive(Debug, Default)]
 pub struct Customers {
     buckets: HashMap<u64, (Bucket, f64)>,
 }
 
 impl Customers {
-    /// Counts one request against a customer's share of its limit here; false
-    /// if it is over. `nodes` share the limit; since balancers are uneven,
-    /// each allows twice its even part.
+    /// Takes one request from a customer's bucket and returns whether it is
+    /// within the limit. `nodes` share the limit; each allows twice its even
+    /// part, because load balancers spread requests unevenly.
     pub fn admit(&mut self, now: Time, customer: u64, limit: Rate, nodes: usize) -> bool {
         let rate = limit.0 as f64 * (2.0 / nodes.max(2) as f64);
         let most = (rate * BURST_SECONDS).max(1.0);
-        if self.buckets.len() >= KEPT && !self.buckets.contains_key(&customer) {
-            self.forget_full(now);
+        if self.buckets.len() >= PRUNE_THRESHOLD && !self.buckets.contains_key(&customer) {
+            self.prune_full(now);
         }
         let full = (
             Bucket {
                 level: most,
-                at: now,
+                updated_at: now,
             },
             rate,
         );
@@ -59,48 +60,49 @@
         admitted
     }
 
-    fn forget_full(&mut self, now: Time) {
+    fn prune_full(&mut self, now: Time) {
         self.buckets.retain(|_, (bucket, rate)| {
             let missing = (*rate * BURST_SECONDS).max(1.0) - bucket.level;
-            now.since(bucket.at).as_secs_f64() * *rate < missing
+            now.since(bucket.updated_at).as_secs_f64() * *rate < missing
         });
     }
 
-    /// Customers remembered.
+    /// Returns the number of tracked customers.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// True when none is remembered.
+    /// Returns whether no customer is tracked.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 }
 
-/// Retries as a share of first attempts, so that failing endpoints do not
-/// multiply the load (the retry budget of Finagle and of the SRE book).
+/// A retry budget in proportion to first attempts, so that failing endpoints do
+/// not multiply the load (as in Finagle and the SRE book).
 #[derive(Debug)]
-pub struct Retries {
+pub struct RetryBudget {
     level: f64,
 }
 
-impl Retries {
-    /// Retries earned by one first attempt.
+impl RetryBudget {
+    /// The number of retries that one first attempt adds to the budget.
     pub const SHARE: f64 = 0.1;
-    /// Retries that may be saved up.
-    pub const MOST: f64 = 10.0;
+    /// The maximum number of retries in the budget.
+    pub const CAPACITY: f64 = 10.0;
 
-    /// A first attempt.
-    pub fn earn(&mut self) {
-        self.level = (self.level + Retries::SHARE).min(Retries::MOST);
+    /// Adds one first attempt's share to the budget.
+    pub fn note_request(&mut self) {
+        self.level = (self.level + RetryBudget::SHARE).min(RetryBudget::CAPACITY);
     }
 
-    /// True if a retry may be made now.
-    pub fn has_one(&self) -> bool {
+    /// Returns whether the budget covers a retry.
+    pub fn has_retry(&self) -> bool {
         self.level >= 1.0
     }
 
-    /// True if a retry may be made now, which is then counted.
+    /// Takes one retry from the budget if it covers one, and returns whether it
+    /// did.
     pub fn try_spend(&mut self) -> bool {
         let may = self.level >= 1.0;
         if may {
@@ -110,10 +112,10 @@
     }
 }
 
-impl Default for Retries {
-    fn default() -> Retries {
-        Retries {
-            level: Retries::MOST,
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget {
+            level: RetryBudget::CAPACITY,
         }
     }
 }
--- a/crates/core/src/node/tick.rs
+++ b/crates/core/src/node/tick.rs
@@ -88,7 +88,7 @@
             return;
         };
         let endpoint = endpoint.clone();
-        if task.retries > 0 || !self.retries.has_one() {
+        if task.retries > 0 || !self.retries.has_retry() {
             return;
         }
         self.cancel_call(now, request, End::Failed, Waste::Stalled);
--- a/crates/core/src/pool/observe.rs
+++ b/crates/core/src/pool/observe.rs
@@ -1,4 +1,4 @@
-//! Commands by which a pool learns what endpoints do.
+//! Commands that report what endpoints do.
 
 use woadstage_types::id;
 use woadstage_types::unit::Span;
@@ -8,39 +8,39 @@
 use super::Pool;
 
 impl Pool {
-    /// The first token of a call was seen.
+    /// Records the first token of a call.
     pub fn first(&mut self, now: Time, request: id::Request) {
-        let Some(hold) = self.holds.get_mut(&request) else {
+        let Some(call) = self.in_flight.get_mut(&request) else {
             return;
         };
-        if hold.first.replace(now).is_some() {
+        if call.first.replace(now).is_some() {
             return;
         }
-        let worker = &mut self.workers[hold.worker];
-        worker.pending = worker.pending.saturating_sub(hold.uncached);
-        worker.heard = now;
-        let since = now.since(hold.granted).0 as f64 - worker.step;
-        let tokens = hold.uncached + hold.ahead;
-        if tokens >= LEARN_FROM {
+        let worker = &mut self.workers[call.worker];
+        worker.pending = worker.pending.saturating_sub(call.uncached);
+        worker.last_progress = now;
+        let since = now.since(call.granted).0 as f64 - worker.step;
+        let tokens = call.uncached + call.tokens_ahead;
+        if tokens >= MIN_PREFILL_SAMPLE_TOKENS {
             worker.learn_prefill(since.max(0.0), tokens);
         }
         self.place(now);
     }
 
-    /// Tokens were seen from an endpoint: `tokens` of them over `busy`, which
-    /// is the time its calls spent decoding, added up.
+    /// Records `tokens` tokens from an endpoint; `busy` is the total time that
+    /// its calls spent decoding them.
     pub fn progress(&mut self, now: Time, endpoint: &id::Endpoint, tokens: Tokens, busy: Span) {
         let Some(at) = self.index.get(endpoint) else {
             return;
         };
         let worker = &mut self.workers[*at];
-        worker.heard = now;
+        worker.last_progress = now;
         if tokens.0 > 0 && busy > Span::ZERO {
             worker.learn_step(busy.0 as f64 / tokens.0 as f64);
         }
     }
 
-    /// An endpoint's own report, old on arrival.
+    /// Records an endpoint's own report, which may be out of date on arrival.
     pub fn report(&mut self, now: Time, endpoint: &id::Endpoint, busy: u32, leaving: bool) {
         let Some(at) = self.index.get(endpoint) else {
             return;
@@ -52,5 +52,6 @@
     }
 }
 
-/// Prompt tokens below which a first token says little about prefill speed.
-const LEARN_FROM: u64 = 64;
+/// The minimum number of prompt tokens from which the prefill speed is learnt;
+/// with fewer, the time to the first token says little about it.
+const MIN_PREFILL_SAMPLE_TOKENS: u64 = 64;
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -1,8 +1,10 @@
-//! What waits: tiers in strict order; within a tier customers by weighted
-//! fair share (start-time fair queuing, Goyal, Vin and Cheng 1996); within a
-//! customer the short before the long, with age counting against length.
+//! The queue of waiting requests: tiers in strict order, customers within a
+//! tier by weighted fair queueing (start-time fair queuing, Goyal, Vin and
+//! Cheng 1996), and a customer's short requests before its long ones, with age
+//! counting against length.
 //!
-//! Every command costs the logarithm of what waits.
+//! Adding or removing one request takes logarithmic time;
+//! [`Queue::remove_peer`] scans the whole queue.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,72 +18,76 @@
 use super::Ask;
 use super::Peer;
 
-/// One request that waits.
+/// A waiting request.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// What was asked.
+    /// The request for an endpoint.
     pub ask: Ask,
-    /// Who asked.
+    /// The peer that sent it.
     pub peer: Peer,
-    /// When it came.
-    pub since: Time,
-    /// When its answer is of no more use.
+    /// The time of arrival.
+    pub arrived_at: Time,
+    /// The time after which an answer is of no use.
     pub deadline: Time,
-    /// The last moment at which starting it makes sense.
-    pub latest: Time,
-    /// Endpoint time it will take, in microseconds, estimated.
+    /// The latest time at which the request can start and still finish in time.
+    pub latest_start: Time,
+    /// The estimated endpoint time, in microseconds.
     pub cost: f64,
 }
 
 impl Entry {
-    /// What its customer's turn moves on by when it is taken.
+    /// Returns the virtual time that the request uses of its customer's share.
     fn share(&self) -> u64 {
         (self.cost / f64::from(self.ask.weight.max(1))).max(1.0) as u64
     }
 }
 
+/// The order within a customer: by delayed arrival time, then by insertion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     tag: u64,
     seq: u64,
 }
 
+/// The waiting requests of one customer in one tier, and its start tag.
 #[derive(Debug, Default)]
-struct Line {
+struct CustomerQueue {
     start: u64,
     cost: f64,
     entries: BTreeMap<Rank, Entry>,
 }
 
+/// The waiting requests of one tier; `turns` orders customers by start tag.
 #[derive(Debug, Default)]
-struct Lane {
-    clock: u64,
+struct TierQueue {
+    virtual_time: u64,
     turns: BTreeSet<(u64, u64)>,
-    lines: HashMap<u64, Line>,
+    customer_queues: HashMap<u64, CustomerQueue>,
     count: usize,
     cost: f64,
 }
 
+/// The position of a waiting request.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct Position {
     tier: Tier,
     customer: u64,
     rank: Rank,
-    latest: Time,
+    latest_start: Time,
 }
 
 /// The queue of one pool.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lanes: BTreeMap<Tier, Lane>,
-    places: HashMap<id::Request, Place>,
+    tier_queues: BTreeMap<Tier, TierQueue>,
+    positions: HashMap<id::Request, Position>,
     expiry: BTreeSet<(Time, id::Request)>,
     seq: u64,
 }
 
 impl Queue {
-    /// Puts a request in line, as if it had come `set_back` later than it did.
-    pub fn push(&mut self, entry: Entry, set_back: Span) {
+    /// Adds a request, ordered as if it had arrived later by `queue_delay`.
+    pub fn push(&mut self, entry: Entry, queue_delay: Span) {
         let Ask {
             request,
             tier,
@@ -89,69 +95,76 @@
             ..
         } = entry.ask;
         self.seq += 1;
-        let tag = (entry.since + set_back).0;
+        let tag = (entry.arrived_at + queue_delay).0;
         let rank = Rank { tag, seq: self.seq };
-        let place = Place {
+        let position = Position {
             tier,
             customer,
             rank,
-            latest: entry.latest,
+            latest_start: entry.latest_start,
         };
-        self.places.insert(request, place);
-        self.expiry.insert((entry.latest, request));
-        self.lanes
+        self.positions.insert(request, position);
+        self.expiry.insert((entry.latest_start, request));
+        self.tier_queues
             .entry(tier)
             .or_default()
             .push(customer, rank, entry);
     }
 
-    /// The first requests of a tier, in the order in which turns would give
-    /// them, none of which is taken.
-    pub fn first(&self, tier: Tier, most: usize) -> Vec<&Entry> {
-        self.lanes
+    /// Returns up to `limit` requests of a tier in fair queueing order, without
+    /// removing them.
+    pub fn peek(&self, tier: Tier, limit: usize) -> Vec<&Entry> {
+        self.tier_queues
             .get(&tier)
-            .map_or_else(Vec::new, |lane| lane.first(most))
+            .map_or_else(Vec::new, |tier_queue| tier_queue.peek(limit))
     }
 
-    /// The tiers in which something waits, the most protected first.
+    /// Returns the tiers with waiting requests, the most protected first.
     pub fn tiers(&self) -> impl Iterator<Item = Tier> + '_ {
-        let waiting = self.lanes.iter().filter(|(_, lane)| lane.count > 0);
+        let waiting = self
+            .tier_queues
+            .iter()
+            .filter(|(_, tier_queue)| tier_queue.count > 0);
         waiting.map(|(tier, _)| *tier)
     }
 
-    /// Takes a certain request, which is its customer's turn.
+    /// Removes a request and charges it to its customer's share.
     pub fn take(&mut self, request: id::Request) -> Option<Entry> {
-        let Place {
+        let Position {
             tier,
             customer,
             rank,
             ..
-        } = *self.places.get(&request)?;
-        self.lanes.get_mut(&tier)?.charge(customer, rank);
+        } = *self.positions.get(&request)?;
+        self.tier_queues.get_mut(&tier)?.advance(customer, rank);
         self.remove(request)
     }
 
-    /// Takes the next request of the most protected tier that has any, passing
-    /// over tiers above `least`.
+    /// Removes the next request of the most protected tier with waiting
+    /// requests and charges it to its customer's share. Returns `None` if that
+    /// tier is less protected than `least`.
     pub fn pop(&mut self, least: Tier) -> Option<Entry> {
         let tier = self.tiers().next().filter(|tier| *tier <= least)?;
-        let request = self.first(tier, 1).first()?.ask.request;
+        let request = self.peek(tier, 1).first()?.ask.request;
         self.take(request)
     }
 
-    /// Takes a certain request out of line.
+    /// Removes a request without charging it to its customer's share.
     pub fn remove(&mut self, request: id::Request) -> Option<Entry> {
-        let place = *self.places.get(&request)?;
+        let position = *self.positions.get(&request)?;
         self.forget(request);
-        self.lanes
-            .get_mut(&place.tier)?
-            .remove(place.customer, place.rank)
+        self.tier_queues
+            .get_mut(&position.tier)?
+            .remove(position.customer, position.rank)
     }
 
-    /// Takes out all that one run of a host asked for.
+    /// Removes all requests of one incarnation of a host.
     pub fn remove_peer(&mut self, peer: &Peer) {
-        let lines = self.lanes.values().flat_map(|lane| lane.lines.values());
-        let entries = lines.flat_map(|line| line.entries.values());
+        let customer_queues = self
+            .tier_queues
+            .values()
+            .flat_map(|tier_queue| tier_queue.customer_queues.values());
+        let entries = customer_queues.flat_map(|customer_queue| customer_queue.entries.values());
         let theirs: Vec<id::Request> = entries
             .filter(|entry| entry.peer == *peer)
             .map(|entry| entry.ask.request)
@@ -161,132 +174,152 @@
         }
     }
 
-    /// Takes a request whose last useful start lies before `now`.
+    /// Removes a request whose latest start is not after `now`, if any.
     pub fn pop_expired(&mut self, now: Time) -> Option<Entry> {
-        let (latest, request) = *self.expiry.first()?;
-        if latest > now {
+        let (latest_start, request) = *self.expiry.first()?;
+        if latest_start > now {
             None
         } else {
             self.remove(request)
         }
     }
 
-    /// Takes the request that matters least: of the least protected tier that
-    /// has any, the one whose customer waits for most, its longest.
-    pub fn pop_least(&mut self) -> Option<Entry> {
-        let (_, lane) = self.lanes.iter().rev().find(|(_, lane)| lane.count > 0)?;
-        let (_, customer) = *lane.turns.last()?;
-        let entry = lane.lines.get(&customer)?.entries.values().next_back()?;
+    /// Removes the last request of the customer whose turn is last in the least
+    /// protected tier with waiting requests, without charging it.
+    pub fn pop_least_protected(&mut self) -> Option<Entry> {
+        let (_, tier_queue) = self
+            .tier_queues
+            .iter()
+            .rev()
+            .find(|(_, tier_queue)| tier_queue.count > 0)?;
+        let (_, customer) = *tier_queue.turns.last()?;
+        let entry = tier_queue
+            .customer_queues
+            .get(&customer)?
+            .entries
+            .values()
+            .next_back()?;
         let request = entry.ask.request;
         self.remove(request)
     }
 
     fn forget(&mut self, request: id::Request) {
-        if let Some(place) = self.places.remove(&request) {
-            self.expiry.remove(&(place.latest, request));
+        if let Some(position) = self.positions.remove(&request) {
+            self.expiry.remove(&(position.latest_start, request));
         }
     }
 
-    /// The ask under which the request waits, if it does.
+    /// Returns the attempt under which the request waits, if it does.
     pub fn attempt_opt(&self, request: id::Request) -> Option<u32> {
-        let place = self.places.get(&request)?;
-        let line = self.lanes.get(&place.tier)?.lines.get(&place.customer)?;
-        line.entries.get(&place.rank).map(|entry| entry.ask.attempt)
+        let position = self.positions.get(&request)?;
+        let customer_queue = self
+            .tier_queues
+            .get(&position.tier)?
+            .customer_queues
+            .get(&position.customer)?;
+        customer_queue
+            .entries
+            .get(&position.rank)
+            .map(|entry| entry.ask.attempt)
     }
 
-    /// True while the request waits.
+    /// Returns whether the request waits.
     pub fn contains(&self, request: id::Request) -> bool {
-        self.places.contains_key(&request)
+        self.positions.contains_key(&request)
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// True when nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Requests that wait in each tier.
+    /// Returns the number of waiting requests by tier.
     pub fn counts(&self) -> Vec<(Tier, usize)> {
-        self.lanes
+        self.tier_queues
             .iter()
-            .map(|(tier, lane)| (*tier, lane.count))
+            .map(|(tier, tier_queue)| (*tier, tier_queue.count))
             .collect()
     }
 
-    /// Endpoint time that waits in tiers as protected as `tier`, in microseconds.
-    pub fn cost_to(&self, tier: Tier) -> f64 {
-        let lanes = self.lanes.range(..=tier);
-        lanes.map(|(_, lane)| lane.cost.max(0.0)).sum()
+    /// Returns the endpoint time of requests waiting in `tier` and more
+    /// protected tiers, in microseconds.
+    pub fn cost_through(&self, tier: Tier) -> f64 {
+        let tier_queues = self.tier_queues.range(..=tier);
+        tier_queues
+            .map(|(_, tier_queue)| tier_queue.cost.max(0.0))
+            .sum()
     }
 
-    /// Endpoint time that will be taken before a new request of a customer:
-    /// all of more protected tiers, and of its own what its customer has
-    /// waiting, with as much for each other customer as fair shares give it.
+    /// Returns the endpoint time ahead of a new request of a customer, in
+    /// microseconds: all of the more protected tiers and, in its own tier, the
+    /// customer's waiting requests plus as much for each other customer, at
+    /// most all that waits there. Weights are ignored.
     pub fn cost_ahead(&self, tier: Tier, customer: u64) -> f64 {
         let above: f64 = self
-            .lanes
+            .tier_queues
             .range(..tier)
-            .map(|(_, lane)| lane.cost.max(0.0))
+            .map(|(_, tier_queue)| tier_queue.cost.max(0.0))
             .sum();
-        let Some(lane) = self.lanes.get(&tier) else {
+        let Some(tier_queue) = self.tier_queues.get(&tier) else {
             return above;
         };
-        let own = lane
-            .lines
+        let own = tier_queue
+            .customer_queues
             .get(&customer)
-            .map_or(0.0, |line| line.cost.max(0.0));
-        let customers = lane.turns.len().max(1) as f64;
-        above + (own * customers).min(lane.cost.max(0.0))
+            .map_or(0.0, |customer_queue| customer_queue.cost.max(0.0));
+        let customers = tier_queue.turns.len().max(1) as f64;
+        above + (own * customers).min(tier_queue.cost.max(0.0))
     }
 
-    /// The least protected tier in which something waits.
-    pub fn least_tier_opt(&self) -> Option<Tier> {
-        self.lanes
+    /// Returns the least protected tier with waiting requests.
+    pub fn least_protected_tier_opt(&self) -> Option<Tier> {
+        self.tier_queues
             .iter()
             .rev()
-            .find(|(_, lane)| lane.count > 0)
+            .find(|(_, tier_queue)| tier_queue.count > 0)
             .map(|(tier, _)| *tier)
     }
 
-    /// The next moment at which a request's last useful start passes.
+    /// Returns the time at which the next waiting request expires.
     pub fn next_expiry_opt(&self) -> Option<Time> {
-        self.expiry.first().map(|(latest, _)| *latest)
+        self.expiry.first().map(|(latest_start, _)| *latest_start)
     }
 }
 
-impl Lane {
+impl TierQueue {
     fn push(&mut self, customer: u64, rank: Rank, entry: Entry) {
         self.count += 1;
         self.cost += entry.cost;
-        let line = self.lines.entry(customer).or_default();
-        if line.entries.is_empty() {
-            line.start = line.start.max(self.clock);
-            self.turns.insert((line.start, customer));
+        let customer_queue = self.customer_queues.entry(customer).or_default();
+        if customer_queue.entries.is_empty() {
+            customer_queue.start = customer_queue.start.max(self.virtual_time);
+            self.turns.insert((customer_queue.start, customer));
         }
-        line.cost += entry.cost;
-        line.entries.insert(rank, entry);
+        customer_queue.cost += entry.cost;
+        customer_queue.entries.insert(rank, entry);
     }
 
-    fn first(&self, most: usize) -> Vec<&Entry> {
-        let mut lines: Vec<_> = self
+    fn peek(&self, limit: usize) -> Vec<&Entry> {
+        let mut customer_queues: Vec<_> = self
             .turns
             .iter()
-            .take(most)
+            .take(limit)
             .filter_map(|(start, customer)| {
                 Some((
                     *start,
                     *customer,
-                    self.lines.get(customer)?.entries.values(),
+                    self.customer_queues.get(customer)?.entries.values(),
                 ))
             })
             .collect();
         let mut found = Vec::new();
-        while found.len() < most {
-            let turn = lines
+        while found.len() < limit {
+            let turn = customer_queues
                 .iter_mut()
                 .min_by_key(|(start, customer, _)| (*start, *customer));
             let Some((start, _, entries)) = turn else {
@@ -299,50 +332,54 @@
                 }
                 None => *start = u64::MAX,
             }
-            if lines.iter().all(|(start, ..)| *start == u64::MAX) {
+            if customer_queues.iter().all(|(start, ..)| *start == u64::MAX) {
                 break;
             }
         }
         found
     }
 
-    /// Moves a customer's turn on by one of its requests.
-    fn charge(&mut self, customer: u64, rank: Rank) {
-        let Some(line) = self.lines.get_mut(&customer) else {
+    /// Advances a customer's start tag by the share of one of its requests.
+    fn advance(&mut self, customer: u64, rank: Rank) {
+        let Some(customer_queue) = self.customer_queues.get_mut(&customer) else {
             return;
         };
-        let Some(entry) = line.entries.get(&rank) else {
+        let Some(entry) = customer_queue.entries.get(&rank) else {
             return;
         };
-        self.turns.remove(&(line.start, customer));
-        self.clock = self.clock.max(line.start);
-        line.start += entry.share();
-        self.turns.insert((line.start, customer));
+        self.turns.remove(&(customer_queue.start, customer));
+        self.virtual_time = self.virtual_time.max(customer_queue.start);
+        customer_queue.start += entry.share();
+        self.turns.insert((customer_queue.start, customer));
     }
 
     fn remove(&mut self, customer: u64, rank: Rank) -> Option<Entry> {
-        let line = self.lines.get_mut(&customer)?;
-        let entry = line.entries.remove(&rank)?;
-        self.turns.remove(&(line.start, customer));
+        let customer_queue = self.customer_queues.get_mut(&customer)?;
+        let entry = customer_queue.entries.remove(&rank)?;
+        self.turns.remove(&(customer_queue.start, customer));
         self.close(customer, &entry);
         Some(entry)
     }
 
-    /// Counts an entry out and gives its customer the next turn, if any waits.
+    /// Updates counts after a removal and schedules the customer's next turn,
+    /// if it has one.
     fn close(&mut self, customer: u64, entry: &Entry) {
         self.count -= 1;
         self.cost -= entry.cost;
-        let Some(line) = self.lines.get_mut(&customer) else {
+        let Some(customer_queue) = self.customer_queues.get_mut(&customer) else {
             return;
         };
-        line.cost -= entry.cost;
-        if !line.entries.is_empty() {
-            self.turns.insert((line.start, customer));
-        } else if line.start <= self.clock || self.lines.len() > IDLE_LINES {
-            self.lines.remove(&customer);
+        customer_queue.cost -= entry.cost;
+        if !customer_queue.entries.is_empty() {
+            self.turns.insert((customer_queue.start, customer));
+        } else if customer_queue.start <= self.virtual_time
+            || self.customer_queues.len() > MAX_IDLE_CUSTOMERS
+        {
+            self.customer_queues.remove(&customer);
         }
     }
 }
 
-/// Lines of customers with nothing waiting that are kept for their turn.
-const IDLE_LINES: usize = 1_024;
+/// The number of customers in a tier above which one without waiting requests
+/// is dropped even if its start tag lies ahead of the virtual time.
+const MAX_IDLE_CUSTOMERS: usize = 1_024;
--- a/crates/core/tests/core/tiers.rs
+++ b/crates/core/tests/core/tiers.rs
@@ -1,4 +1,4 @@
-//! Under pressure the more protected work goes first.
+//! Tests that more protected work goes first under overload.
 
 use std::collections::HashMap;
 
@@ -10,11 +10,11 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-use crate::support::broken;
 use crate::support::chat;
+use crate::support::violations;
 use crate::support::world;
 
-/// A burst at an event's start: all at once, unevenly over the hosts.
+/// Sends a burst of requests at once, unevenly spread over the hosts.
 fn burst(world: &mut World, rescue: u64, routine: u64) -> HashMap<id::Request, bool> {
     let mut protected = HashMap::new();
     for turn in 0..rescue + routine {
@@ -22,7 +22,7 @@
         let class = if is_rescue { "rescue-summary" } else { "recap" };
         let (mut arrival, work) = chat(class, &format!("{class} {turn}"), 600, 60);
         arrival.timeout = Some(Span::from_secs(if is_rescue { 8 } else { 6 }));
-        // Two thirds of all callers reach one host.
+        // Two thirds of the callers are sent to the same host.
         let node = if turn % 3 == 0 {
             (turn % world.hosts.len() as u64) as usize
         } else {
@@ -47,7 +47,8 @@
     )
 }
 
-/// Counts: rescue shed, rescue served, routine served.
+/// Counts rescue requests refused, rescue requests served and routine requests
+/// served.
 fn count(world: &World, all: &HashMap<id::Request, bool>) -> (usize, usize, usize) {
     let rescue = |id: &&id::Request| all[*id];
     let rescue_shed = all
@@ -68,16 +69,16 @@
 }
 
 cases! {
-    a_burst_sheds_routine_work_and_no_rescue_work => {
+    a_burst_sheds_routine_requests_only => {
         let mut world = world(Options { nodes: 4, ..Options::default() });
         let all = burst(&mut world, 150, 900);
         world.run_for(Span::from_secs(20));
         let (rescue_shed, rescue_served, _) = count(&world, &all);
         assert_eq!((rescue_shed, rescue_served), (0, 150));
-        assert_eq!(broken(&world), Vec::<String>::new());
+        assert_eq!(violations(&world), Vec::<String>::new());
     };
 
-    a_shed_request_is_answered_at_the_decision_with_a_time_to_return => {
+    a_shed_request_is_refused_early_with_a_retry_delay => {
         let mut world = world(Options::default());
         let all = burst(&mut world, 100, 2_000);
         world.run_for(Span::from_secs(20));
@@ -85,18 +86,18 @@
         for request in all.keys() {
             let asked = &world.asked[request];
             let Some((at, Answer::Refused(refusal))) = asked.answers.first() else { continue };
-            returns.push(refusal.retry_after.expect("a time to return"));
-            // What waits may be shed when waiting has become vain, which is
-            // its own service time before its deadline, and no later.
+            returns.push(refusal.retry_after.expect("a refusal has a retry delay"));
+            // A waiting request is refused no later than its own service time
+            // before its deadline.
             assert!(*at + Span::from_millis(100) < asked.deadline, "{asked:?}");
         }
         assert!(returns.len() > 500, "{}", returns.len());
         returns.sort();
         returns.dedup();
-        assert!(returns.len() > 400, "returns are spread");
+        assert!(returns.len() > 400, "retry delays are spread");
     };
 
-    a_full_queue_gives_up_its_least_protected => {
+    a_full_queue_displaces_its_least_protected_requests => {
         let pool = woadstage_core::pool::Options { queue_limit: 100, ..Default::default() };
         let mut world = world(Options { pool, ..Options::default() });
         for turn in 0..300 {
@@ -113,7 +114,7 @@
         assert!(rescue.iter().all(|request| served(&world, request)));
     };
 
-    hosts_fail_in_the_burst_and_no_rescue_work_is_shed_by_the_living => {
+    a_host_failure_in_a_burst_sheds_no_rescue_requests_elsewhere => {
         for dead in 0..4 {
             let mut world = world(Options { nodes: 4, ..Options::default() });
             let all = burst(&mut world, 100, 600);
