--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -1,8 +1,9 @@
-//! The document in force: which of two is followed.
+//! Selection of the configuration document in force.
 //!
-//! The verdict looks at the documents alone: the higher revision, if it was
-//! planned against the one in force; of two with one revision, the one the
-//! platform had first. A node never goes back to a lower revision.
+//! The choice depends only on the two documents. A higher revision replaces the
+//! one in force; the next revision only if it was planned against it. Of two
+//! documents with the same revision, the one with the lower platform index wins.
+//! A node never returns to a lower revision.
 
 use std::sync::Arc;
 
@@ -10,19 +11,19 @@
 use woadstage_config::published::Config;
 use woadstage_types::code::Code;
 
-/// A document that passed its checks.
+/// A valid configuration document.
 #[derive(Debug, Clone)]
 pub struct Document {
-    /// The whole text.
+    /// The full text of the document.
     pub text: Arc<str>,
-    /// The platform's index.
+    /// The index of the document on the platform.
     pub index: u64,
-    /// What it says.
+    /// The parsed configuration.
     pub config: Arc<Config>,
 }
 
 impl Document {
-    /// Reads a document; the first fault's code where it has any.
+    /// Parses a document, or returns the code of its first fault.
     pub fn read(text: Arc<str>, index: u64) -> Result<Document, Code> {
         match published::parse(&text) {
             Ok(config) => Ok(Document {
@@ -37,13 +38,13 @@
         }
     }
 
-    /// The first bytes of the digest, which heartbeats carry.
+    /// Returns a 64-bit hash of the digest, which heartbeats carry.
     pub fn short_digest(&self) -> u64 {
         woadstage_types::hash::of(self.config.confirmation.digest.as_bytes())
     }
 }
 
-/// Says whether `new` takes the place of `held`; an error says why not.
+/// Checks whether `new` may replace `held`, and returns the reason if not.
 pub fn judge(held: Option<&Document>, new: &Document) -> Result<(), Code> {
     let Some(held) = held else { return Ok(()) };
     let (old, next) = (&held.config.confirmation, &new.config.confirmation);
@@ -51,8 +52,8 @@
         return Err(Code::RevisionOld);
     }
     if next.revision == old.revision {
-        // Two operators confirmed against one base. The platform's
-        // check-and-set keeps this from happening; without it, the first wins.
+        // Two operators confirmed changes against the same base. The
+        // platform's check-and-set prevents this; without it, the first wins.
         return if new.index < held.index {
             Ok(())
         } else {
--- a/crates/core/src/ledger/claim.rs
+++ b/crates/core/src/ledger/claim.rs
@@ -1,4 +1,4 @@
-//! Claiming a key for a request.
+//! Claims of keys by requests.
 
 use woadstage_types::code::Code;
 use woadstage_types::id;
@@ -11,34 +11,33 @@
 use super::PLAIN_KEYS;
 use super::State;
 
-/// Hosts' and callers' clocks may differ by this much before keys are refused
-/// that could have been taken. Only callers' own keys at endpoints that do not
-/// check them rest on it.
+/// The clock skew between hosts and callers up to which valid keys are accepted.
+/// It matters only for callers' own keys at endpoints that do not check keys.
 const CLOCKS_DIFFER: Span = Span::from_millis(500);
 
-/// What a request may do with its key.
+/// The result of claiming a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Claim {
-    /// The first with this key: it may run.
+    /// The request is the first with this key and may run.
     First,
-    /// Another with this key runs: wait for its answer.
+    /// Another request with this key is in progress: wait for its answer.
     Wait,
-    /// Another with this key ended: give its recorded answer.
+    /// Another request with this key has ended: return its recorded answer.
     Replay(id::Request),
-    /// It may not run.
+    /// The request may not run.
     Refused(Code),
 }
 
-/// Who uses a key and for what.
+/// The request that claims a key.
 #[derive(Debug, Clone, Copy)]
 pub struct Use {
     /// The request.
     pub request: id::Request,
-    /// Its customer's number.
+    /// The number of its customer.
     pub customer: u64,
-    /// Hash of what is asked.
+    /// A hash of the request's content.
     pub fingerprint: u64,
-    /// True where the endpoint itself refuses a key it has seen.
+    /// Whether the endpoint itself refuses a key that it has seen before.
     pub endpoint_checks: bool,
 }
 
@@ -76,7 +75,7 @@
         Claim::First
     }
 
-    /// Marks a ticket as used, or says why it may not be.
+    /// Marks a ticket as used, or returns why it cannot be.
     fn take_ticket(&mut self, key: &Key, by: Use) -> Option<Code> {
         let Key::Ticket(ticket) = key else {
             return Some(Code::TicketInvalid);
@@ -118,7 +117,7 @@
         None
     }
 
-    /// Forgets the oldest plain key, and with it every key as old.
+    /// Forgets the oldest plain key and refuses every key created up to then.
     fn drop_oldest_plain(&mut self) {
         let Some((text, customer)) = self.plain.pop_front() else {
             return;
@@ -128,8 +127,8 @@
         self.forget_ended(&Key::Plain(customer, text));
     }
 
-    /// Another node may have been given plain keys until now: those born
-    /// before are refused from here on.
+    /// Refuses plain keys created up to now, because another node may have
+    /// accepted them.
     pub fn raise_plain_floor(&mut self, now: Time) {
         self.plain_floor = self.plain_floor.max(now);
     }
--- a/crates/core/src/ledger/issue.rs
+++ b/crates/core/src/ledger/issue.rs
@@ -1,4 +1,4 @@
-//! Issuing tickets.
+//! Issue of tickets.
 
 use super::Key;
 use super::Ledger;
@@ -6,8 +6,9 @@
 use super::WINDOW;
 
 impl Ledger {
-    /// Issues a ticket to a customer, or none once the ledger was given away.
-    /// The oldest ticket is forgotten, and so never run, when too many are out.
+    /// Issues a ticket to a customer, or returns `None` once the ledger was
+    /// handed over. If too many tickets are remembered, the oldest is forgotten
+    /// and can no longer run.
     pub fn try_issue(&mut self, customer: u64) -> Option<Ticket> {
         if !self.open {
             return None;
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -1,16 +1,16 @@
-//! At most once, for requests that may not be repeated.
+//! At-most-once execution of requests that may not be repeated.
 //!
-//! A ticket names the one incarnation that may ever run it, and that
-//! incarnation remembers which of its tickets it has used for as long as it
-//! lives. When it dies, its unused tickets die with it. So safety rests on
-//! nothing outside one process: no clock, no list, no other node's memory.
+//! A ticket names the only incarnation that may run it, and that incarnation
+//! remembers for its lifetime which of its tickets were used. When its process
+//! ends, the unused tickets become invalid. Safety therefore depends on nothing
+//! outside one process: no clock, no host list, no state of another node.
 //!
-//! On a planned stop an incarnation gives its unused tickets to one successor
-//! and from then on runs none of them. If the successor never gets them,
-//! nobody runs them.
+//! On a planned stop an incarnation transfers its unused tickets to one
+//! successor and runs none of them from then on. If the successor never
+//! receives them, no node runs them.
 //!
-//! A caller's own key is taken where the endpoint refuses keys it has seen, or
-//! where the configuration accepts the hole that `docs/PROMISES.md` names.
+//! A caller's own key is accepted if the endpoint refuses keys that it has seen,
+//! or if the configuration accepts the gap that `docs/PROMISES.md` describes.
 //!
 //! * `issue.rs`, `claim.rs`, `record.rs`, `succeed.rs`: commands.
 //! * `query.rs`: queries.
@@ -36,21 +36,21 @@
 pub use claim::Use;
 pub use succeed::Estate;
 
-/// First letters of a ticket's text form.
+/// The prefix of a ticket's text form.
 const PREFIX: &str = "wst1-";
 
-/// Tickets that an incarnation remembers. Older ones are refused, not run.
+/// The maximum number of tickets of an incarnation. Older ones are refused.
 pub const WINDOW: usize = 65_536;
 
-/// Callers' own keys that a node remembers.
+/// The maximum number of callers' own keys that a node remembers.
 pub const PLAIN_KEYS: usize = 65_536;
 
-/// A ticket: the incarnation that may run it, and its number there.
+/// A permission to run one request at most once, on one incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The one incarnation that may ever run it.
+    /// The incarnation that issued the ticket.
     pub incarnation: id::Incarnation,
-    /// Its number, counted from zero by that incarnation.
+    /// The number of the ticket, counted from zero by that incarnation.
     pub number: u64,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// The text is not a ticket.
+/// The error for a text that is not a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotTicket;
 
@@ -77,70 +77,70 @@
     }
 }
 
-/// What a request may be claimed by.
+/// A key that a request claims in order to run at most once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Key {
     /// A ticket.
     Ticket(Ticket),
-    /// A caller's own key, with its customer's number.
+    /// A caller's own key, with the number of its customer.
     Plain(u64, String),
 }
 
-/// The life of a used key.
+/// The state of a claimed key.
 #[derive(Debug, Clone)]
 struct Entry {
-    /// The request that runs or ran it.
+    /// The request that claimed the key.
     request: id::Request,
-    /// Hash of what was asked, to tell a repeat from another request.
+    /// A hash of the request's content, to tell a repeat from another request.
     fingerprint: u64,
     state: State,
 }
 
 #[derive(Debug, Clone)]
 enum State {
-    /// Waiting or running; others who sent the same key wait for its answer.
+    /// In progress, with the requests that wait for its answer.
     Running(Vec<id::Request>),
-    /// Ended; the whole answer is held.
+    /// Ended, with an answer of this size recorded.
     Recorded(Size),
-    /// Ended, with no answer to give.
+    /// Ended, without a recorded answer.
     Ended,
 }
 
 /// The tickets of one incarnation.
 #[derive(Debug, Default)]
 struct Book {
-    /// Number of the first ticket remembered.
+    /// The number of the first ticket remembered.
     first: u64,
-    /// The customer of each unused ticket from `first` on; none once used.
+    /// The customer of each ticket from `first` on, or `None` once it was used.
     unused: VecDeque<Option<u64>>,
 }
 
-/// All keys that one node answers for.
+/// The tickets and keys that one node is responsible for.
 #[derive(Debug)]
 pub struct Ledger {
     own: id::Incarnation,
-    /// False once the unused tickets were given away: nothing is run any more.
+    /// Whether keys can be claimed: false once the tickets were handed over.
     open: bool,
     books: HashMap<id::Incarnation, Book>,
     entries: HashMap<Key, Entry>,
-    /// Keys by the request that runs them.
+    /// The key of each keyed request in progress.
     running: HashMap<id::Request, Key>,
-    /// The customer of each ticket in use, for when it is put back.
+    /// The customer of each ticket in use, restored if the ticket is released.
     customers: HashMap<Ticket, u64>,
-    /// Requests whose recorded answers are no longer wanted.
+    /// The requests whose recorded answers can be deleted.
     dropped: Vec<id::Request>,
-    /// Recorded answers, the oldest first.
+    /// The recorded answers, oldest first.
     answers: VecDeque<(Key, Size)>,
     answers_size: Size,
     answers_limit: Size,
-    /// Plain keys in the order of their use.
+    /// The plain keys in the order in which they were claimed.
     plain: VecDeque<(String, u64)>,
-    /// Plain keys born at or before this time may have been run by another.
+    /// Plain keys created up to this time may have run elsewhere or are forgotten.
     plain_floor: Time,
 }
 
 impl Ledger {
-    /// An empty ledger of a new incarnation.
+    /// Creates an empty ledger for a new incarnation.
     pub fn new(own: id::Incarnation, now: Time, answers_limit: Size) -> Ledger {
         Ledger {
             own,
--- a/crates/core/src/ledger/record.rs
+++ b/crates/core/src/ledger/record.rs
@@ -1,4 +1,4 @@
-//! What becomes of a claimed key.
+//! Release of claimed keys and recording of their answers.
 
 use woadstage_types::id;
 use woadstage_types::unit::Size;
@@ -8,8 +8,8 @@
 use super::State;
 
 impl Ledger {
-    /// The request never ran and never will: its key may be used again. Gives
-    /// those who waited for its answer.
+    /// Releases the key of a request that did not run and will not, so that it
+    /// can be claimed again. Returns the requests that waited for its answer.
     pub fn put_back(&mut self, request: id::Request) -> Vec<id::Request> {
         let Some(key) = self.running.remove(&request) else {
             return Vec::new();
@@ -38,8 +38,8 @@
         waiting
     }
 
-    /// The request ran and its whole answer is held, if it is small enough.
-    /// Gives those who waited for it.
+    /// Records the end of a request, and its answer if that is small enough to
+    /// be kept. Returns the requests that waited for the answer.
     pub fn record(&mut self, request: id::Request, answer: Option<Size>) -> Vec<id::Request> {
         let Some(key) = self.running.remove(&request) else {
             return Vec::new();
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Drops the oldest answers until the rest fit their limit. Gives the
-    /// requests whose answers are no longer wanted.
+    /// Drops the oldest answers until the rest fit the size limit. Returns the
+    /// requests whose answers can be deleted.
     pub fn trim_answers(&mut self) -> Vec<id::Request> {
         let mut dropped = std::mem::take(&mut self.dropped);
         while self.answers_size > self.answers_limit {
@@ -84,15 +84,15 @@
         dropped
     }
 
-    /// Drops the entry of a used ticket with no answer: its book tells that it
-    /// was used. A plain key has no book, so that its entry stays.
+    /// Removes the entry of a used ticket without an answer, because its book
+    /// records the use. A plain key has no book, so its entry stays.
     fn forget_used(&mut self, key: &Key) {
         if matches!(key, Key::Ticket(_)) {
             self.entries.remove(key);
         }
     }
 
-    /// A waiting request went away.
+    /// Removes a request from those that wait for an answer.
     pub fn stop_waiting(&mut self, request: id::Request) {
         for entry in self.entries.values_mut() {
             if let State::Running(waiting) = &mut entry.state {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Forgets a key that is not running.
+    /// Removes the entry of a key, unless its request is in progress.
     pub(super) fn forget_ended(&mut self, key: &Key) {
         let Some(entry) = self.entries.get(key) else {
             return;
--- a/crates/core/src/ledger/succeed.rs
+++ b/crates/core/src/ledger/succeed.rs
@@ -1,4 +1,4 @@
-//! A planned stop: the unused tickets go to one successor.
+//! Transfer of the unused tickets to one successor on a planned stop.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,31 +7,30 @@
 use super::Book;
 use super::Ledger;
 
-/// Unused tickets that change hands: of each incarnation, the number of the
-/// first ticket remembered, how many there were, and those still unused.
+/// The unused tickets that a node transfers to its successor.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Estate {
-    /// One book for each incarnation.
+    /// The tickets of each incarnation.
     pub books: Vec<Inherited>,
 }
 
 /// The unused tickets of one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inherited {
-    /// The incarnation that issued them.
+    /// The incarnation that issued the tickets.
     pub incarnation: id::Incarnation,
-    /// Number of the first ticket remembered.
+    /// The number of the first ticket remembered.
     pub first: u64,
-    /// Tickets from `first` on.
+    /// The number of tickets from `first` on, used or not.
     pub count: u64,
-    /// Of them, those unused: number and customer.
+    /// The number and customer of each unused ticket.
     pub unused: Vec<(u64, u64)>,
 }
 
 impl Ledger {
-    /// Gives all unused tickets away. From here on nothing is claimed here,
-    /// whether or not the estate arrives anywhere. None while a keyed request
-    /// is in progress.
+    /// Closes the ledger and returns its unused tickets, or `None` while a keyed
+    /// request is in progress. No key can be claimed here afterwards, even if
+    /// the successor never receives the tickets.
     pub fn try_give(&mut self) -> Option<Estate> {
         if !self.running.is_empty() || !self.open {
             return None;
@@ -48,8 +47,8 @@
         })
     }
 
-    /// Takes over what another gave away. A book that is known already is
-    /// kept as it is, so that an estate that arrives twice changes nothing.
+    /// Takes over the tickets of another node. A book that is already known is
+    /// kept unchanged, so a transfer that arrives twice has no further effect.
     pub fn inherit(&mut self, estate: Estate) {
         if !self.open {
             return;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,16 +1,18 @@
-//! The decision core: what goes where and when, what waits, what is shed.
+//! The scheduling core: decides where and when each request runs, waits or is
+//! rejected.
 //!
-//! No sockets, no clock, no global randomness: a [`node::Node`] takes the time
-//! and an event and returns actions. `docs/CORE.md` tells how to drive it.
+//! It uses no sockets, no clock and no global randomness: a [`node::Node`] takes
+//! the time and an event and returns actions. `docs/CORE.md` describes how to
+//! drive it.
 //!
-//! * [`node`]: one node's whole state, its events and actions.
-//! * [`pool`]: one target's admission: queue, endpoints, placement.
-//! * [`ledger`]: at most once: tickets and callers' own keys.
-//! * [`member`]: which other nodes there are.
-//! * [`document`]: which configuration is in force.
-//! * [`limit`]: customers' limits and the retry budget.
-//! * [`message`]: what nodes say to each other.
-//! * [`trace`]: what was decided for each of the last requests.
+//! * [`node`]: the state of one node, its events and actions.
+//! * [`pool`]: admission for one target: queue, endpoints and placement.
+//! * [`ledger`]: at-most-once execution by tickets and callers' own keys.
+//! * [`member`]: membership and liveness of the other nodes.
+//! * [`document`]: selection of the configuration in force.
+//! * [`limit`]: customer limits and the retry budget.
+//! * [`message`]: messages between nodes.
+//! * [`trace`]: decisions recorded for recent requests.
 
 pub mod document;
 pub mod ledger;
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,5 +1,6 @@
-//! Which nodes there are, from the platform's lagging list and from what was
-//! heard. Used for efficiency only: no promise rests on it being right.
+//! Membership and liveness of the other nodes, from the platform's list, which
+//! may be stale, and from heartbeats. It serves efficiency only: no guarantee
+//! depends on its accuracy.
 
 use std::collections::HashMap;
 
@@ -12,28 +13,29 @@
 use crate::message::Heartbeat;
 use crate::pool::Peer;
 
-/// Heartbeats missed before a node is passed over.
+/// The number of heartbeat intervals without a heartbeat after which a node is
+/// no longer considered live.
 const MISSED: u64 = 5;
 
-/// Nodes of a data centre that read the platform for the others.
+/// The number of nodes of a data centre that read the platform for the others.
 const WATCHERS: usize = 2;
 
-/// What is known of another node.
+/// The known state of another node.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// The run that was last heard.
+    /// The incarnation of the last message or connection.
     pub incarnation: id::Incarnation,
-    /// What it last said.
+    /// The last heartbeat.
     pub heartbeat: Heartbeat,
-    /// When it was last heard.
+    /// When the last heartbeat arrived.
     pub heard: Time,
-    /// True while a connection to it stands.
+    /// Whether a connection to the node is open.
     pub up: bool,
-    /// Its data centre, if the list names it.
+    /// The data centre, if the host list names the node.
     pub data_centre: Option<id::DataCentre>,
 }
 
-/// All other nodes.
+/// The other nodes and the host list.
 #[derive(Debug)]
 pub struct Members {
     own: id::Host,
@@ -41,13 +43,13 @@
     /// Other nodes by name.
     pub others: HashMap<id::Host, Member>,
     heartbeat: Span,
-    /// Names of entry hosts that the list calls live, ourselves left out.
+    /// The entry hosts that the list marks as live, without this node.
     pub listed: Vec<id::Host>,
     centres: HashMap<id::Host, id::DataCentre>,
 }
 
 impl Members {
-    /// Nobody but ourselves.
+    /// Creates a membership without other nodes.
     pub fn new(own: id::Host, own_centre: id::DataCentre, heartbeat: Span) -> Members {
         Members {
             own,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Takes in the list.
+    /// Applies a host list.
     pub fn set_list(&mut self, list: &hosts::List) {
         let entry = list
             .hosts
@@ -77,14 +79,14 @@
                 self.listed.push(name);
             }
         }
-        // Hosts are replaced every day; what is neither listed nor connected
-        // is not coming back.
+        // Hosts are replaced every day: a node that is neither listed nor
+        // connected will not return.
         let centres = &self.centres;
         self.others
             .retain(|name, member| member.up || centres.contains_key(name));
     }
 
-    /// Takes in a heartbeat.
+    /// Records a heartbeat.
     pub fn hear(&mut self, now: Time, from: &Peer, said: Heartbeat) {
         let member = self.member(from);
         member.incarnation = from.incarnation;
@@ -92,14 +94,14 @@
         member.heard = now;
     }
 
-    /// A connection came up.
+    /// Records that a connection was opened.
     pub fn set_up(&mut self, peer: &Peer) {
         let member = self.member(peer);
         member.incarnation = peer.incarnation;
         member.up = true;
     }
 
-    /// A connection broke.
+    /// Records that a connection was lost.
     pub fn set_down(&mut self, host: &id::Host) {
         if let Some(member) = self.others.get_mut(host) {
             member.up = false;
@@ -121,12 +123,12 @@
 
     fn is_live(&self, now: Time, member: &Member) -> bool {
         let fresh = now.since(member.heard).0 <= self.heartbeat.0 * MISSED;
-        // A newcomer that has not read what is published can hold no pool.
+        // A new node without a configuration and a host list cannot manage a pool.
         let knows = member.heartbeat.revision > 0 && member.heartbeat.hosts_index > 0;
         member.up && fresh && knows && !member.heartbeat.leaving
     }
 
-    /// True while messages to the host are likely to arrive.
+    /// Whether messages to the host are likely to arrive.
     pub fn is_reachable(&self, now: Time, host: &id::Host) -> bool {
         let fresh = |m: &Member| now.since(m.heard).0 <= self.heartbeat.0 * MISSED;
         self.others
@@ -134,15 +136,15 @@
             .is_some_and(|member| member.up && fresh(member))
     }
 
-    /// True where the node's own reads confirm the host list it holds.
+    /// Whether the node's own reads of the platform confirm its host list.
     pub fn confirms_hosts(&self, host: &id::Host) -> bool {
         self.others
             .get(host)
             .is_some_and(|member| member.heartbeat.hosts_confirmed)
     }
 
-    /// True where a reachable node's reads confirm a host list of an index or
-    /// a higher one.
+    /// Whether a reachable node's own reads confirm a host list with at least
+    /// the given index.
     pub fn any_confirms_hosts(&self, now: Time, index: u64) -> bool {
         self.others.iter().any(|(host, member)| {
             let said = &member.heartbeat;
@@ -150,7 +152,7 @@
         })
     }
 
-    /// A node and the run of it that was last heard.
+    /// Returns a node with its last known incarnation.
     pub fn peer_opt(&self, host: &id::Host) -> Option<Peer> {
         let incarnation = self.others.get(host)?.incarnation;
         Some(Peer {
@@ -159,7 +161,8 @@
         })
     }
 
-    /// The names of live nodes; ours among them unless we are `leaving`.
+    /// Returns the sorted names of the live nodes. This node is included unless
+    /// it is `leaving` and others are live.
     pub fn live(&self, now: Time, leaving: bool) -> Vec<id::Host> {
         let others = self
             .others
@@ -173,7 +176,7 @@
         names
     }
 
-    /// The node that may run an incarnation's tickets, if one is known and up.
+    /// Returns a connected node that may run the tickets of an incarnation.
     pub fn serving_opt(&self, run: id::Incarnation) -> Option<&id::Host> {
         let serves =
             |member: &Member| member.incarnation == run || member.heartbeat.serves.contains(&run);
@@ -184,8 +187,8 @@
         found.map(|(name, _)| name)
     }
 
-    /// True where this node reads the platform itself: one of the first few of
-    /// its data centre by a hash, or one that hears nobody.
+    /// Whether this node reads the platform itself: it is among the highest of
+    /// its data centre by hash, or it has no live node near it.
     pub fn is_watcher(&self, now: Time) -> bool {
         let near = self.others.iter().filter(|(_, member)| {
             self.is_live(now, member) && member.data_centre.as_ref() == Some(&self.own_centre)
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other. Typed here; the shell puts them on the wire.
+//! Messages between nodes. The caller of the core encodes and sends them.
 
 use std::sync::Arc;
 
@@ -14,118 +14,119 @@
 use crate::pool::Ask;
 use crate::pool::End;
 
-/// The version of this protocol; the first byte of everything on the wire.
+/// The protocol version, sent as the first byte on the wire.
 pub const VERSION: u8 = 1;
 
-/// A sign of life, with what others need to know of a node.
+/// A periodic liveness message with the state that other nodes need.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The revision in force, 0 for none.
+    /// The configuration revision in force, or 0 if there is none.
     pub revision: u64,
-    /// The platform's index of the document in force.
+    /// The platform index of the document in force.
     pub index: u64,
-    /// The first bytes of the digest of the document in force.
+    /// A 64-bit hash of the digest of the document in force.
     pub digest: u64,
-    /// The platform's index of the host list held.
+    /// The platform index of the host list that the node holds.
     pub hosts_index: u64,
-    /// True where the node's own reads of the platform confirm that list.
+    /// Whether the node's own reads of the platform confirm that list.
     pub hosts_confirmed: bool,
-    /// True while the node is stopping.
+    /// Whether the node is stopping.
     pub leaving: bool,
-    /// The incarnations whose tickets it may run, beside its own.
+    /// The incarnations whose tickets the node may run, besides its own.
     pub serves: Vec<id::Incarnation>,
 }
 
 /// A message from one node to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A sign of life.
+    /// Reports that the sender is alive, with its state.
     Heartbeat(Heartbeat),
-    /// I had lost sight of you and forgot what you asked: say it again.
+    /// Asks the receiver to send its requests again: the sender lost contact
+    /// and discarded them.
     SayAgain,
-    /// Send me the document in force.
+    /// Requests the document in force.
     WantDocument,
-    /// The document in force, with the platform's index of it.
+    /// Carries the document in force.
     Document {
-        /// The whole text.
+        /// The full text of the document.
         text: Arc<str>,
-        /// The platform's index.
+        /// The index on the platform.
         index: u64,
     },
-    /// Send me the host list.
+    /// Requests the host list.
     WantHosts,
-    /// The host list, with the platform's index of it.
+    /// Carries the host list.
     Hosts {
-        /// What it says.
+        /// The hosts.
         list: Arc<hosts::List>,
-        /// The platform's index.
+        /// The index on the platform.
         index: u64,
     },
-    /// I want an endpoint of a target.
+    /// Requests an endpoint of a target.
     Ask {
         /// The target.
         target: id::Target,
-        /// For what.
+        /// The request for an endpoint.
         ask: Ask,
     },
-    /// I no longer want an endpoint, or am done with it.
+    /// Withdraws a request for an endpoint, or releases the endpoint.
     Done {
         /// The target.
         target: id::Target,
         /// The request.
         request: id::Request,
-        /// The ask that is over.
+        /// The attempt that is over.
         attempt: u32,
         /// How it ended.
         end: End,
     },
-    /// You may call the endpoint.
+    /// Grants an endpoint to a request.
     Grant {
         /// The target.
         target: id::Target,
         /// The request.
         request: id::Request,
-        /// The ask that is answered.
+        /// The attempt that is answered.
         attempt: u32,
         /// The endpoint.
         endpoint: id::Endpoint,
     },
-    /// You may not.
+    /// Refuses an endpoint to a request.
     Refuse {
         /// The request.
         request: id::Request,
-        /// The ask that is answered.
+        /// The attempt that is answered.
         attempt: u32,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// How long to wait before the next try.
         retry_after: Span,
     },
-    /// A call's first token came.
+    /// Reports the first token of a call.
     First {
         /// The target.
         target: id::Target,
         /// The request.
         request: id::Request,
     },
-    /// Tokens came since the last such message.
+    /// Reports the tokens received since the previous such message.
     Progress {
         /// The target.
         target: id::Target,
-        /// For each endpoint: tokens, and decoding time added up.
+        /// The tokens and the total decoding time of each endpoint.
         endpoints: Vec<(id::Endpoint, Tokens, Span)>,
     },
-    /// I run this call; count it, for you hold the pool now.
+    /// Reports a running call to the new owner of the pool, which counts it.
     Adopt {
         /// The target.
         target: id::Target,
-        /// For what.
+        /// The request for an endpoint.
         ask: Ask,
-        /// Where it runs.
+        /// The endpoint that runs the call.
         endpoint: id::Endpoint,
     },
-    /// These unused tickets are yours now.
+    /// Transfers unused tickets to the receiver.
     Estate(Estate),
-    /// I have them.
+    /// Confirms a transfer of tickets.
     EstateTaken,
 }
--- a/crates/core/src/trace.rs
+++ b/crates/core/src/trace.rs
@@ -1,4 +1,4 @@
-//! What was decided for each of the last requests, for `explain`.
+//! A bounded record of the decisions for recent requests, used by `explain`.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -9,60 +9,60 @@
 use woadstage_types::id;
 use woadstage_types::unit::Time;
 
-/// Requests remembered.
+/// The maximum number of requests in a trace.
 const REQUESTS: usize = 2_048;
 
-/// Steps remembered of one request.
+/// The maximum number of steps recorded for one request.
 const STEPS: usize = 16;
 
-/// One thing decided or learnt.
+/// A decision or an observation about a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Step {
-    /// It came from a caller or another node.
+    /// The request arrived from a caller or another node.
     Arrived {
-        /// The class it runs under.
+        /// The class of the request.
         class: id::Class,
-        /// The configuration's revision at the time.
+        /// The configuration revision on arrival.
         revision: u64,
-        /// The time its answer is of use, in microseconds.
+        /// The time left until the deadline, in microseconds.
         left_us: u64,
     },
-    /// It was passed to the node that its key names.
+    /// The request was forwarded to the node that its key names.
     Forwarded {
-        /// That node.
+        /// The receiving node.
         to: id::Host,
     },
-    /// It waits for the answer of another with the same key.
+    /// The request waits for the answer of another with the same key.
     Waits,
-    /// An endpoint was asked for.
+    /// An endpoint was requested from a pool.
     Asked {
-        /// The node that holds the pool.
+        /// The node that manages the pool.
         of: id::Host,
-        /// Which ask.
+        /// The number of the attempt.
         attempt: u32,
     },
     /// An endpoint was granted and called.
     Called {
         /// The endpoint.
         endpoint: id::Endpoint,
-        /// Which ask.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// The first token came.
+    /// The first token arrived.
     First,
     /// The call was stopped.
     Stopped {
-        /// Why, as a code.
+        /// The reason.
         code: Code,
     },
-    /// It ended.
+    /// The request ended.
     Ended {
-        /// How.
+        /// The result.
         code: Code,
     },
 }
 
-/// The last requests' steps, bounded in number.
+/// The steps of the most recent requests, bounded in number.
 #[derive(Debug, Default)]
 pub struct Trace {
     steps: HashMap<id::Request, Vec<(Time, Step)>>,
@@ -70,7 +70,7 @@
 }
 
 impl Trace {
-    /// Notes a step.
+    /// Records a step of a request.
     pub fn add(&mut self, now: Time, request: id::Request, step: Step) {
         if !self.steps.contains_key(&request) {
             self.order.push_back(request);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The steps of a request, or none if it is not remembered.
+    /// Returns the steps of a request, or `None` if it is no longer recorded.
     pub fn steps_opt(&self, request: id::Request) -> Option<&[(Time, Step)]> {
         self.steps.get(&request).map(Vec::as_slice)
     }
--- a/crates/core/tests/core/at_most_once.rs
+++ b/crates/core/tests/core/at_most_once.rs
@@ -1,5 +1,5 @@
-//! What may not be repeated runs at most once, and what is said of it is true:
-//! whatever dies, pauses, is cut off, or is told wrong.
+//! Requests that may not be repeated run at most once, and their reported
+//! outcome is true, despite crashes, pauses, partitions and wrong host lists.
 
 use woadstage_standin::cases;
 use woadstage_standin::world::Answer;
@@ -102,7 +102,7 @@
         world.pause(0);
         let asked = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(6));
-        // The caller has its answer, and it does not say that nothing ran.
+        // The caller gets an answer, which does not claim that nothing ran.
         assert_eq!(refused(&world, asked), "W3005");
         world.resume(0);
         world.run_for(Span::from_secs(2));
@@ -153,7 +153,7 @@
         assert_eq!(refused(&world, asked), "W3005");
         world.each_endpoint(|endpoint| endpoint.mute = false);
         world.run_for(Span::from_secs(1));
-        // The answer came after the caller had given up; a repeat finds it.
+        // The answer arrived after the caller gave up; a repeat returns it.
         let again = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(1));
         assert!(is_whole(&world, again));
@@ -256,9 +256,8 @@
     };
 }
 
-/// The weaker way, kept as a measure of the stories above: a key owned by the
-/// host that each node's own view names. Where views differ it runs twice, so
-/// that a scenario that finds nothing in tickets does find something.
+/// Checks that the scenarios above can detect a double run: a key owned by the
+/// host that each node's own view names runs twice where the views differ.
 fn split_owner(class: &str, key: &dyn Fn(&mut World) -> String) -> u64 {
     let mut world = small();
     world.run_for(Span::from_secs(2));
@@ -282,7 +281,7 @@
             uuid::Uuid::from_u128(id::new_v7(born, 5)).to_string()
         };
         let named = |world: &mut World| ticket(world, 0).expect("a ticket");
-        // The hole that `plain_keys` opens, named in docs/PROMISES.md.
+        // The gap that `plain_keys` opens, described in docs/PROMISES.md.
         assert_eq!(split_owner("plain-confirmation", &fresh), 2);
         assert_eq!(split_owner("shift-confirmation", &named), 1);
     };
--- a/crates/core/tests/core/document.rs
+++ b/crates/core/tests/core/document.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force.
+//! Tests of which configuration is in force.
 
 use std::sync::Arc;
 
@@ -101,7 +101,7 @@
     two_operators_confirm_against_one_base_and_the_first_holds_everywhere => {
         let mut world = four();
         let (one, other) = (next(&sample::document(), 7), next(&sample::document(), 8));
-        // Some hosts see the first, some only what was written over it.
+        // Some hosts see the first document, others only the one that overwrote it.
         world.show_document(0, &one, 2);
         world.show_document(1, &one, 2);
         world.show_document(2, &other, 3);
@@ -148,7 +148,7 @@
         let watchers = (0..9)
             .filter(|node| world.query(*node, |core| core.is_watcher(now)) == Some(true))
             .count();
-        // Two for each of three data centres.
+        // Two watchers in each of three data centres.
         assert_eq!(watchers, 6);
     };
 }
--- a/crates/core/tests/core/leaving.rs
+++ b/crates/core/tests/core/leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that leave, fail or stall.
+//! Tests of endpoints that leave, fail or stall.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
         .count()
 }
 
-/// The list with the first engine leaving.
+/// Returns the host list with the first engine leaving.
 fn without_first(world: &World) -> Arc<hosts::List> {
     let mut list = world.true_list();
     let first = list.hosts.iter_mut().find(|host| host.name == "engine-0");
@@ -39,7 +39,7 @@
     Arc::new(list)
 }
 
-/// What each node holds: the index of its list.
+/// Returns the index of the host list that each node holds.
 fn indexes(world: &World) -> Vec<u64> {
     let now = world.now();
     let index = |node: usize| world.query(node, |core| core.status(now).hosts_index);
@@ -50,7 +50,7 @@
     one_node_with_a_stale_platform_brings_no_leaving_endpoint_back => {
         let mut world = world(Options { nodes: 4, ..Options::default() });
         let (old, new) = (Arc::new(world.true_list()), without_first(&world));
-        // A minute and a half: nodes 0 and 1 read the platform every thirty
+        // Within 90 seconds, nodes 0 and 1 read the platform every 30
         // seconds, node 2 a stale copy of it every second.
         for second in 0..90u64 {
             let (old, new) = (old.clone(), new.clone());
--- a/crates/core/tests/core/ledger.rs
+++ b/crates/core/tests/core/ledger.rs
@@ -1,4 +1,4 @@
-//! Tickets and keys of one node.
+//! Tests of the tickets and keys of one node.
 
 use woadstage_core::ledger::Claim;
 use woadstage_core::ledger::Key;
@@ -125,7 +125,7 @@
             ticket(&mut ledger);
         }
         assert_eq!(ledger.claim(NOW, &oldest, by(2)), Claim::Refused(Code::TicketExpired));
-        // What runs is remembered until it ends, and is not run again after.
+        // A running ticket is remembered until it ends and does not run again.
         assert_eq!(ledger.claim(NOW, &used, by(3)), Claim::Wait);
         ledger.put_back(id::Request(1));
         assert_eq!(ledger.claim(NOW, &used, by(4)), Claim::Refused(Code::TicketExpired));
@@ -145,7 +145,7 @@
         assert_eq!(second.claim(NOW, &used, by(3)), Claim::Refused(Code::AnswerDropped));
         assert_eq!(second.claim(NOW, &unused, by(4)), Claim::First);
         second.record(id::Request(4), None);
-        // The estate arrives a second time: what was used since stays used.
+        // The transfer arrives again: tickets used in between stay used.
         second.inherit(estate);
         assert_eq!(second.claim(NOW, &unused, by(5)), Claim::Refused(Code::AnswerDropped));
     };
--- a/crates/core/tests/core/main.rs
+++ b/crates/core/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision core, one module for each of its own.
+//! Tests of the scheduling core, by module.
 
 mod at_most_once;
 mod document;
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -1,4 +1,4 @@
-//! What is known of other nodes.
+//! Tests of membership and liveness.
 
 use woadstage_config::hosts;
 use woadstage_core::member::Members;
--- a/crates/core/tests/core/repeats.rs
+++ b/crates/core/tests/core/repeats.rs
@@ -1,4 +1,4 @@
-//! Repeats stay within their budget.
+//! Tests that retries stay within their budget.
 
 use woadstage_standin::cases;
 use woadstage_standin::world::Options;
@@ -9,7 +9,8 @@
 use crate::support::chat;
 use crate::support::world;
 
-/// Load while some engines break every call; calls made for each request.
+/// Runs a load while some engines fail every call, and returns the number of
+/// calls per request.
 fn amplification(failing: usize) -> f64 {
     let mut world: World = world(Options::default());
     for endpoint in world.endpoints.iter_mut().take(failing) {
--- a/crates/core/tests/core/stop.rs
+++ b/crates/core/tests/core/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop.
+//! Tests of the planned stop.
 
 use woadstage_core::node::Event;
 use woadstage_standin::cases;
--- a/crates/core/tests/core/stories.rs
+++ b/crates/core/tests/core/stories.rs
@@ -1,4 +1,4 @@
-//! Random stories of a key: what is asked when, and what breaks meanwhile.
+//! Randomised scenarios for one key, with repeated requests and injected faults.
 
 use proptest::prelude::*;
 use rand::RngExt;
@@ -13,7 +13,7 @@
 
 const NODES: usize = 4;
 
-/// One key's story: what is asked when, and what breaks meanwhile.
+/// A scenario for one key: when it is sent and which faults occur meanwhile.
 #[derive(Debug, Clone)]
 struct Story {
     seed: u64,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Tells a story in a world, with keys by `key`, and gives the world at its end.
+/// Runs a scenario in a world with keys made by `key`, and returns the world.
 fn tell(story: &Story, class: &'static str, keys: &[String]) -> World {
     let mut world = world(Options {
         seed: story.seed,
@@ -132,7 +132,7 @@
     fn plain_keys_run_at_most_once_at_endpoints_that_check(story in story()) {
         let keys = ["order-1".to_string(), "order-2".to_string()];
         let world = tell(&story, "booking", &keys);
-        // Each endpoint checks its own keys; two endpoints do not tell each
+        // Each endpoint checks its own keys; two endpoints share no keys with each
         // other, so that one is all that the promise can mean.
         let each = world.endpoints.iter().filter(|one| one.checks).count() as u64;
         prop_assert!(world.runs.values().all(|count| *count <= each));
