--- a/crates/bench/src/bin/state.rs
+++ b/crates/bench/src/bin/state.rs
@@ -10,9 +10,9 @@
 use woadstage_config::plan;
 use woadstage_config::published;
 use woadstage_core::ledger::Claim;
+use woadstage_core::ledger::Claimant;
 use woadstage_core::ledger::Key;
 use woadstage_core::ledger::Ledger;
-use woadstage_core::ledger::Use;
 use woadstage_core::limit::Customers;
 use woadstage_core::message::Heartbeat;
 use woadstage_core::message::Message;
@@ -131,7 +131,7 @@
                 continue;
             };
             let request = id::Request(number);
-            let by = Use {
+            let by = Claimant {
                 request,
                 customer: 7,
                 fingerprint: 1,
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -45,7 +45,7 @@
 }
 
 /// Checks whether `new` may replace `held`, and returns the reason if not.
-pub fn judge(held: Option<&Document>, new: &Document) -> Result<(), Code> {
+pub fn check_replacement(held: Option<&Document>, new: &Document) -> Result<(), Code> {
     let Some(held) = held else { return Ok(()) };
     let (old, next) = (&held.config.confirmation, &new.config.confirmation);
     if next.digest == old.digest || next.revision < old.revision {
--- a/crates/core/src/ledger/claim.rs
+++ b/crates/core/src/ledger/claim.rs
@@ -8,7 +8,7 @@
 use super::Entry;
 use super::Key;
 use super::Ledger;
-use super::PLAIN_KEYS;
+use super::MAX_PLAIN_KEYS;
 use super::State;
 
 /// The clock skew between hosts and callers up to which valid keys are accepted.
@@ -30,7 +30,7 @@
 
 /// The request that claims a key.
 #[derive(Debug, Clone, Copy)]
-pub struct Use {
+pub struct Claimant {
     /// The request.
     pub request: id::Request,
     /// The number of its customer.
@@ -43,7 +43,7 @@
 
 impl Ledger {
     /// Claims `key` for a request.
-    pub fn claim(&mut self, now: Time, key: &Key, by: Use) -> Claim {
+    pub fn claim(&mut self, now: Time, key: &Key, by: Claimant) -> Claim {
         if let Some(entry) = self.entries.get_mut(key) {
             return repeat(entry, by);
         }
@@ -57,7 +57,7 @@
         if let Some(code) = refused {
             return Claim::Refused(code);
         }
-        let Use {
+        let Claimant {
             request,
             fingerprint,
             ..
@@ -76,7 +76,7 @@
     }
 
     /// Marks a ticket as used, or returns why it cannot be.
-    fn take_ticket(&mut self, key: &Key, by: Use) -> Option<Code> {
+    fn take_ticket(&mut self, key: &Key, by: Claimant) -> Option<Code> {
         let Key::Ticket(ticket) = key else {
             return Some(Code::TicketInvalid);
         };
@@ -99,7 +99,7 @@
         }
     }
 
-    fn take_plain(&mut self, now: Time, text: &str, by: Use) -> Option<Code> {
+    fn take_plain(&mut self, now: Time, text: &str, by: Claimant) -> Option<Code> {
         if !by.endpoint_checks {
             let Some(born) = id::v7_timestamp_opt(text) else {
                 return Some(Code::TicketNeeded);
@@ -111,7 +111,7 @@
             }
         }
         self.plain.push_back((text.into(), by.customer));
-        if self.plain.len() > PLAIN_KEYS {
+        if self.plain.len() > MAX_PLAIN_KEYS {
             self.drop_oldest_plain();
         }
         None
@@ -134,7 +134,7 @@
     }
 }
 
-fn repeat(entry: &mut Entry, by: Use) -> Claim {
+fn repeat(entry: &mut Entry, by: Claimant) -> Claim {
     if entry.fingerprint != by.fingerprint {
         return Claim::Refused(Code::KeyInUse);
     }
--- a/crates/core/src/ledger/issue.rs
+++ b/crates/core/src/ledger/issue.rs
@@ -2,8 +2,8 @@
 
 use super::Key;
 use super::Ledger;
+use super::MAX_TICKETS;
 use super::Ticket;
-use super::WINDOW;
 
 impl Ledger {
     /// Issues a ticket to a customer, or returns `None` once the ledger was
@@ -16,7 +16,7 @@
         let book = self.books.get_mut(&self.own)?;
         let number = book.first + book.unused.len() as u64;
         book.unused.push_back(Some(customer));
-        if book.unused.len() > WINDOW {
+        if book.unused.len() > MAX_TICKETS {
             book.unused.pop_front();
             let forgotten = Ticket {
                 incarnation: self.own,
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -33,17 +33,17 @@
 mod succeed;
 
 pub use claim::Claim;
-pub use claim::Use;
+pub use claim::Claimant;
 pub use succeed::Estate;
 
 /// The prefix of a ticket's text form.
 const PREFIX: &str = "wst1-";
 
 /// The maximum number of tickets of an incarnation. Older ones are refused.
-pub const WINDOW: usize = 65_536;
+pub const MAX_TICKETS: usize = 65_536;
 
 /// The maximum number of callers' own keys that a node remembers.
-pub const PLAIN_KEYS: usize = 65_536;
+pub const MAX_PLAIN_KEYS: usize = 65_536;
 
 /// A permission to run one request at most once, on one incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/core/src/ledger/record.rs
+++ b/crates/core/src/ledger/record.rs
@@ -10,7 +10,7 @@
 impl Ledger {
     /// Releases the key of a request that did not run and will not, so that it
     /// can be claimed again. Returns the requests that waited for its answer.
-    pub fn put_back(&mut self, request: id::Request) -> Vec<id::Request> {
+    pub fn release_key(&mut self, request: id::Request) -> Vec<id::Request> {
         let Some(key) = self.running.remove(&request) else {
             return Vec::new();
         };
--- a/crates/core/src/ledger/succeed.rs
+++ b/crates/core/src/ledger/succeed.rs
@@ -31,7 +31,7 @@
     /// Closes the ledger and returns its unused tickets, or `None` while a keyed
     /// request is in progress. No key can be claimed here afterwards, even if
     /// the successor never receives the tickets.
-    pub fn try_give(&mut self) -> Option<Estate> {
+    pub fn try_hand_over(&mut self) -> Option<Estate> {
         if !self.running.is_empty() || !self.open {
             return None;
         }
@@ -49,7 +49,7 @@
 
     /// Takes over the tickets of another node. A book that is already known is
     /// kept unchanged, so a transfer that arrives twice has no further effect.
-    pub fn inherit(&mut self, estate: Estate) {
+    pub fn take_over(&mut self, estate: Estate) {
         if !self.open {
             return;
         }
@@ -70,7 +70,7 @@
 }
 
 fn open(inherited: Inherited) -> Book {
-    let count = inherited.count.min(super::WINDOW as u64) as usize;
+    let count = inherited.count.min(super::MAX_TICKETS as u64) as usize;
     let mut unused = std::collections::VecDeque::from(vec![None; count]);
     for (number, customer) in inherited.unused {
         let at = number.checked_sub(inherited.first).map(|at| at as usize);
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -30,7 +30,7 @@
     /// When the last heartbeat arrived.
     pub heard: Time,
     /// Whether a connection to the node is open.
-    pub up: bool,
+    pub connected: bool,
     /// The data centre, if the host list names the node.
     pub data_centre: Option<id::DataCentre>,
 }
@@ -41,7 +41,7 @@
     own: id::Host,
     own_centre: id::DataCentre,
     /// Other nodes by name.
-    pub others: HashMap<id::Host, Member>,
+    pub peers: HashMap<id::Host, Member>,
     heartbeat: Span,
     /// The entry hosts that the list marks as live, without this node.
     pub listed: Vec<id::Host>,
@@ -54,7 +54,7 @@
         Members {
             own,
             own_centre,
-            others: HashMap::new(),
+            peers: HashMap::new(),
             heartbeat,
             listed: Vec::new(),
             centres: HashMap::new(),
@@ -72,7 +72,7 @@
         for host in entry {
             let name = id::Host::new(&host.name);
             self.centres.insert(name.clone(), host.data_centre.clone());
-            if let Some(member) = self.others.get_mut(&name) {
+            if let Some(member) = self.peers.get_mut(&name) {
                 member.data_centre = Some(host.data_centre.clone());
             }
             if host.state == hosts::State::Live && name != self.own {
@@ -82,12 +82,12 @@
         // Hosts are replaced every day: a node that is neither listed nor
         // connected will not return.
         let centres = &self.centres;
-        self.others
-            .retain(|name, member| member.up || centres.contains_key(name));
+        self.peers
+            .retain(|name, member| member.connected || centres.contains_key(name));
     }
 
     /// Records a heartbeat.
-    pub fn hear(&mut self, now: Time, from: &Peer, said: Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: Time, from: &Peer, said: Heartbeat) {
         let member = self.member(from);
         member.incarnation = from.incarnation;
         member.heartbeat = said;
@@ -95,28 +95,28 @@
     }
 
     /// Records that a connection was opened.
-    pub fn set_up(&mut self, peer: &Peer) {
+    pub fn set_connected(&mut self, peer: &Peer) {
         let member = self.member(peer);
         member.incarnation = peer.incarnation;
-        member.up = true;
+        member.connected = true;
     }
 
     /// Records that a connection was lost.
-    pub fn set_down(&mut self, host: &id::Host) {
-        if let Some(member) = self.others.get_mut(host) {
-            member.up = false;
+    pub fn set_disconnected(&mut self, host: &id::Host) {
+        if let Some(member) = self.peers.get_mut(host) {
+            member.connected = false;
         }
     }
 
     fn member(&mut self, peer: &Peer) -> &mut Member {
         let centre = self.centres.get(&peer.host).cloned();
-        self.others
+        self.peers
             .entry(peer.host.clone())
             .or_insert_with(|| Member {
                 incarnation: peer.incarnation,
                 heartbeat: Heartbeat::default(),
                 heard: Time(0),
-                up: false,
+                connected: false,
                 data_centre: centre,
             })
     }
@@ -125,20 +125,20 @@
         let fresh = now.since(member.heard).0 <= self.heartbeat.0 * MISSED;
         // A new node without a configuration and a host list cannot manage a pool.
         let knows = member.heartbeat.revision > 0 && member.heartbeat.hosts_index > 0;
-        member.up && fresh && knows && !member.heartbeat.leaving
+        member.connected && fresh && knows && !member.heartbeat.leaving
     }
 
     /// Whether messages to the host are likely to arrive.
     pub fn is_reachable(&self, now: Time, host: &id::Host) -> bool {
         let fresh = |m: &Member| now.since(m.heard).0 <= self.heartbeat.0 * MISSED;
-        self.others
+        self.peers
             .get(host)
-            .is_some_and(|member| member.up && fresh(member))
+            .is_some_and(|member| member.connected && fresh(member))
     }
 
     /// Whether the node's own reads of the platform confirm its host list.
     pub fn confirms_hosts(&self, host: &id::Host) -> bool {
-        self.others
+        self.peers
             .get(host)
             .is_some_and(|member| member.heartbeat.hosts_confirmed)
     }
@@ -146,7 +146,7 @@
     /// Whether a reachable node's own reads confirm a host list with at least
     /// the given index.
     pub fn any_confirms_hosts(&self, now: Time, index: u64) -> bool {
-        self.others.iter().any(|(host, member)| {
+        self.peers.iter().any(|(host, member)| {
             let said = &member.heartbeat;
             said.hosts_confirmed && said.hosts_index >= index && self.is_reachable(now, host)
         })
@@ -154,7 +154,7 @@
 
     /// Returns a node with its last known incarnation.
     pub fn peer_opt(&self, host: &id::Host) -> Option<Peer> {
-        let incarnation = self.others.get(host)?.incarnation;
+        let incarnation = self.peers.get(host)?.incarnation;
         Some(Peer {
             host: host.clone(),
             incarnation,
@@ -164,11 +164,11 @@
     /// Returns the sorted names of the live nodes. This node is included unless
     /// it is `leaving` and others are live.
     pub fn live(&self, now: Time, leaving: bool) -> Vec<id::Host> {
-        let others = self
-            .others
+        let peers = self
+            .peers
             .iter()
             .filter(|(_, member)| self.is_live(now, member));
-        let mut names: Vec<id::Host> = others.map(|(name, _)| name.clone()).collect();
+        let mut names: Vec<id::Host> = peers.map(|(name, _)| name.clone()).collect();
         if !leaving || names.is_empty() {
             names.push(self.own.clone());
         }
@@ -181,16 +181,16 @@
         let serves =
             |member: &Member| member.incarnation == run || member.heartbeat.serves.contains(&run);
         let found = self
-            .others
+            .peers
             .iter()
-            .find(|(_, member)| member.up && serves(member));
+            .find(|(_, member)| member.connected && serves(member));
         found.map(|(name, _)| name)
     }
 
     /// Whether this node reads the platform itself: it is among the highest of
     /// its data centre by hash, or it has no live node near it.
     pub fn is_watcher(&self, now: Time) -> bool {
-        let near = self.others.iter().filter(|(_, member)| {
+        let near = self.peers.iter().filter(|(_, member)| {
             self.is_live(now, member) && member.data_centre.as_ref() == Some(&self.own_centre)
         });
         let score = |name: &id::Host| hash::chain(WATCH_SEED, name.as_str().as_bytes());
--- a/crates/core/src/node/finish.rs
+++ b/crates/core/src/node/finish.rs
@@ -100,7 +100,7 @@
     /// It is certain that no endpoint was given the request: its key, if it
     /// has one, may be used again, and all who wait for it are told.
     pub(super) fn not_run(&mut self, now: Time, request: id::Request, refusal: Refusal) {
-        for other in self.ledger.put_back(request) {
+        for other in self.ledger.release_key(request) {
             self.finish(now, other, refusal.clone());
         }
         self.finish(now, request, refusal);
--- a/crates/core/src/node/keyed.rs
+++ b/crates/core/src/node/keyed.rs
@@ -12,9 +12,9 @@
 use super::Refusal;
 use super::Task;
 use crate::ledger::Claim;
+use crate::ledger::Claimant;
 use crate::ledger::Key;
 use crate::ledger::Ticket;
-use crate::ledger::Use;
 use crate::trace::Step;
 
 /// Where a keyed request goes.
@@ -113,7 +113,7 @@
     fn claim(&mut self, now: Time, arrival: &Arrival, mut task: Task, key: Key) {
         let request = arrival.request;
         let customer = task.customer.clone();
-        let by = Use {
+        let by = Claimant {
             request,
             customer: customer.name.to_number(),
             fingerprint: arrival.fingerprint,
--- a/crates/core/src/node/peer.rs
+++ b/crates/core/src/node/peer.rs
@@ -13,7 +13,7 @@
 
 impl Node {
     pub(super) fn peer_up(&mut self, now: Time, peer: Peer) {
-        self.members.set_up(&peer);
+        self.members.set_connected(&peer);
         self.beat_to(now, &peer.host);
         self.view(now);
         // What it held for us may be lost with the old connection.
@@ -21,7 +21,7 @@
     }
 
     pub(super) fn peer_down(&mut self, now: Time, host: &id::Host) {
-        self.members.set_down(host);
+        self.members.set_disconnected(host);
         self.lose_sight(now, host);
         self.view(now);
     }
@@ -47,8 +47,12 @@
 
     /// Sends a heartbeat to every node that is up.
     pub(super) fn beat_all(&mut self, now: Time) {
-        let others = self.members.others.iter().filter(|(_, member)| member.up);
-        let mut names: Vec<id::Host> = others.map(|(name, _)| name.clone()).collect();
+        let peers = self
+            .members
+            .peers
+            .iter()
+            .filter(|(_, member)| member.connected);
+        let mut names: Vec<id::Host> = peers.map(|(name, _)| name.clone()).collect();
         names.sort();
         for name in names {
             self.beat_to(now, &name);
@@ -127,7 +131,7 @@
                 self.refused(now, &from, request, attempt, refusal);
             }
             Message::Estate(estate) => {
-                self.ledger.inherit(estate);
+                self.ledger.take_over(estate);
                 self.send(&from.host, Message::EstateTaken);
                 self.beat_all(now);
             }
@@ -204,7 +208,7 @@
         self.checked |= said.revision > 0 && said.revision <= own;
         let known = self
             .members
-            .others
+            .peers
             .get(&from.host)
             .map(|member| member.incarnation);
         if let Some(incarnation) = known.filter(|known| *known != from.incarnation) {
@@ -218,7 +222,7 @@
         }
         self.compare_documents(&from.host, &said);
         self.compare_hosts(now, &from.host, &said);
-        self.members.hear(now, &from, said);
+        self.members.record_heartbeat(now, &from, said);
         self.view(now);
     }
 }
--- a/crates/core/src/node/platform.rs
+++ b/crates/core/src/node/platform.rs
@@ -41,7 +41,7 @@
             }
         };
         let revision = new.config.confirmation.revision;
-        if let Err(code) = document::judge(self.document.as_ref(), &new) {
+        if let Err(code) = document::check_replacement(self.document.as_ref(), &new) {
             self.out.push(Action::Config {
                 revision,
                 refused: Some(code),
--- a/crates/core/src/node/query.rs
+++ b/crates/core/src/node/query.rs
@@ -154,7 +154,7 @@
     pub fn status(&self, now: Time) -> Status {
         let mut peers: Vec<Peer> = self
             .members
-            .others
+            .peers
             .iter()
             .map(|(host, member)| Peer {
                 host: host.clone(),
--- a/crates/core/src/node/stop.rs
+++ b/crates/core/src/node/stop.rs
@@ -59,7 +59,7 @@
             self.estate = Handover::Over;
             return;
         };
-        let Some(estate) = self.ledger.try_give() else {
+        let Some(estate) = self.ledger.try_hand_over() else {
             return;
         };
         self.estate = Handover::Given(now);
--- a/crates/core/tests/core/document.rs
+++ b/crates/core/tests/core/document.rs
@@ -5,7 +5,7 @@
 use woadstage_config::plan;
 use woadstage_config::published;
 use woadstage_core::document::Document;
-use woadstage_core::document::judge;
+use woadstage_core::document::check_replacement;
 use woadstage_standin::cases;
 use woadstage_standin::sample;
 use woadstage_standin::world::Options;
@@ -116,7 +116,7 @@
         let (one, other) = (next(&sample::document(), 7), next(&sample::document(), 8));
         let held = Document::read(one, 2).expect("a document");
         let beside = Document::read(next(&other, 9), 4).expect("a document");
-        assert_eq!(judge(Some(&held), &beside), Err(Code::BaseMismatch));
+        assert_eq!(check_replacement(Some(&held), &beside), Err(Code::BaseMismatch));
     };
 
     hosts_cut_off_from_the_platform_are_reached_through_others => {
--- a/crates/core/tests/core/ledger.rs
+++ b/crates/core/tests/core/ledger.rs
@@ -1,12 +1,12 @@
 //! Tests of the tickets and keys of one node.
 
 use woadstage_core::ledger::Claim;
+use woadstage_core::ledger::Claimant;
 use woadstage_core::ledger::Key;
 use woadstage_core::ledger::Ledger;
-use woadstage_core::ledger::PLAIN_KEYS;
+use woadstage_core::ledger::MAX_PLAIN_KEYS;
+use woadstage_core::ledger::MAX_TICKETS;
 use woadstage_core::ledger::Ticket;
-use woadstage_core::ledger::Use;
-use woadstage_core::ledger::WINDOW;
 use woadstage_standin::cases;
 use woadstage_types::code::Code;
 use woadstage_types::id;
@@ -20,8 +20,8 @@
     Ledger::new(id::Incarnation(run), NOW, Size(1_000))
 }
 
-fn by(request: u128) -> Use {
-    Use {
+fn by(request: u128) -> Claimant {
+    Claimant {
         request: id::Request(request),
         customer: 7,
         fingerprint: 1,
@@ -88,14 +88,14 @@
         let key = ticket(&mut ledger);
         assert_eq!(ledger.claim(NOW, &key, by(1)), Claim::First);
         assert_eq!(ledger.claim(NOW, &key, by(2)), Claim::Wait);
-        assert_eq!(ledger.put_back(id::Request(1)), [id::Request(2)]);
+        assert_eq!(ledger.release_key(id::Request(1)), [id::Request(2)]);
         assert_eq!(ledger.claim(NOW, &key, by(3)), Claim::First);
     };
 
     a_ticket_is_its_customers_alone => {
         let mut ledger = ledger(1);
         let key = ticket(&mut ledger);
-        let stranger = Use { customer: 8, ..by(1) };
+        let stranger = Claimant { customer: 8, ..by(1) };
         assert_eq!(ledger.claim(NOW, &key, stranger), Claim::Refused(Code::TicketInvalid));
         assert_eq!(ledger.claim(NOW, &key, by(2)), Claim::First);
     };
@@ -112,7 +112,7 @@
         let mut ledger = ledger(1);
         let key = ticket(&mut ledger);
         assert_eq!(ledger.claim(NOW, &key, by(1)), Claim::First);
-        let other = Use { fingerprint: 2, ..by(2) };
+        let other = Claimant { fingerprint: 2, ..by(2) };
         assert_eq!(ledger.claim(NOW, &key, other), Claim::Refused(Code::KeyInUse));
     };
 
@@ -121,13 +121,13 @@
         let oldest = ticket(&mut ledger);
         let used = ticket(&mut ledger);
         assert_eq!(ledger.claim(NOW, &used, by(1)), Claim::First);
-        for _ in 0..WINDOW {
+        for _ in 0..MAX_TICKETS {
             ticket(&mut ledger);
         }
         assert_eq!(ledger.claim(NOW, &oldest, by(2)), Claim::Refused(Code::TicketExpired));
         // A running ticket is remembered until it ends and does not run again.
         assert_eq!(ledger.claim(NOW, &used, by(3)), Claim::Wait);
-        ledger.put_back(id::Request(1));
+        ledger.release_key(id::Request(1));
         assert_eq!(ledger.claim(NOW, &used, by(4)), Claim::Refused(Code::TicketExpired));
     };
 
@@ -135,18 +135,18 @@
         let mut first = ledger(1);
         let (used, unused) = (ticket(&mut first), ticket(&mut first));
         assert_eq!(first.claim(NOW, &used, by(1)), Claim::First);
-        assert!(first.try_give().is_none(), "a keyed request is in progress");
+        assert!(first.try_hand_over().is_none(), "a keyed request is in progress");
         first.record(id::Request(1), None);
-        let estate = first.try_give().expect("nothing is in progress");
+        let estate = first.try_hand_over().expect("nothing is in progress");
         assert_eq!(first.claim(NOW, &unused, by(2)), Claim::Refused(Code::OwnerGone));
         assert_eq!(first.try_issue(7), None);
         let mut second = ledger(2);
-        second.inherit(estate.clone());
+        second.take_over(estate.clone());
         assert_eq!(second.claim(NOW, &used, by(3)), Claim::Refused(Code::AnswerDropped));
         assert_eq!(second.claim(NOW, &unused, by(4)), Claim::First);
         second.record(id::Request(4), None);
         // The transfer arrives again: tickets used in between stay used.
-        second.inherit(estate);
+        second.take_over(estate);
         assert_eq!(second.claim(NOW, &unused, by(5)), Claim::Refused(Code::AnswerDropped));
     };
 
@@ -169,13 +169,13 @@
     plain_keys_are_bounded_and_what_is_forgotten_is_refused => {
         let mut ledger = ledger(1);
         let key = |at: u64| plain(later(5) + Span::from_millis(at));
-        let now = later(5) + Span::from_millis(PLAIN_KEYS as u64 + 10);
-        for at in 0..=PLAIN_KEYS as u64 {
+        let now = later(5) + Span::from_millis(MAX_PLAIN_KEYS as u64 + 10);
+        for at in 0..=MAX_PLAIN_KEYS as u64 {
             let request = id::Request(u128::from(at));
             assert_eq!(ledger.claim(now, &key(at), by(u128::from(at))), Claim::First);
             ledger.record(request, None);
         }
-        assert!(ledger.len() <= PLAIN_KEYS);
+        assert!(ledger.len() <= MAX_PLAIN_KEYS);
         assert_eq!(ledger.claim(now, &key(0), by(9)), Claim::Refused(Code::KeyTooOld));
     };
 }
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -45,38 +45,38 @@
         for turn in 0..1_000 {
             let name = format!("entry-{turn}");
             members.set_list(&list(&["own", &name]));
-            members.set_up(&peer(&name));
-            members.hear(NOW, &peer(&name), said());
-            members.set_down(&id::Host::new(&name));
+            members.set_connected(&peer(&name));
+            members.record_heartbeat(NOW, &peer(&name), said());
+            members.set_disconnected(&id::Host::new(&name));
         }
         members.set_list(&list(&["own"]));
-        assert_eq!(members.others.len(), 0);
+        assert_eq!(members.peers.len(), 0);
     };
 
     a_connected_host_that_the_list_lacks_is_kept => {
         let mut members = members();
-        members.set_up(&peer("entry-1"));
-        members.hear(NOW, &peer("entry-1"), said());
+        members.set_connected(&peer("entry-1"));
+        members.record_heartbeat(NOW, &peer("entry-1"), said());
         members.set_list(&list(&["own"]));
         assert!(members.is_reachable(NOW, &id::Host::new("entry-1")));
     };
 
     a_node_that_was_not_heard_for_five_heartbeats_is_not_live => {
         let mut members = members();
-        members.set_up(&peer("entry-1"));
-        members.hear(NOW, &peer("entry-1"), said());
+        members.set_connected(&peer("entry-1"));
+        members.record_heartbeat(NOW, &peer("entry-1"), said());
         let live = |members: &Members, after| members.live(NOW + Span::from_millis(after), false).len();
         assert_eq!((live(&members, 500), live(&members, 501)), (2, 1));
     };
 
     a_node_that_is_leaving_or_knows_nothing_holds_no_pool => {
         let mut members = members();
-        members.set_up(&peer("entry-1"));
-        members.hear(NOW, &peer("entry-1"), Heartbeat { leaving: true, ..said() });
+        members.set_connected(&peer("entry-1"));
+        members.record_heartbeat(NOW, &peer("entry-1"), Heartbeat { leaving: true, ..said() });
         assert_eq!(members.live(NOW, false).len(), 1);
-        members.hear(NOW, &peer("entry-1"), Heartbeat { revision: 0, ..said() });
+        members.record_heartbeat(NOW, &peer("entry-1"), Heartbeat { revision: 0, ..said() });
         assert_eq!(members.live(NOW, false).len(), 1);
-        members.hear(NOW, &peer("entry-1"), said());
+        members.record_heartbeat(NOW, &peer("entry-1"), said());
         assert_eq!(members.live(NOW, false).len(), 2);
     };
 }
