--- a/crates/core/src/ledger/claim.rs
+++ b/crates/core/src/ledger/claim.rs
@@ -13,7 +13,7 @@
 
 /// The clock skew between hosts and callers up to which valid keys are accepted.
 /// It matters only for callers' own keys at endpoints that do not check keys.
-const CLOCKS_DIFFER: Span = Span::from_millis(500);
+const MAX_CLOCK_SKEW: Span = Span::from_millis(500);
 
 /// The result of claiming a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,16 +43,16 @@
 
 impl Ledger {
     /// Claims `key` for a request.
-    pub fn claim(&mut self, now: Time, key: &Key, by: Claimant) -> Claim {
+    pub fn claim(&mut self, now: Time, key: &Key, claimant: Claimant) -> Claim {
         if let Some(entry) = self.entries.get_mut(key) {
-            return repeat(entry, by);
+            return claim_again(entry, claimant);
         }
         if !self.open {
             return Claim::Refused(Code::OwnerGone);
         }
         let refused = match key {
-            Key::Ticket(_) => self.take_ticket(key, by),
-            Key::Plain(_, text) => self.take_plain(now, text, by),
+            Key::Ticket(_) => self.take_ticket(key, claimant),
+            Key::Plain(_, text) => self.take_plain(now, text, claimant),
         };
         if let Some(code) = refused {
             return Claim::Refused(code);
@@ -61,7 +61,7 @@
             request,
             fingerprint,
             ..
-        } = by;
+        } = claimant;
         let state = State::Running(Vec::new());
         self.entries.insert(
             key.clone(),
@@ -76,7 +76,7 @@
     }
 
     /// Marks a ticket as used, or returns why it cannot be.
-    fn take_ticket(&mut self, key: &Key, by: Claimant) -> Option<Code> {
+    fn take_ticket(&mut self, key: &Key, claimant: Claimant) -> Option<Code> {
         let Key::Ticket(ticket) = key else {
             return Some(Code::TicketInvalid);
         };
@@ -86,44 +86,44 @@
         if ticket.number < book.first {
             return Some(Code::TicketExpired);
         }
-        let at = (ticket.number - book.first) as usize;
-        match book.unused.get_mut(at) {
+        let index = (ticket.number - book.first) as usize;
+        match book.unused.get_mut(index) {
             None => Some(Code::TicketInvalid),
             Some(None) => Some(Code::AnswerDropped),
-            Some(Some(customer)) if *customer != by.customer => Some(Code::TicketInvalid),
+            Some(Some(customer)) if *customer != claimant.customer => Some(Code::TicketInvalid),
             Some(unused) => {
                 *unused = None;
-                self.customers.insert(*ticket, by.customer);
+                self.customers.insert(*ticket, claimant.customer);
                 None
             }
         }
     }
 
-    fn take_plain(&mut self, now: Time, text: &str, by: Claimant) -> Option<Code> {
-        if !by.endpoint_checks {
-            let Some(born) = id::v7_timestamp_opt(text) else {
+    fn take_plain(&mut self, now: Time, text: &str, claimant: Claimant) -> Option<Code> {
+        if !claimant.endpoint_checks {
+            let Some(created_at) = id::v7_timestamp_opt(text) else {
                 return Some(Code::TicketNeeded);
             };
-            let known = born > self.plain_floor + CLOCKS_DIFFER;
-            let honest = born <= now + CLOCKS_DIFFER;
-            if !known || !honest {
+            let is_above_floor = created_at > self.plain_floor + MAX_CLOCK_SKEW;
+            let is_plausible = created_at <= now + MAX_CLOCK_SKEW;
+            if !is_above_floor || !is_plausible {
                 return Some(Code::KeyTooOld);
             }
         }
-        self.plain.push_back((text.into(), by.customer));
+        self.plain.push_back((text.into(), claimant.customer));
         if self.plain.len() > MAX_PLAIN_KEYS {
             self.drop_oldest_plain();
         }
         None
     }
 
-    /// Forgets the oldest plain key and refuses every key created up to then.
+    /// Forgets the oldest plain key and from then on refuses keys that are as old.
     fn drop_oldest_plain(&mut self) {
         let Some((text, customer)) = self.plain.pop_front() else {
             return;
         };
-        let born = id::v7_timestamp_opt(&text).unwrap_or(Time(0));
-        self.plain_floor = self.plain_floor.max(born);
+        let created_at = id::v7_timestamp_opt(&text).unwrap_or(Time(0));
+        self.plain_floor = self.plain_floor.max(created_at);
         self.forget_ended(&Key::Plain(customer, text));
     }
 
@@ -134,13 +134,13 @@
     }
 }
 
-fn repeat(entry: &mut Entry, by: Claimant) -> Claim {
-    if entry.fingerprint != by.fingerprint {
+fn claim_again(entry: &mut Entry, claimant: Claimant) -> Claim {
+    if entry.fingerprint != claimant.fingerprint {
         return Claim::Refused(Code::KeyInUse);
     }
     match &mut entry.state {
         State::Running(waiting) => {
-            waiting.push(by.request);
+            waiting.push(claimant.request);
             Claim::Wait
         }
         State::Recorded(_) => Claim::Replay(entry.request),
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -39,13 +39,14 @@
 /// The prefix of a ticket's text form.
 const PREFIX: &str = "wst1-";
 
-/// The maximum number of tickets of an incarnation. Older ones are refused.
+/// The maximum number of tickets that an incarnation remembers. Older ones are
+/// refused, not run.
 pub const MAX_TICKETS: usize = 65_536;
 
 /// The maximum number of callers' own keys that a node remembers.
 pub const MAX_PLAIN_KEYS: usize = 65_536;
 
-/// A permission to run one request at most once, on one incarnation.
+/// A permission to run one request at most once, issued by one incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ticket {
     /// The incarnation that issued the ticket.
@@ -62,17 +63,17 @@
 
 /// The error for a text that is not a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NotTicket;
+pub struct ParseTicketError;
 
 impl FromStr for Ticket {
-    type Err = NotTicket;
+    type Err = ParseTicketError;
 
-    fn from_str(text: &str) -> Result<Ticket, NotTicket> {
-        let rest = text.strip_prefix(PREFIX).ok_or(NotTicket)?;
-        let (incarnation, number) = rest.split_once('-').ok_or(NotTicket)?;
+    fn from_str(text: &str) -> Result<Ticket, ParseTicketError> {
+        let rest = text.strip_prefix(PREFIX).ok_or(ParseTicketError)?;
+        let (incarnation, number) = rest.split_once('-').ok_or(ParseTicketError)?;
         Ok(Ticket {
-            incarnation: incarnation.parse().map_err(|_| NotTicket)?,
-            number: u64::from_str_radix(number, 16).map_err(|_| NotTicket)?,
+            incarnation: incarnation.parse().map_err(|_| ParseTicketError)?,
+            number: u64::from_str_radix(number, 16).map_err(|_| ParseTicketError)?,
         })
     }
 }
--- a/crates/core/src/ledger/record.rs
+++ b/crates/core/src/ledger/record.rs
@@ -22,17 +22,17 @@
             Key::Ticket(ticket) => {
                 let customer = self.customers.remove(&ticket);
                 let book = self.books.get_mut(&ticket.incarnation);
-                let at = book.and_then(|book| {
-                    let at = ticket.number.checked_sub(book.first)?;
-                    book.unused.get_mut(at as usize)
+                let slot = book.and_then(|book| {
+                    let index = ticket.number.checked_sub(book.first)?;
+                    book.unused.get_mut(index as usize)
                 });
-                if let Some(unused) = at {
+                if let Some(unused) = slot {
                     *unused = customer;
                 }
             }
             Key::Plain(customer, text) => {
                 self.plain
-                    .retain(|(known, by)| *known != text || *by != customer);
+                    .retain(|(other, owner)| *other != text || *owner != customer);
             }
         }
         waiting
@@ -52,7 +52,7 @@
         };
         let held = answer.filter(|size| *size <= self.answers_limit);
         let state = held.map_or(State::Ended, State::Recorded);
-        let before = std::mem::replace(&mut entry.state, state);
+        let previous_state = std::mem::replace(&mut entry.state, state);
         match held {
             Some(size) => {
                 self.answers_size.0 += size.0;
@@ -60,7 +60,7 @@
             }
             None => self.forget_used(&key),
         }
-        match before {
+        match previous_state {
             State::Running(waiting) => waiting,
             _ => Vec::new(),
         }
@@ -111,7 +111,7 @@
             State::Running(_) => return,
             State::Recorded(size) => {
                 self.answers_size.0 -= size.0;
-                self.answers.retain(|(known, _)| known != key);
+                self.answers.retain(|(other, _)| other != key);
                 self.dropped.push(request);
             }
             State::Ended => {}
--- a/crates/core/src/ledger/succeed.rs
+++ b/crates/core/src/ledger/succeed.rs
@@ -11,12 +11,12 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Estate {
     /// The tickets of each incarnation.
-    pub books: Vec<Inherited>,
+    pub books: Vec<TransferredBook>,
 }
 
 /// The unused tickets of one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Inherited {
+pub struct TransferredBook {
     /// The incarnation that issued the tickets.
     pub incarnation: id::Incarnation,
     /// The number of the first ticket remembered.
@@ -36,12 +36,15 @@
             return None;
         }
         self.open = false;
-        let books = self.books.drain().map(|(incarnation, book)| Inherited {
-            incarnation,
-            first: book.first,
-            count: book.unused.len() as u64,
-            unused: unused(&book),
-        });
+        let books = self
+            .books
+            .drain()
+            .map(|(incarnation, book)| TransferredBook {
+                incarnation,
+                first: book.first,
+                count: book.unused.len() as u64,
+                unused: unused_tickets(&book),
+            });
         Some(Estate {
             books: books.collect(),
         })
@@ -53,33 +56,35 @@
         if !self.open {
             return;
         }
-        for inherited in estate.books {
-            let incarnation = inherited.incarnation;
+        for transferred in estate.books {
+            let incarnation = transferred.incarnation;
             self.books
                 .entry(incarnation)
-                .or_insert_with(|| open(inherited));
+                .or_insert_with(|| restore_book(transferred));
         }
     }
 }
 
-fn unused(book: &Book) -> Vec<(u64, u64)> {
+fn unused_tickets(book: &Book) -> Vec<(u64, u64)> {
     let numbered = book.unused.iter().zip(book.first..);
     numbered
         .filter_map(|(customer, number)| Some((number, (*customer)?)))
         .collect()
 }
 
-fn open(inherited: Inherited) -> Book {
-    let count = inherited.count.min(super::MAX_TICKETS as u64) as usize;
+fn restore_book(transferred: TransferredBook) -> Book {
+    let count = transferred.count.min(super::MAX_TICKETS as u64) as usize;
     let mut unused = std::collections::VecDeque::from(vec![None; count]);
-    for (number, customer) in inherited.unused {
-        let at = number.checked_sub(inherited.first).map(|at| at as usize);
-        if let Some(slot) = at.and_then(|at| unused.get_mut(at)) {
+    for (number, customer) in transferred.unused {
+        let index = number
+            .checked_sub(transferred.first)
+            .map(|index| index as usize);
+        if let Some(slot) = index.and_then(|index| unused.get_mut(index)) {
             *slot = Some(customer);
         }
     }
     Book {
-        first: inherited.first,
+        first: transferred.first,
         unused,
     }
 }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -15,10 +15,10 @@
 
 /// The number of heartbeat intervals without a heartbeat after which a node is
 /// no longer considered live.
-const MISSED: u64 = 5;
+const MAX_MISSED_HEARTBEATS: u64 = 5;
 
 /// The number of nodes of a data centre that read the platform for the others.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
 /// The known state of another node.
 #[derive(Debug, Clone)]
@@ -28,10 +28,10 @@
     /// The last heartbeat.
     pub heartbeat: Heartbeat,
     /// When the last heartbeat arrived.
-    pub heard: Time,
+    pub last_heard: Time,
     /// Whether a connection to the node is open.
     pub connected: bool,
-    /// The data centre, if the host list names the node.
+    /// The data centre in the last host list that named the node.
     pub data_centre: Option<id::DataCentre>,
 }
 
@@ -39,25 +39,29 @@
 #[derive(Debug)]
 pub struct Members {
     own: id::Host,
-    own_centre: id::DataCentre,
+    own_data_centre: id::DataCentre,
     /// Other nodes by name.
     pub peers: HashMap<id::Host, Member>,
-    heartbeat: Span,
+    heartbeat_interval: Span,
     /// The entry hosts that the list marks as live, without this node.
     pub listed: Vec<id::Host>,
-    centres: HashMap<id::Host, id::DataCentre>,
+    data_centres: HashMap<id::Host, id::DataCentre>,
 }
 
 impl Members {
     /// Creates a membership without other nodes.
-    pub fn new(own: id::Host, own_centre: id::DataCentre, heartbeat: Span) -> Members {
+    pub fn new(
+        own: id::Host,
+        own_data_centre: id::DataCentre,
+        heartbeat_interval: Span,
+    ) -> Members {
         Members {
             own,
-            own_centre,
+            own_data_centre,
             peers: HashMap::new(),
-            heartbeat,
+            heartbeat_interval,
             listed: Vec::new(),
-            centres: HashMap::new(),
+            data_centres: HashMap::new(),
         }
     }
 
@@ -68,10 +72,11 @@
             .iter()
             .filter(|host| host.role == hosts::Role::Entry);
         self.listed.clear();
-        self.centres.clear();
+        self.data_centres.clear();
         for host in entry {
             let name = id::Host::new(&host.name);
-            self.centres.insert(name.clone(), host.data_centre.clone());
+            self.data_centres
+                .insert(name.clone(), host.data_centre.clone());
             if let Some(member) = self.peers.get_mut(&name) {
                 member.data_centre = Some(host.data_centre.clone());
             }
@@ -81,17 +86,17 @@
         }
         // Hosts are replaced every day: a node that is neither listed nor
         // connected will not return.
-        let centres = &self.centres;
+        let data_centres = &self.data_centres;
         self.peers
-            .retain(|name, member| member.connected || centres.contains_key(name));
+            .retain(|name, member| member.connected || data_centres.contains_key(name));
     }
 
     /// Records a heartbeat.
-    pub fn record_heartbeat(&mut self, now: Time, from: &Peer, said: Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: Time, from: &Peer, heartbeat: Heartbeat) {
         let member = self.member(from);
         member.incarnation = from.incarnation;
-        member.heartbeat = said;
-        member.heard = now;
+        member.heartbeat = heartbeat;
+        member.last_heard = now;
     }
 
     /// Records that a connection was opened.
@@ -109,31 +114,34 @@
     }
 
     fn member(&mut self, peer: &Peer) -> &mut Member {
-        let centre = self.centres.get(&peer.host).cloned();
+        let centre = self.data_centres.get(&peer.host).cloned();
         self.peers
             .entry(peer.host.clone())
             .or_insert_with(|| Member {
                 incarnation: peer.incarnation,
                 heartbeat: Heartbeat::default(),
-                heard: Time(0),
+                last_heard: Time(0),
                 connected: false,
                 data_centre: centre,
             })
     }
 
     fn is_live(&self, now: Time, member: &Member) -> bool {
-        let fresh = now.since(member.heard).0 <= self.heartbeat.0 * MISSED;
+        let is_recent =
+            now.since(member.last_heard).0 <= self.heartbeat_interval.0 * MAX_MISSED_HEARTBEATS;
         // A new node without a configuration and a host list cannot manage a pool.
-        let knows = member.heartbeat.revision > 0 && member.heartbeat.hosts_index > 0;
-        member.connected && fresh && knows && !member.heartbeat.leaving
+        let is_configured = member.heartbeat.revision > 0 && member.heartbeat.hosts_index > 0;
+        member.connected && is_recent && is_configured && !member.heartbeat.leaving
     }
 
     /// Whether messages to the host are likely to arrive.
     pub fn is_reachable(&self, now: Time, host: &id::Host) -> bool {
-        let fresh = |m: &Member| now.since(m.heard).0 <= self.heartbeat.0 * MISSED;
+        let is_recent = |m: &Member| {
+            now.since(m.last_heard).0 <= self.heartbeat_interval.0 * MAX_MISSED_HEARTBEATS
+        };
         self.peers
             .get(host)
-            .is_some_and(|member| member.connected && fresh(member))
+            .is_some_and(|member| member.connected && is_recent(member))
     }
 
     /// Whether the node's own reads of the platform confirm its host list.
@@ -147,8 +155,10 @@
     /// the given index.
     pub fn any_confirms_hosts(&self, now: Time, index: u64) -> bool {
         self.peers.iter().any(|(host, member)| {
-            let said = &member.heartbeat;
-            said.hosts_confirmed && said.hosts_index >= index && self.is_reachable(now, host)
+            let heartbeat = &member.heartbeat;
+            heartbeat.hosts_confirmed
+                && heartbeat.hosts_index >= index
+                && self.is_reachable(now, host)
         })
     }
 
@@ -177,9 +187,10 @@
     }
 
     /// Returns a connected node that may run the tickets of an incarnation.
-    pub fn serving_opt(&self, run: id::Incarnation) -> Option<&id::Host> {
-        let serves =
-            |member: &Member| member.incarnation == run || member.heartbeat.serves.contains(&run);
+    pub fn serving_opt(&self, incarnation: id::Incarnation) -> Option<&id::Host> {
+        let serves = |member: &Member| {
+            member.incarnation == incarnation || member.heartbeat.serves.contains(&incarnation)
+        };
         let found = self
             .peers
             .iter()
@@ -187,15 +198,16 @@
         found.map(|(name, _)| name)
     }
 
-    /// Whether this node reads the platform itself: it is among the highest of
-    /// its data centre by hash, or it has no live node near it.
+    /// Whether this node reads the platform itself: it has one of the highest
+    /// hashes of the live nodes of its data centre. A node that sees no other
+    /// live node there always does.
     pub fn is_watcher(&self, now: Time) -> bool {
-        let near = self.peers.iter().filter(|(_, member)| {
-            self.is_live(now, member) && member.data_centre.as_ref() == Some(&self.own_centre)
+        let nearby = self.peers.iter().filter(|(_, member)| {
+            self.is_live(now, member) && member.data_centre.as_ref() == Some(&self.own_data_centre)
         });
         let score = |name: &id::Host| hash::chain(WATCH_SEED, name.as_str().as_bytes());
         let own = score(&self.own);
-        near.filter(|(name, _)| score(name) > own).count() < WATCHERS
+        nearby.filter(|(name, _)| score(name) > own).count() < WATCHERS_PER_DATA_CENTRE
     }
 }
 
--- a/crates/core/src/trace.rs
+++ b/crates/core/src/trace.rs
@@ -10,10 +10,10 @@
 use woadstage_types::unit::Time;
 
 /// The maximum number of requests in a trace.
-const REQUESTS: usize = 2_048;
+const MAX_REQUESTS: usize = 2_048;
 
 /// The maximum number of steps recorded for one request.
-const STEPS: usize = 16;
+const MAX_STEPS_PER_REQUEST: usize = 16;
 
 /// A decision or an observation about a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -76,10 +76,10 @@
             self.order.push_back(request);
         }
         let steps = self.steps.entry(request).or_default();
-        if steps.len() < STEPS {
+        if steps.len() < MAX_STEPS_PER_REQUEST {
             steps.push((now, step));
         }
-        if self.order.len() > REQUESTS
+        if self.order.len() > MAX_REQUESTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.steps.remove(&oldest);
--- a/crates/core/tests/core/at_most_once.rs
+++ b/crates/core/tests/core/at_most_once.rs
@@ -28,7 +28,7 @@
     world.runs.get(what).copied().unwrap_or(0)
 }
 
-fn small() -> World {
+fn four_nodes() -> World {
     world(Options {
         nodes: NODES,
         ..Options::default()
@@ -37,7 +37,7 @@
 
 cases! {
     the_answer_is_lost_and_the_caller_asks_through_another_host => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         let first = confirm(&mut world, 1, &key, "shift");
         world.run_for(Span::from_secs(1));
@@ -48,7 +48,7 @@
     };
 
     two_hosts_get_one_key_at_one_instant => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         let asked: Vec<_> =
             (0..NODES).map(|node| confirm(&mut world, node, &key, "shift")).collect();
@@ -58,7 +58,7 @@
     };
 
     two_customers_use_one_key => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         let (mut arrival, work) = service("shift-confirmation", "theirs", Some(&key));
         let token = woadstage_standin::sample::TOKENS[1];
@@ -73,7 +73,7 @@
 
     the_host_that_dispatched_dies_and_its_successor_remembers_nothing => {
         for after in [Span(0), Span(300), Span::from_millis(10), Span::from_millis(40)] {
-            let mut world = small();
+            let mut world = four_nodes();
             let key = ticket(&mut world, 0).expect("a ticket");
             let first = confirm(&mut world, 1, &key, "shift");
             world.run_for(after);
@@ -96,8 +96,8 @@
         }
     };
 
-    a_host_wakes_late_and_still_believes_it_may_send => {
-        let mut world = small();
+    a_host_resumes_after_the_deadline_of_a_request => {
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         world.pause(0);
         let asked = confirm(&mut world, 1, &key, "shift");
@@ -113,8 +113,8 @@
         assert_eq!(runs(&world, "shift"), 1);
     };
 
-    both_sides_of_a_cut_are_alive => {
-        let mut world = small();
+    both_sides_of_a_partition_are_alive => {
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         for one in 0..2 {
             for other in 2..NODES {
@@ -131,7 +131,7 @@
     };
 
     a_host_is_listed_as_gone_and_is_not => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         let mut list = world.true_list();
         list.hosts.retain(|host| host.name != "entry-0");
@@ -145,7 +145,7 @@
     };
 
     bytes_were_written_and_the_answer_never_comes => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         world.each_endpoint(|endpoint| endpoint.mute = true);
         let asked = confirm(&mut world, 0, &key, "shift");
@@ -161,7 +161,7 @@
     };
 
     bytes_were_written_and_the_connection_breaks => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         world.each_endpoint(|endpoint| endpoint.breaks = true);
         let asked = confirm(&mut world, 1, &key, "shift");
@@ -176,7 +176,7 @@
     };
 
     a_connection_that_was_refused_is_tried_elsewhere => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         let first = world.endpoints.iter_mut().find(|one| one.name.as_str() == "roster-0");
         first.expect("it is there").down = true;
@@ -187,7 +187,7 @@
     };
 
     one_caller_of_two_leaves_and_the_other_gets_the_answer => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         let first = confirm(&mut world, 0, &key, "shift");
         let second = confirm(&mut world, 0, &key, "shift");
@@ -197,8 +197,8 @@
         assert_eq!(runs(&world, "shift"), 1);
     };
 
-    an_endpoint_that_never_answers_holds_nothing_for_ever => {
-        let mut world = small();
+    a_request_to_a_silent_endpoint_is_not_held_for_ever => {
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         world.each_endpoint(|endpoint| endpoint.mute = true);
         let asked = confirm(&mut world, 0, &key, "shift");
@@ -215,7 +215,7 @@
     };
 
     a_caller_leaves_while_its_request_waits => {
-        let mut world = small();
+        let mut world = four_nodes();
         let key = ticket(&mut world, 0).expect("a ticket");
         world.each_endpoint(|endpoint| endpoint.down = true);
         let asked = confirm(&mut world, 0, &key, "shift");
@@ -230,7 +230,7 @@
     };
 
     a_key_that_is_no_ticket_is_answered_with_one => {
-        let mut world = small();
+        let mut world = four_nodes();
         let asked = confirm(&mut world, 1, "order-17", "shift");
         world.run_for(Span::from_secs(1));
         let Answer::Refused(refusal) = answer(&world, asked) else { panic!("it ran") };
@@ -242,7 +242,7 @@
     };
 
     a_plain_key_runs_once_at_an_endpoint_that_checks => {
-        let mut world = small();
+        let mut world = four_nodes();
         let ask = |world: &mut World, node| {
             let (arrival, work) = service("booking", "seat", Some("order-17"));
             world.ask(node, arrival, work)
@@ -256,10 +256,11 @@
     };
 }
 
-/// Checks that the scenarios above can detect a double run: a key owned by the
-/// host that each node's own view names runs twice where the views differ.
+/// Returns how often a request with one key runs during a partition. A plain key
+/// belongs to the host that each node's own view names, and runs twice where the
+/// views differ: the count shows that such a scenario can detect a double run.
 fn split_owner(class: &str, key: &dyn Fn(&mut World) -> String) -> u64 {
-    let mut world = small();
+    let mut world = four_nodes();
     world.run_for(Span::from_secs(2));
     let key = key(&mut world);
     for node in 1..NODES {
@@ -275,7 +276,7 @@
 }
 
 cases! {
-    a_cut_doubles_owned_plain_keys_and_not_tickets => {
+    a_partition_doubles_owned_plain_keys_but_not_tickets => {
         let fresh = |world: &mut World| {
             let born = world.now() + Span::from_secs(4) + Span::from_millis(400);
             uuid::Uuid::from_u128(id::new_v7(born, 5)).to_string()
--- a/crates/core/tests/core/document.rs
+++ b/crates/core/tests/core/document.rs
@@ -48,7 +48,7 @@
     found.iter().all(|digest| *digest == found[0])
 }
 
-fn four() -> World {
+fn four_nodes() -> World {
     world(Options {
         nodes: 4,
         ..Options::default()
@@ -63,7 +63,7 @@
     };
 
     one_node_reads_a_document_and_all_follow_within_a_second => {
-        let mut world = four();
+        let mut world = four_nodes();
         let second = next(&sample::document(), 7);
         world.show_document(2, &second, 2);
         world.run_for(Span::from_secs(1));
@@ -71,7 +71,7 @@
     };
 
     a_stale_platform_does_not_bring_an_older_document_back => {
-        let mut world = four();
+        let mut world = four_nodes();
         let second = next(&sample::document(), 7);
         world.show_document(0, &second, 5);
         world.run_for(Span::from_secs(1));
@@ -82,8 +82,8 @@
         assert_eq!(revisions(&world), [2, 2, 2, 2]);
     };
 
-    a_newcomer_that_meets_a_stale_platform_learns_from_the_others_before_it_is_ready => {
-        let mut world = four();
+    a_new_node_with_a_stale_platform_learns_from_the_others_before_it_is_ready => {
+        let mut world = four_nodes();
         let second = next(&sample::document(), 7);
         world.show_document(0, &second, 5);
         world.run_for(Span::from_secs(1));
@@ -99,7 +99,7 @@
     };
 
     two_operators_confirm_against_one_base_and_the_first_holds_everywhere => {
-        let mut world = four();
+        let mut world = four_nodes();
         let (one, other) = (next(&sample::document(), 7), next(&sample::document(), 8));
         // Some hosts see the first document, others only the one that overwrote it.
         world.show_document(0, &one, 2);
@@ -120,7 +120,7 @@
     };
 
     hosts_cut_off_from_the_platform_are_reached_through_others => {
-        let mut world = four();
+        let mut world = four_nodes();
         world.cut(0, 3);
         world.cut(1, 3);
         world.run_for(Span::from_secs(3));
@@ -131,7 +131,7 @@
     };
 
     a_host_paused_across_a_change_follows_when_it_wakes => {
-        let mut world = four();
+        let mut world = four_nodes();
         world.pause(3);
         world.run_for(Span::from_secs(1));
         let second = next(&sample::document(), 7);
--- a/crates/core/tests/core/leaving.rs
+++ b/crates/core/tests/core/leaving.rs
@@ -13,7 +13,7 @@
 use crate::support::is_whole;
 use crate::support::world;
 
-fn trickle(world: &mut World, count: u64, every: Span) {
+fn send_steadily(world: &mut World, count: u64, every: Span) {
     for turn in 0..count {
         let node = (turn % 3) as usize;
         world.after(Span(every.0 * turn), move |world| {
@@ -23,7 +23,7 @@
     }
 }
 
-fn whole(world: &World) -> usize {
+fn whole_answers(world: &World) -> usize {
     world
         .asked
         .keys()
@@ -32,7 +32,7 @@
 }
 
 /// Returns the host list with the first engine leaving.
-fn without_first(world: &World) -> Arc<hosts::List> {
+fn list_with_first_leaving(world: &World) -> Arc<hosts::List> {
     let mut list = world.true_list();
     let first = list.hosts.iter_mut().find(|host| host.name == "engine-0");
     first.expect("it is listed").state = hosts::State::Leaving;
@@ -49,9 +49,9 @@
 cases! {
     one_node_with_a_stale_platform_brings_no_leaving_endpoint_back => {
         let mut world = world(Options { nodes: 4, ..Options::default() });
-        let (old, new) = (Arc::new(world.true_list()), without_first(&world));
-        // Within 90 seconds, nodes 0 and 1 read the platform every 30
-        // seconds, node 2 a stale copy of it every second.
+        let (old, new) = (Arc::new(world.true_list()), list_with_first_leaving(&world));
+        // For 90 seconds, nodes 0 and 1 read the platform every 30 seconds and
+        // node 2 reads a stale copy of it every second.
         for second in 0..90u64 {
             let (old, new) = (old.clone(), new.clone());
             world.after(Span::from_secs(second), move |world| {
@@ -64,7 +64,7 @@
         }
         world.run_for(Span::from_secs(1));
         world.endpoints[0].leaving = true;
-        trickle(&mut world, 800, Span::from_millis(100));
+        send_steadily(&mut world, 800, Span::from_millis(100));
         for _ in 0..1_800 {
             world.run_for(Span::from_millis(50));
             assert_eq!(indexes(&world), [2, 2, 2, 2], "at {:?}", world.now());
@@ -74,7 +74,7 @@
 
     a_platform_that_counts_from_the_beginning_again_is_followed => {
         let mut world = world(Options { nodes: 4, ..Options::default() });
-        let (old, new) = (Arc::new(world.true_list()), without_first(&world));
+        let (old, new) = (Arc::new(world.true_list()), list_with_first_leaving(&world));
         world.show_hosts(0, &old, 900);
         world.run_for(Span::from_secs(5));
         assert_eq!(indexes(&world), [900, 900, 900, 900]);
@@ -91,7 +91,7 @@
 
     while_the_platform_is_down_no_older_list_spreads => {
         let mut world = world(Options { nodes: 4, ..Options::default() });
-        let new = without_first(&world);
+        let new = list_with_first_leaving(&world);
         for node in 0..3 {
             world.show_hosts(node, &new, 2);
         }
@@ -114,10 +114,10 @@
         world.publish_hosts(list, Span::from_secs(1), &[]);
         world.run_for(Span::from_secs(2));
         world.endpoints[0].leaving = true;
-        trickle(&mut world, 100, Span::from_millis(20));
+        send_steadily(&mut world, 100, Span::from_millis(20));
         world.run_for(Span::from_secs(5));
         assert_eq!(world.endpoints[0].late_work, 0);
-        assert_eq!(whole(&world), 100);
+        assert_eq!(whole_answers(&world), 100);
     };
 
     an_endpoint_that_says_so_itself_gets_nothing_new_though_the_list_lags => {
@@ -125,28 +125,28 @@
         world.endpoints[0].leaving = true;
         world.report(Span::from_millis(100));
         world.run_for(Span::from_millis(200));
-        trickle(&mut world, 100, Span::from_millis(20));
+        send_steadily(&mut world, 100, Span::from_millis(20));
         world.run_for(Span::from_secs(5));
         assert_eq!(world.endpoints[0].late_work, 0);
-        assert_eq!(whole(&world), 100);
+        assert_eq!(whole_answers(&world), 100);
     };
 
     an_endpoint_that_refuses_as_leaving_is_asked_once => {
         let mut world = world(Options::default());
         world.endpoints[0].leaving = true;
-        trickle(&mut world, 100, Span::from_millis(20));
+        send_steadily(&mut world, 100, Span::from_millis(20));
         world.run_for(Span::from_secs(5));
         assert_eq!(world.endpoints[0].late_work, 1);
-        assert_eq!(whole(&world), 100, "the one refused ran elsewhere");
+        assert_eq!(whole_answers(&world), 100, "the one refused ran elsewhere");
         assert_eq!(broken(&world), Vec::<String>::new());
     };
 
     a_frozen_engine_gets_no_more_and_what_it_had_runs_elsewhere => {
         let mut world = world(Options::default());
         world.endpoints[0].mute = true;
-        trickle(&mut world, 100, Span::from_millis(20));
+        send_steadily(&mut world, 100, Span::from_millis(20));
         world.run_for(Span::from_secs(30));
-        assert_eq!(whole(&world), 100);
+        assert_eq!(whole_answers(&world), 100);
         assert!(world.called < 115, "{} calls for 100 requests", world.called);
     };
 }
--- a/crates/core/tests/core/ledger.rs
+++ b/crates/core/tests/core/ledger.rs
@@ -83,7 +83,7 @@
         assert_eq!(ledger.len(), 10);
     };
 
-    what_never_ran_may_be_tried_again => {
+    a_request_that_never_ran_may_be_tried_again => {
         let mut ledger = ledger(1);
         let key = ticket(&mut ledger);
         assert_eq!(ledger.claim(NOW, &key, by(1)), Claim::First);
@@ -92,7 +92,7 @@
         assert_eq!(ledger.claim(NOW, &key, by(3)), Claim::First);
     };
 
-    a_ticket_is_its_customers_alone => {
+    a_ticket_belongs_to_one_customer => {
         let mut ledger = ledger(1);
         let key = ticket(&mut ledger);
         let stranger = Claimant { customer: 8, ..by(1) };
@@ -131,7 +131,7 @@
         assert_eq!(ledger.claim(NOW, &used, by(4)), Claim::Refused(Code::TicketExpired));
     };
 
-    a_ledger_given_away_runs_nothing => {
+    a_ledger_handed_over_runs_nothing => {
         let mut first = ledger(1);
         let (used, unused) = (ticket(&mut first), ticket(&mut first));
         assert_eq!(first.claim(NOW, &used, by(1)), Claim::First);
--- a/crates/core/tests/core/member.rs
+++ b/crates/core/tests/core/member.rs
@@ -27,11 +27,11 @@
 }
 
 fn members() -> Members {
-    let beat = Span::from_millis(100);
-    Members::new(id::Host::new("own"), id::DataCentre::new("a"), beat)
+    let interval = Span::from_millis(100);
+    Members::new(id::Host::new("own"), id::DataCentre::new("a"), interval)
 }
 
-fn said() -> Heartbeat {
+fn heartbeat() -> Heartbeat {
     Heartbeat {
         revision: 1,
         hosts_index: 1,
@@ -46,7 +46,7 @@
             let name = format!("entry-{turn}");
             members.set_list(&list(&["own", &name]));
             members.set_connected(&peer(&name));
-            members.record_heartbeat(NOW, &peer(&name), said());
+            members.record_heartbeat(NOW, &peer(&name), heartbeat());
             members.set_disconnected(&id::Host::new(&name));
         }
         members.set_list(&list(&["own"]));
@@ -56,7 +56,7 @@
     a_connected_host_that_the_list_lacks_is_kept => {
         let mut members = members();
         members.set_connected(&peer("entry-1"));
-        members.record_heartbeat(NOW, &peer("entry-1"), said());
+        members.record_heartbeat(NOW, &peer("entry-1"), heartbeat());
         members.set_list(&list(&["own"]));
         assert!(members.is_reachable(NOW, &id::Host::new("entry-1")));
     };
@@ -64,19 +64,19 @@
     a_node_that_was_not_heard_for_five_heartbeats_is_not_live => {
         let mut members = members();
         members.set_connected(&peer("entry-1"));
-        members.record_heartbeat(NOW, &peer("entry-1"), said());
+        members.record_heartbeat(NOW, &peer("entry-1"), heartbeat());
         let live = |members: &Members, after| members.live(NOW + Span::from_millis(after), false).len();
         assert_eq!((live(&members, 500), live(&members, 501)), (2, 1));
     };
 
-    a_node_that_is_leaving_or_knows_nothing_holds_no_pool => {
+    a_node_that_is_leaving_or_unconfigured_manages_no_pool => {
         let mut members = members();
         members.set_connected(&peer("entry-1"));
-        members.record_heartbeat(NOW, &peer("entry-1"), Heartbeat { leaving: true, ..said() });
+        members.record_heartbeat(NOW, &peer("entry-1"), Heartbeat { leaving: true, ..heartbeat() });
         assert_eq!(members.live(NOW, false).len(), 1);
-        members.record_heartbeat(NOW, &peer("entry-1"), Heartbeat { revision: 0, ..said() });
+        members.record_heartbeat(NOW, &peer("entry-1"), Heartbeat { revision: 0, ..heartbeat() });
         assert_eq!(members.live(NOW, false).len(), 1);
-        members.record_heartbeat(NOW, &peer("entry-1"), said());
+        members.record_heartbeat(NOW, &peer("entry-1"), heartbeat());
         assert_eq!(members.live(NOW, false).len(), 2);
     };
 }
--- a/crates/core/tests/core/stop.rs
+++ b/crates/core/tests/core/stop.rs
@@ -13,7 +13,7 @@
 use crate::support::ticket;
 use crate::support::world;
 
-fn four() -> World {
+fn four_nodes() -> World {
     world(Options {
         nodes: 4,
         ..Options::default()
@@ -28,9 +28,9 @@
 }
 
 cases! {
-    a_planned_stop_cuts_nothing_in_progress => {
+    a_planned_stop_interrupts_no_request => {
         for node in 0..4 {
-            let mut world = four();
+            let mut world = four_nodes();
             for turn in 0..40 {
                 let (arrival, work) = chat("handover-summary", &format!("chat {turn}"), 400, 80);
                 world.ask(turn % 4, arrival, work);
@@ -45,7 +45,7 @@
     };
 
     a_rolling_restart_of_all_hosts_refuses_no_ticket => {
-        let mut world = four();
+        let mut world = four_nodes();
         let keys: Vec<String> =
             (0..40).filter_map(|turn| ticket(&mut world, turn % 4)).collect();
         for node in 0..4 {
@@ -68,8 +68,8 @@
         assert_eq!(broken(&world), Vec::<String>::new());
     };
 
-    a_stopping_node_turns_new_callers_away_with_a_time_to_return => {
-        let mut world = four();
+    a_stopping_node_refuses_new_requests_with_a_retry_time => {
+        let mut world = four_nodes();
         stop(&mut world, 0);
         world.run_for(Span::from_secs(2));
         let (arrival, work) = chat("handover-summary", "late", 50, 5);
--- a/crates/core/tests/core/stories.rs
+++ b/crates/core/tests/core/stories.rs
@@ -15,10 +15,10 @@
 
 /// A scenario for one key: when it is sent and which faults occur meanwhile.
 #[derive(Debug, Clone)]
-struct Story {
+struct Scenario {
     seed: u64,
     faults: Vec<(u64, Fault)>,
-    asks: Vec<(u64, usize)>,
+    requests: Vec<(u64, usize)>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -50,10 +50,14 @@
     ]
 }
 
-fn story() -> impl Strategy<Value = Story> {
+fn scenario() -> impl Strategy<Value = Scenario> {
     let faults = proptest::collection::vec((0u64..8_000, fault()), 0..12);
-    let asks = proptest::collection::vec((0u64..8_000, 0..NODES), 1..12);
-    (any::<u64>(), faults, asks).prop_map(|(seed, faults, asks)| Story { seed, faults, asks })
+    let requests = proptest::collection::vec((0u64..8_000, 0..NODES), 1..12);
+    (any::<u64>(), faults, requests).prop_map(|(seed, faults, requests)| Scenario {
+        seed,
+        faults,
+        requests,
+    })
 }
 
 fn apply(world: &mut World, fault: Fault) {
@@ -81,9 +85,9 @@
 }
 
 /// Runs a scenario in a world with keys made by `key`, and returns the world.
-fn tell(story: &Story, class: &'static str, keys: &[String]) -> World {
+fn run_scenario(scenario: &Scenario, class: &'static str, keys: &[String]) -> World {
     let mut world = world(Options {
-        seed: story.seed,
+        seed: scenario.seed,
         nodes: NODES,
         lost: 30,
         doubled: 50,
@@ -97,12 +101,12 @@
         keys => keys.to_vec(),
     };
     let start = world.now();
-    for (at, fault) in story.faults.clone() {
+    for (at, fault) in scenario.faults.clone() {
         world.at(start + Span::from_millis(at), move |world| {
             apply(world, fault)
         });
     }
-    for (turn, (at, node)) in story.asks.clone().into_iter().enumerate() {
+    for (turn, (at, node)) in scenario.requests.clone().into_iter().enumerate() {
         let which = turn % tickets.len();
         let key = tickets[which].clone();
         world.at(start + Span::from_millis(at), move |world| {
@@ -114,7 +118,7 @@
     world
 }
 
-fn doubled(world: &World) -> Vec<(&String, &u64)> {
+fn repeated_runs(world: &World) -> Vec<(&String, &u64)> {
     world.runs.iter().filter(|(_, count)| **count > 1).collect()
 }
 
@@ -122,18 +126,18 @@
     #![proptest_config(ProptestConfig { cases: 256, max_shrink_iters: 200, ..Default::default() })]
 
     #[test]
-    fn tickets_run_at_most_once_in_any_story(story in story()) {
-        let world = tell(&story, "shift-confirmation", &[]);
-        prop_assert_eq!(doubled(&world), vec![]);
+    fn tickets_run_at_most_once_in_any_scenario(scenario in scenario()) {
+        let world = run_scenario(&scenario, "shift-confirmation", &[]);
+        prop_assert_eq!(repeated_runs(&world), vec![]);
         prop_assert_eq!(broken(&world), Vec::<String>::new());
     }
 
     #[test]
-    fn plain_keys_run_at_most_once_at_endpoints_that_check(story in story()) {
+    fn plain_keys_run_at_most_once_at_endpoints_that_check(scenario in scenario()) {
         let keys = ["order-1".to_string(), "order-2".to_string()];
-        let world = tell(&story, "booking", &keys);
-        // Each endpoint checks its own keys; two endpoints share no keys with each
-        // other, so that one is all that the promise can mean.
+        let world = run_scenario(&scenario, "booking", &keys);
+        // Endpoints check keys independently of each other, so the guarantee is
+        // one run for each endpoint that checks.
         let each = world.endpoints.iter().filter(|one| one.checks).count() as u64;
         prop_assert!(world.runs.values().all(|count| *count <= each));
         prop_assert_eq!(broken(&world), Vec::<String>::new());
