--- a/crates/core/tests/core/stories.rs
+++ b/crates/core/tests/core/stories.rs
@@ -84,7 +84,8 @@
     }
 }
 
-/// Runs a scenario in a world with keys made by `key`, and returns the world.
+/// Runs a scenario with the given `keys`, or with tickets if there are none, and
+/// returns the world.
 fn run_scenario(scenario: &Scenario, class: &'static str, keys: &[String]) -> World {
     let mut world = world(Options {
         seed: scenario.seed,
