--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -23,7 +23,7 @@
 /// The known state of another node.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// The incarnation of the last message or connection.
+    /// The incarnation of the last heartbeat or connection.
     pub incarnation: id::Incarnation,
     /// The last heartbeat.
     pub heartbeat: Heartbeat,
