--- a/crates/core/src/ledger/claim.rs
+++ b/crates/core/src/ledger/claim.rs
@@ -1,4 +1,4 @@
-//! Claiming a key for a request.
+//! Claims of keys by requests.
 
 use woadstage_types::code::Code;
 use woadstage_types::id;
@@ -8,61 +8,60 @@
 use super::Entry;
 use super::Key;
 use super::Ledger;
-use super::PLAIN_KEYS;
+use super::MAX_PLAIN_KEYS;
 use super::State;
 
-/// Hosts' and callers' clocks may differ by this much before keys are refused
-/// that could have been taken. Only callers' own keys at endpoints that do not
-/// check them rest on it.
-const CLOCKS_DIFFER: Span = Span::from_millis(500);
+/// The clock skew between hosts and callers up to which valid keys are accepted.
+/// It matters only for callers' own keys at endpoints that do not check keys.
+const MAX_CLOCK_SKEW: Span = Span::from_millis(500);
 
-/// What a request may do with its key.
+/// The result of claiming a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Claim {
-    /// The first with this key: it may run.
+    /// The request is the first with this key and may run.
     First,
-    /// Another with this key runs: wait for its answer.
+    /// Another request with this key is in progress: wait for its answer.
     Wait,
-    /// Another with this key ended: give its recorded answer.
+    /// Another request with this key has ended: return its recorded answer.
     Replay(id::Request),
-    /// It may not run.
+    /// The request may not run.
     Refused(Code),
 }
 
-/// Who uses a key and for what.
+/// The request that claims a key.
 #[derive(Debug, Clone, Copy)]
-pub struct Use {
+pub struct Claimant {
     /// The request.
     pub request: id::Request,
-    /// Its customer's number.
+    /// The number of its customer.
     pub customer: u64,
-    /// Hash of what is asked.
+    /// A hash of the request's content.
     pub fingerprint: u64,
-    /// True where the endpoint itself refuses a key it has seen.
+    /// Whether the endpoint itself refuses a key that it has seen before.
     pub endpoint_checks: bool,
 }
 
 impl Ledger {
     /// Claims `key` for a request.
-    pub fn claim(&mut self, now: Time, key: &Key, by: Use) -> Claim {
+    pub fn claim(&mut self, now: Time, key: &Key, claimant: Claimant) -> Claim {
         if let Some(entry) = self.entries.get_mut(key) {
-            return repeat(entry, by);
+            return claim_again(entry, claimant);
         }
         if !self.open {
             return Claim::Refused(Code::OwnerGone);
         }
         let refused = match key {
-            Key::Ticket(_) => self.take_ticket(key, by),
-            Key::Plain(_, text) => self.take_plain(now, text, by),
+            Key::Ticket(_) => self.take_ticket(key, claimant),
+            Key::Plain(_, text) => self.take_plain(now, text, claimant),
         };
         if let Some(code) = refused {
             return Claim::Refused(code);
         }
-        let Use {
+        let Claimant {
             request,
             fingerprint,
             ..
-        } = by;
+        } = claimant;
         let state = State::Running(Vec::new());
         self.entries.insert(
             key.clone(),
@@ -76,8 +75,8 @@
         Claim::First
     }
 
-    /// Marks a ticket as used, or says why it may not be.
-    fn take_ticket(&mut self, key: &Key, by: Use) -> Option<Code> {
+    /// Marks a ticket as used, or returns why it cannot be.
+    fn take_ticket(&mut self, key: &Key, claimant: Claimant) -> Option<Code> {
         let Key::Ticket(ticket) = key else {
             return Some(Code::TicketInvalid);
         };
@@ -87,61 +86,61 @@
         if ticket.number < book.first {
             return Some(Code::TicketExpired);
         }
-        let at = (ticket.number - book.first) as usize;
-        match book.unused.get_mut(at) {
+        let index = (ticket.number - book.first) as usize;
+        match book.unused.get_mut(index) {
             None => Some(Code::TicketInvalid),
             Some(None) => Some(Code::AnswerDropped),
-            Some(Some(customer)) if *customer != by.customer => Some(Code::TicketInvalid),
+            Some(Some(customer)) if *customer != claimant.customer => Some(Code::TicketInvalid),
             Some(unused) => {
                 *unused = None;
-                self.customers.insert(*ticket, by.customer);
+                self.customers.insert(*ticket, claimant.customer);
                 None
             }
         }
     }
 
-    fn take_plain(&mut self, now: Time, text: &str, by: Use) -> Option<Code> {
-        if !by.endpoint_checks {
-            let Some(born) = id::v7_timestamp_opt(text) else {
+    fn take_plain(&mut self, now: Time, text: &str, claimant: Claimant) -> Option<Code> {
+        if !claimant.endpoint_checks {
+            let Some(created_at) = id::v7_timestamp_opt(text) else {
                 return Some(Code::TicketNeeded);
             };
-            let known = born > self.plain_floor + CLOCKS_DIFFER;
-            let honest = born <= now + CLOCKS_DIFFER;
-            if !known || !honest {
+            let is_above_floor = created_at > self.plain_floor + MAX_CLOCK_SKEW;
+            let is_plausible = created_at <= now + MAX_CLOCK_SKEW;
+            if !is_above_floor || !is_plausible {
                 return Some(Code::KeyTooOld);
             }
         }
-        self.plain.push_back((text.into(), by.customer));
-        if self.plain.len() > PLAIN_KEYS {
+        self.plain.push_back((text.into(), claimant.customer));
+        if self.plain.len() > MAX_PLAIN_KEYS {
             self.drop_oldest_plain();
         }
         None
     }
 
-    /// Forgets the oldest plain key, and with it every key as old.
+    /// Forgets the oldest plain key and from then on refuses keys that are as old.
     fn drop_oldest_plain(&mut self) {
         let Some((text, customer)) = self.plain.pop_front() else {
             return;
         };
-        let born = id::v7_timestamp_opt(&text).unwrap_or(Time(0));
-        self.plain_floor = self.plain_floor.max(born);
+        let created_at = id::v7_timestamp_opt(&text).unwrap_or(Time(0));
+        self.plain_floor = self.plain_floor.max(created_at);
         self.forget_ended(&Key::Plain(customer, text));
     }
 
-    /// Another node may have been given plain keys until now: those born
-    /// before are refused from here on.
+    /// Refuses plain keys created up to now, because another node may have
+    /// accepted them.
     pub fn raise_plain_floor(&mut self, now: Time) {
         self.plain_floor = self.plain_floor.max(now);
     }
 }
 
-fn repeat(entry: &mut Entry, by: Use) -> Claim {
-    if entry.fingerprint != by.fingerprint {
+fn claim_again(entry: &mut Entry, claimant: Claimant) -> Claim {
+    if entry.fingerprint != claimant.fingerprint {
         return Claim::Refused(Code::KeyInUse);
     }
     match &mut entry.state {
         State::Running(waiting) => {
-            waiting.push(by.request);
+            waiting.push(claimant.request);
             Claim::Wait
         }
         State::Recorded(_) => Claim::Replay(entry.request),
--- a/crates/core/src/ledger/issue.rs
+++ b/crates/core/src/ledger/issue.rs
@@ -1,13 +1,14 @@
-//! Issuing tickets.
+//! Issue of tickets.
 
 use super::Key;
 use super::Ledger;
+use super::MAX_TICKETS;
 use super::Ticket;
-use super::WINDOW;
 
 impl Ledger {
-    /// Issues a ticket to a customer, or none once the ledger was given away.
-    /// The oldest ticket is forgotten, and so never run, when too many are out.
+    /// Issues a ticket to a customer, or returns `None` once the ledger was
+    /// handed over. If too many tickets are remembered, the oldest is forgotten
+    /// and can no longer run.
     pub fn try_issue(&mut self, customer: u64) -> Option<Ticket> {
         if !self.open {
             return None;
@@ -15,7 +16,7 @@
         let book = self.books.get_mut(&self.own)?;
         let number = book.first + book.unused.len() as u64;
         book.unused.push_back(Some(customer));
-        if book.unused.len() > WINDOW {
+        if book.unused.len() > MAX_TICKETS {
             book.unused.pop_front();
             let forgotten = Ticket {
                 incarnation: self.own,
--- a/crates/core/src/ledger/succeed.rs
+++ b/crates/core/src/ledger/succeed.rs
@@ -1,4 +1,4 @@
-//! A planned stop: the unused tickets go to one successor.
+//! Transfer of the unused tickets to one successor on a planned stop.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,80 +7,84 @@
 use super::Book;
 use super::Ledger;
 
-/// Unused tickets that change hands: of each incarnation, the number of the
-/// first ticket remembered, how many there were, and those still unused.
+/// The unused tickets that a node transfers to its successor.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Estate {
-    /// One book for each incarnation.
-    pub books: Vec<Inherited>,
+    /// The tickets of each incarnation.
+    pub books: Vec<TransferredBook>,
 }
 
 /// The unused tickets of one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Inherited {
-    /// The incarnation that issued them.
+pub struct TransferredBook {
+    /// The incarnation that issued the tickets.
     pub incarnation: id::Incarnation,
-    /// Number of the first ticket remembered.
+    /// The number of the first ticket remembered.
     pub first: u64,
-    /// Tickets from `first` on.
+    /// The number of tickets from `first` on, used or not.
     pub count: u64,
-    /// Of them, those unused: number and customer.
+    /// The number and customer of each unused ticket.
     pub unused: Vec<(u64, u64)>,
 }
 
 impl Ledger {
-    /// Gives all unused tickets away. From here on nothing is claimed here,
-    /// whether or not the estate arrives anywhere. None while a keyed request
-    /// is in progress.
-    pub fn try_give(&mut self) -> Option<Estate> {
+    /// Closes the ledger and returns its unused tickets, or `None` while a keyed
+    /// request is in progress. No key can be claimed here afterwards, even if
+    /// the successor never receives the tickets.
+    pub fn try_hand_over(&mut self) -> Option<Estate> {
         if !self.running.is_empty() || !self.open {
             return None;
         }
         self.open = false;
-        let books = self.books.drain().map(|(incarnation, book)| Inherited {
-            incarnation,
-            first: book.first,
-            count: book.unused.len() as u64,
-            unused: unused(&book),
-        });
+        let books = self
+            .books
+            .drain()
+            .map(|(incarnation, book)| TransferredBook {
+                incarnation,
+                first: book.first,
+                count: book.unused.len() as u64,
+                unused: unused_tickets(&book),
+            });
         Some(Estate {
             books: books.collect(),
         })
     }
 
-    /// Takes over what another gave away. A book that is known already is
-    /// kept as it is, so that an estate that arrives twice changes nothing.
-    pub fn inherit(&mut self, estate: Estate) {
+    /// Takes over the tickets of another node. A book that is already known is
+    /// kept unchanged, so a transfer that arrives twice has no further effect.
+    pub fn take_over(&mut self, estate: Estate) {
         if !self.open {
             return;
         }
-        for inherited in estate.books {
-            let incarnation = inherited.incarnation;
+        for transferred in estate.books {
+            let incarnation = transferred.incarnation;
             self.books
                 .entry(incarnation)
-                .or_insert_with(|| open(inherited));
+                .or_insert_with(|| restore_book(transferred));
         }
     }
 }
 
-fn unused(book: &Book) -> Vec<(u64, u64)> {
+fn unused_tickets(book: &Book) -> Vec<(u64, u64)> {
     let numbered = book.unused.iter().zip(book.first..);
     numbered
         .filter_map(|(customer, number)| Some((number, (*customer)?)))
         .collect()
 }
 
-fn open(inherited: Inherited) -> Book {
-    let count = inherited.count.min(super::WINDOW as u64) as usize;
+fn restore_book(transferred: TransferredBook) -> Book {
+    let count = transferred.count.min(super::MAX_TICKETS as u64) as usize;
     let mut unused = std::collections::VecDeque::from(vec![None; count]);
-    for (number, customer) in inherited.unused {
-        let at = number.checked_sub(inherited.first).map(|at| at as usize);
-        if let Some(slot) = at.and_then(|at| unused.get_mut(at)) {
+    for (number, customer) in transferred.unused {
+        let index = number
+            .checked_sub(transferred.first)
+            .map(|index| index as usize);
+        if let Some(slot) = index.and_then(|index| unused.get_mut(index)) {
             *slot = Some(customer);
         }
     }
     Book {
-        first: inherited.first,
+        first: transferred.first,
         unused,
     }
 }
--- a/crates/core/src/node/finish.rs
+++ b/crates/core/src/node/finish.rs
@@ -100,7 +100,7 @@
     /// Finishes a request that certainly reached no endpoint: its key, if any,
     /// becomes usable again, and all requests waiting for the key are refused too.
     pub(super) fn not_run(&mut self, now: Time, request: id::Request, refusal: Refusal) {
-        for other in self.ledger.put_back(request) {
+        for other in self.ledger.release_key(request) {
             self.finish(now, other, refusal.clone());
         }
         self.finish(now, request, refusal);
--- a/crates/core/src/node/stop.rs
+++ b/crates/core/src/node/stop.rs
@@ -59,7 +59,7 @@
             self.handover = Handover::Finished;
             return;
         };
-        let Some(estate) = self.ledger.try_give() else {
+        let Some(estate) = self.ledger.try_hand_over() else {
             return;
         };
         self.handover = Handover::Sent(now);
