--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP from callers.
+//! The HTTP server for callers.
 
 use std::sync::Arc;
 
@@ -23,21 +23,21 @@
 
 pub use reply::submit;
 
-/// What callers' handlers share.
+/// State shared by the handlers of caller requests.
 pub struct Shared {
-    /// The loop.
+    /// The handle to the driver loop.
     pub handle: Handle,
     /// The clock.
     pub clock: Clock,
-    /// Bounds.
+    /// The configured limits.
     pub limits: Limits,
-    /// One permit for each request held.
+    /// One permit for each request in progress.
     pub permits: Arc<Semaphore>,
-    /// One permit for each KiB of bodies held.
+    /// One permit for each KiB of request bodies in memory.
     pub bodies: Arc<Semaphore>,
 }
 
-/// What a path is for.
+/// The kind of request that a path serves.
 #[derive(Debug, Clone, Copy)]
 enum Route {
     Chat,
@@ -52,7 +52,7 @@
     shared: Arc<Shared>,
 }
 
-/// The routes that callers are served on.
+/// Returns the router for callers.
 pub fn router(shared: Arc<Shared>) -> Router {
     let entry = |route| Entry {
         route,
--- a/crates/node/src/callers/read.rs
+++ b/crates/node/src/callers/read.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request, bounded in bytes and time.
+//! Reads callers' requests within limits on size and time.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -24,22 +24,24 @@
 use crate::clock::to_duration;
 use crate::driver::Work;
 
-/// Bytes of prompt that make a token, about; the engine's usage is exact.
+/// Approximate bytes of prompt per token; the usage that the engine reports is
+/// exact.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What was read, and the permits for the bytes of its body.
+/// A parsed request with the permits for the bytes of its body.
 type Read = (Arrival, Work, OwnedSemaphorePermit);
 
-/// Bytes that one permit stands for.
+/// The number of bytes that one permit covers.
 const KIB: usize = 1 << 10;
 
-/// How many times the largest body is read and dropped before giving up.
+/// How many times the largest allowed body is read and discarded before the
+/// connection is given up.
 const DRAIN: usize = 8;
 
-/// Longest idempotency key.
+/// The maximum length of an idempotency key.
 const KEY_LIMIT: usize = 128;
 
-/// SHA-256 of the bearer token.
+/// Returns the SHA-256 of the bearer token.
 pub(super) fn token(request: &Request) -> Result<[u8; 32], Code> {
     let text = header(request, "authorization")?.ok_or(Code::CustomerUnknown)?;
     let token = text.strip_prefix("Bearer ").ok_or(Code::CustomerUnknown)?;
@@ -63,7 +65,7 @@
         .map_err(|_| Code::HeaderInvalid)
 }
 
-/// A body and the permits for its bytes.
+/// A body with the permits for its bytes.
 struct Body {
     bytes: Bytes,
     held: OwnedSemaphorePermit,
@@ -77,9 +79,9 @@
     read.map_err(|_| Code::BodyTooSlow)?
 }
 
-/// Reads a body up to the limit of one, and while the limit of all is not
-/// reached. More is read and dropped, up to a bound, since a caller that is
-/// still sending would not see the answer.
+/// Reads a body within the limit for one body and the limit for all bodies
+/// together. Beyond either, up to a bound, the rest is read and discarded,
+/// because a caller that is still sending would not see the answer.
 async fn collect(mut body: ReqBody, shared: &Shared) -> Result<Body, Code> {
     let most = shared.limits.body.0 as usize;
     let mut kept = BytesMut::new();
@@ -118,7 +120,7 @@
     }
 }
 
-/// Permits for more KiB of bodies, if there are any left.
+/// Acquires permits for more KiB of bodies, if enough are available.
 fn permits(shared: &Shared, kib: usize) -> Result<OwnedSemaphorePermit, Code> {
     let all = shared.bodies.clone();
     all.try_acquire_many_owned(kib as u32)
@@ -134,7 +136,8 @@
         .ok_or(Code::HeaderInvalid)
 }
 
-/// What the headers say; the body's part is filled in by the caller.
+/// Parses the headers; the fields that depend on the body are filled in by the
+/// calling function.
 fn arrival(request: &Request, id: id::Request) -> Result<Arrival, Code> {
     let millis: Option<u64> = parsed(request, "woadstage-timeout-ms")?;
     if millis == Some(0) {
@@ -161,7 +164,7 @@
     Ok(header(request, "content-type")?.map(str::to_string))
 }
 
-/// A model's request in the OpenAI-compatible form.
+/// Parses a model request in the OpenAI-compatible format.
 pub(super) async fn chat(
     request: &mut Request,
     id: id::Request,
@@ -184,11 +187,11 @@
     arrival.prefix = prefix.into();
     arrival.output_limit = output_limit(&fields)?;
     let is_stream = is_stream(&fields)?;
-    // The tier comes from the configuration, never from the caller's word.
+    // The tier comes from the configuration, never from the request body.
     fields.shift_remove("priority");
     if is_stream {
-        // Usage tells what was served from the cache; a caller that did not
-        // ask for it gets one more event, as the API allows.
+        // The usage reports the cached tokens. A caller that did not ask for it
+        // receives one additional event, which the API allows.
         fields.insert(
             "stream_options".into(),
             serde_json::json!({"include_usage": true}),
@@ -231,7 +234,7 @@
     }
 }
 
-/// A call of a plain service.
+/// Parses a request for a plain service.
 pub(super) async fn service(
     request: &mut Request,
     id: id::Request,
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -1,4 +1,4 @@
-//! Gives callers their answers.
+//! Sends answers to callers.
 
 use std::io;
 use std::sync::Arc;
@@ -36,8 +36,8 @@
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("woadstage-outcome");
 const TICKET_HEADER: HeaderName = HeaderName::from_static("woadstage-ticket");
 
-/// An answer on its way. Dropping it before it is whole tells the core that
-/// the caller went away.
+/// An answer in progress. Dropping it before it is complete tells the core that
+/// the caller disconnected.
 pub struct Answer {
     id: id::Request,
     replies: mpsc::Receiver<Reply>,
@@ -46,7 +46,7 @@
 }
 
 impl Answer {
-    /// The next part; none once it is over.
+    /// Returns the next part, or `None` at the end of the answer.
     pub async fn next(&mut self) -> Option<Reply> {
         if self.over {
             return None;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Hands a request to the loop.
+/// Submits a request to the driver loop.
 pub async fn submit(handle: &Handle, arrival: Arrival, work: Work) -> Answer {
     let (reply, replies) = mpsc::channel(REPLY_WINDOW);
     let id = arrival.request;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Passes an answer to a caller.
+/// Relays an answer to a caller.
 pub(super) async fn pass(
     response: &mut Response,
     mut answer: Answer,
@@ -136,8 +136,9 @@
 
 type Part = Result<Bytes, io::Error>;
 
-/// The body. A broken event stream ends with an error event; any other broken
-/// body ends by breaking the connection, so that neither looks whole.
+/// Builds the response body. A broken event stream ends with an error event and
+/// any other broken body with an aborted connection, so that neither looks
+/// complete.
 fn body(
     answer: Answer,
     is_stream: bool,
@@ -172,7 +173,7 @@
     error.to_string()
 }
 
-/// Answers with a refusal.
+/// Builds the response for a refusal.
 pub(super) fn refuse(response: &mut Response, id: Option<id::Request>, refusal: &Refusal) {
     let status = StatusCode::from_u16(refusal.code.status());
     response.status_code(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
@@ -199,7 +200,7 @@
     response.body(body.to_string());
 }
 
-/// The models that a customer may name.
+/// Lists the models that a customer may use.
 pub(super) fn models(response: &mut Response, names: &[id::Target]) {
     let data: Vec<_> = names
         .iter()
@@ -208,7 +209,7 @@
     json(response, &json!({"object": "list", "data": data}));
 }
 
-/// A ticket.
+/// Returns the status of a ticket.
 pub(super) fn ticket(response: &mut Response, ticket: &str) {
     if let Ok(value) = ticket.parse() {
         response.headers_mut().insert(TICKET_HEADER, value);
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,6 +1,6 @@
-//! The time: read from the wall once, then driven by a clock that never steps. A
-//! process that was paused, or whose host was suspended, finds on waking that time
-//! went on.
+//! The process's clock: reads the wall clock once and then advances with a
+//! clock that never steps. It includes the time during which the process was
+//! paused or its host suspended.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -9,7 +9,7 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// A clock of one process.
+/// The clock of one process.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     wall: Time,
@@ -17,7 +17,7 @@
 }
 
 impl Clock {
-    /// Reads the wall clock.
+    /// Creates a clock from the current wall-clock time.
     pub fn start() -> Clock {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -28,20 +28,20 @@
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         let elapsed = woadstage_clock::since_boot().saturating_sub(self.start);
         self.wall + Span(elapsed.as_micros() as u64)
     }
 
-    /// The instant of a time, for timers. These stand still while the host is
-    /// suspended, so that it holds until then.
+    /// Returns the timer instant for a time. Timers stand still while the host
+    /// is suspended, so the instant is valid only until the next suspension.
     pub fn to_instant(&self, time: Time) -> tokio::time::Instant {
         tokio::time::Instant::now() + to_duration(time.since(self.now()))
     }
 }
 
-/// A span as the standard library has it.
+/// Converts a duration to the standard library's type.
 pub fn to_duration(span: Span) -> Duration {
     Duration::from_micros(span.0)
 }
--- a/crates/node/src/commands/check.rs
+++ b/crates/node/src/commands/check.rs
@@ -10,16 +10,16 @@
 
 use super::Refused;
 
-/// What to check.
+/// The kind of file to check.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
-    /// A node's settings.
+    /// The settings of a node.
     pub settings: Option<PathBuf>,
-    /// A published configuration.
+    /// A configuration to be published.
     pub config: Option<PathBuf>,
 }
 
-/// Checks, and prints every fault with its place and code.
+/// Checks the file and prints every fault with its path and code.
 pub fn run(options: &Options, out: &mut impl Write) -> anyhow::Result<()> {
     let mut faults = Faults::default();
     if let Some(path) = &options.settings {
--- a/crates/node/src/commands/codes.rs
+++ b/crates/node/src/commands/codes.rs
@@ -1,10 +1,10 @@
-//! `woadstage codes`: the table of result codes.
+//! `woadstage codes`: prints the table of result codes.
 
 use std::io::Write;
 
 use woadstage_types::code::Code;
 
-/// Prints the table.
+/// Prints the table of result codes.
 pub fn run(json: bool, out: &mut impl Write) -> anyhow::Result<()> {
     if json {
         let all: Vec<_> = Code::ALL
--- a/crates/node/src/commands/explain.rs
+++ b/crates/node/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `woadstage explain`: what was decided for one request.
+//! `woadstage explain`: prints the decisions made for one request.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use super::fetch;
 use crate::operators::Shown;
 
-/// Asks a node and prints a request's steps.
+/// Queries a node and prints the recorded steps of a request.
 pub async fn run(
     node: SocketAddr,
     request: id::Request,
--- a/crates/node/src/commands/fetch.rs
+++ b/crates/node/src/commands/fetch.rs
@@ -1,4 +1,4 @@
-//! Asks a node's operators' address.
+//! Queries a node's operator address.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -19,7 +19,8 @@
 const WITHIN: Duration = Duration::from_secs(10);
 const LARGEST: usize = 8 << 20;
 
-/// Asks, and gives the value; a refusal's faults are printed.
+/// Sends the query and returns the decoded value; prints the faults of a
+/// refusal.
 pub(super) async fn ask<T: DeserializeOwned>(
     node: SocketAddr,
     path: &str,
--- a/crates/node/src/commands/mod.rs
+++ b/crates/node/src/commands/mod.rs
@@ -1,5 +1,5 @@
-//! What the program's commands do: plain functions that take options and a
-//! place to write to.
+//! The program's commands, as plain functions that take their options and an
+//! output writer.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
 pub mod serve;
 pub mod status;
 
-/// The command was understood and refused; what was wrong has been printed.
+/// The command was valid but refused; the reasons have been printed.
 #[derive(Debug, Clone, Copy)]
 pub struct Refused;
 
--- a/crates/node/src/commands/plan.rs
+++ b/crates/node/src/commands/plan.rs
@@ -1,4 +1,5 @@
-//! `woadstage plan`: what an intent would change, and the document to publish.
+//! `woadstage plan`: prints the changes that an intent would make and writes
+//! the document to publish.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,20 +10,21 @@
 use super::fetch;
 use crate::operators::Plan;
 
-/// What to plan.
+/// The options of the command.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The node that is asked.
+    /// The address of the node to query.
     pub node: SocketAddr,
-    /// The file with the intent.
+    /// The path of the intent.
     pub intent: PathBuf,
-    /// Where the document goes; `woadstage-<revision>.toml` if not given.
+    /// The path of the output document; `woadstage-<revision>.toml` if not
+    /// given.
     pub output: Option<PathBuf>,
-    /// True for JSON.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
-/// Asks a node, prints what would change and writes the document.
+/// Queries a node, prints the planned changes and writes the document.
 pub async fn run(options: &Options, out: &mut impl Write) -> anyhow::Result<()> {
     let path = &options.intent;
     let intent = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
--- a/crates/node/src/commands/serve.rs
+++ b/crates/node/src/commands/serve.rs
@@ -41,14 +41,15 @@
 use crate::platform;
 use crate::platform::Platform;
 
-/// Time for balancers and other nodes to notice a planned stop before callers
-/// are turned away.
+/// Time for load balancers and other nodes to notice a planned stop before
+/// callers are refused.
 const NOTICE: Duration = Duration::from_secs(1);
 
-/// Time for the last answers to leave.
+/// Time for the last answers to be sent.
 const LAST_ANSWERS: Duration = Duration::from_secs(5);
 
-/// Largest share of the recorded answers that one answer may take.
+/// The divisor of the memory for recorded answers that gives the limit for one
+/// answer.
 const ANSWER_SHARE: u64 = 16;
 
 /// Runs a node.
@@ -139,9 +140,9 @@
     Ok(handle)
 }
 
-/// A planned stop on SIGTERM: first the others are told, then callers are
-/// turned away, then what is in progress ends. A second signal, or the end of
-/// the time set, ends the process with what is left.
+/// Carries out a planned stop on SIGTERM: announces it, then refuses callers,
+/// then waits for the requests in progress. A second signal, or the end of the
+/// configured time, ends the process with what is unfinished.
 async fn stop_on_signal(handle: Handle, within: woadstage_types::unit::Span) {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
--- a/crates/node/src/commands/status.rs
+++ b/crates/node/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `woadstage status`: what a node knows and holds.
+//! `woadstage status`: prints a node's status.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use super::fetch;
 
-/// Asks a node and prints its status.
+/// Queries a node and prints its status.
 pub async fn run(node: SocketAddr, json: bool, out: &mut impl Write) -> anyhow::Result<()> {
     let status: Status = fetch::ask(node, "/v1/status", None, out).await?;
     if json {
--- a/crates/node/src/driver/act.rs
+++ b/crates/node/src/driver/act.rs
@@ -1,4 +1,4 @@
-//! Carries out what the core wants done.
+//! Executes the actions that the core requests.
 
 use std::sync::atomic::Ordering;
 
@@ -68,8 +68,8 @@
             return;
         };
         if Driver::is_started(held) {
-            // Part of an earlier attempt's answer has gone out meanwhile:
-            // another's must not follow it.
+            // Part of an earlier attempt's answer has been sent meanwhile; the
+            // answer of another attempt must not follow it.
             let what = Call::BROKEN;
             let input = Input::Call {
                 request,
@@ -120,7 +120,7 @@
         };
         held.started.store(true, Ordering::Relaxed);
         let sender = held.reply.clone();
-        // The window may be full of an answer that a slow caller reads.
+        // The window may be full because the caller reads slowly.
         tokio::spawn(async move {
             let _ = sender.send(reply).await;
         });
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -1,4 +1,5 @@
-//! The loop that owns the core: inputs in, actions out.
+//! The event loop that owns the core: passes inputs to it and executes its
+//! actions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,114 +31,115 @@
 
 mod act;
 
-/// How often bytes between nodes are counted.
+/// How often the bytes exchanged between nodes are counted.
 const COUNT_EVERY: Span = Span::from_secs(1);
 
-/// Parts of an answer that may wait for a slow caller.
+/// The maximum number of parts of an answer queued for a slow caller.
 pub const REPLY_WINDOW: usize = 16;
 
-/// What is sent to an endpoint for a request.
+/// The request that is sent to an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Work {
-    /// HTTP method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query at the endpoint.
+    /// The path and query at the endpoint.
     pub path: String,
-    /// Content type, if any.
+    /// The content type, if any.
     pub content_type: Option<String>,
-    /// Body.
+    /// The body.
     pub body: Bytes,
-    /// True for a model's request: usage is read from its answer.
+    /// Whether this is a model request, in which case usage is read from its
+    /// answer.
     pub is_model: bool,
-    /// True where the answer is an event stream.
+    /// Whether the answer is an event stream.
     pub is_stream: bool,
 }
 
-/// The first part of an answer.
+/// The head of an answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// Content type, if any.
+    /// The content type, if any.
     pub content_type: Option<String>,
-    /// Length, where the endpoint told it.
+    /// The content length, if the endpoint sent one.
     pub length: Option<u64>,
     /// The result code.
     pub code: Code,
 }
 
-/// One part of an answer on its way to the caller.
+/// One part of an answer to a caller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The node answers itself; nothing came before.
+    /// The node answers itself; no other part precedes this one.
     Refuse(Refusal),
-    /// An endpoint's answer begins.
+    /// The head of an endpoint's answer.
     Head(Head),
-    /// More of it.
+    /// A chunk of the body.
     Data(Bytes),
-    /// It is whole.
+    /// The answer is complete.
     End,
-    /// It broke off.
+    /// The answer broke off.
     Broken(Refusal),
 }
 
-/// A whole answer, kept for repeats of its key.
+/// A complete answer, kept to answer repeats of its idempotency key.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Its head.
+    /// The head.
     pub head: Head,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// A request handed to the loop.
+/// A request submitted to the driver loop.
 #[derive(Debug)]
 pub struct Request {
-    /// What the core is told.
+    /// The request as the core receives it.
     pub arrival: Arrival,
-    /// What the endpoint is sent.
+    /// The request for the endpoint.
     pub work: Arc<Work>,
-    /// Where the answer goes.
+    /// The channel for the parts of the answer.
     pub reply: mpsc::Sender<Reply>,
 }
 
 type Query = Box<dyn FnOnce(&mut Node, Time) + Send>;
 
-/// What the loop takes in.
+/// An input of the driver loop.
 pub enum Input {
-    /// A request.
+    /// A submitted request.
     Request(Box<Request>),
-    /// An event as the core knows it.
+    /// An event for the core.
     Event(Event),
-    /// Something happened to a call; a whole answer may come with it.
+    /// Progress of a call, with the complete answer if it was recorded.
     Call {
-        /// Whose.
+        /// The request.
         request: id::Request,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u32,
-        /// What.
+        /// The progress.
         what: Call,
         /// The recorded answer.
         answer: Option<Answer>,
     },
-    /// A question to the core.
+    /// A query of the core.
     Query(Query),
 }
 
-/// A handle to the loop.
+/// A handle to the driver loop.
 #[derive(Clone)]
 pub struct Handle {
     inputs: mpsc::UnboundedSender<Input>,
 }
 
 impl Handle {
-    /// Hands an input in. Lost only when the process is ending.
+    /// Sends an input to the loop. It is lost only when the process is ending.
     pub fn put(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
-    /// Asks the core something and waits for the answer; none at the end of
-    /// the process.
+    /// Queries the core and waits for the result; `None` if the process is
+    /// ending.
     pub async fn ask<T: Send + 'static>(
         &self,
         question: impl FnOnce(&mut Node, Time) -> T + Send + 'static,
@@ -150,17 +152,17 @@
     }
 }
 
-/// A request in the hands of the shell.
+/// The input and output state of a request.
 struct Held {
     work: Arc<Work>,
     reply: mpsc::Sender<Reply>,
     arrival: Option<Arrival>,
-    /// True once part of an answer went to the caller.
+    /// Whether part of an answer has been sent to the caller.
     started: Arc<AtomicBool>,
     task: Option<AbortHandle>,
 }
 
-/// The loop's state beside the core.
+/// The state of the loop beside the core.
 pub struct Driver {
     node: Node,
     clock: Clock,
@@ -176,28 +178,28 @@
     counted: Time,
 }
 
-/// What a driver is made of.
+/// The components of a driver.
 pub struct Parts {
-    /// The core.
+    /// The decision core.
     pub node: Node,
     /// The clock.
     pub clock: Clock,
-    /// Other nodes.
+    /// The connections to other nodes.
     pub peers: peers::Peers,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// Bytes of one answer that are recorded at the most.
+    /// The maximum number of bytes recorded of one answer.
     pub answer_limit: usize,
 }
 
-/// A channel into a loop that is still to be made.
+/// Creates the channel for a loop that does not exist yet.
 pub fn channel() -> (Handle, mpsc::UnboundedReceiver<Input>) {
     let (inputs, receiver) = mpsc::unbounded_channel();
     (Handle { inputs }, receiver)
 }
 
 impl Driver {
-    /// A loop around a core.
+    /// Creates the loop around a core.
     pub fn new(parts: Parts, handle: Handle, inputs: mpsc::UnboundedReceiver<Input>) -> Driver {
         let Parts {
             node,
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Runs until the core is drained after a planned stop.
+    /// Runs until the core has drained after a planned stop.
     pub async fn run(mut self) {
         while !self.node.is_drained() {
             let wake = self.clock.to_instant(self.node.next_wake());
@@ -247,8 +249,8 @@
                 what,
                 answer,
             } => {
-                // A call that ended after its request did has nobody to record
-                // it for, and nobody who would ever say to forget it.
+                // A call that ended after its request has no record to update,
+                // and the core would never ask to remove one.
                 if let Some(answer) = answer.filter(|_| self.held.contains_key(&request)) {
                     self.answers.insert(request, answer);
                 }
@@ -293,7 +295,7 @@
         self.count_bytes(now);
     }
 
-    /// Counts bytes between nodes, once a second.
+    /// Counts the bytes exchanged between nodes, once a second.
     fn count_bytes(&mut self, now: Time) {
         if now.since(self.counted) < COUNT_EVERY {
             return;
@@ -304,7 +306,7 @@
         self.metrics.peer_received.set(received as i64);
     }
 
-    /// Dials the entry hosts of a list that is new.
+    /// Dials the hosts of a new host list.
     fn follow_list(&mut self) {
         let Some(list) = self.node.hosts_opt() else {
             return;
--- a/crates/node/src/endpoints/call.rs
+++ b/crates/node/src/endpoints/call.rs
@@ -1,4 +1,4 @@
-//! Runs one call.
+//! Runs one call to an endpoint.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -28,14 +28,14 @@
 use crate::driver::Input;
 use crate::driver::Reply;
 
-/// Tokens are told to the core in lots, not one by one.
+/// The number of tokens reported to the core at once, rather than one by one.
 const TELL_EVERY: Duration = Duration::from_millis(50);
 
-/// Statuses by which an endpoint or what stands before it says that it did
-/// not do its part; whether it began cannot be known.
+/// The statuses by which an endpoint or a proxy before it reports that it did
+/// not complete the request. Whether the endpoint started on it is unknown.
 const NOT_SERVED: [u16; 3] = [502, 503, 504];
 
-/// A call that did not end well.
+/// A call that failed.
 struct Failure {
     sent: bool,
     started: bool,
@@ -60,7 +60,7 @@
     };
 }
 
-/// Runs a call and tells the loop how it went.
+/// Runs a call and reports its progress to the loop.
 pub async fn run(client: Client, call: Call) {
     let (what, answer) = match serve(&client, &call).await {
         Ok((whole, answer)) => (whole, answer),
@@ -131,8 +131,8 @@
     request.body(Full::new(to_body(call)))
 }
 
-/// The body, with the tier where the engine honours priorities. The caller's
-/// own `priority` was taken out when the body was read.
+/// Returns the body, with the tier added for engines that honour priorities.
+/// The caller's own `priority` was removed when the body was read.
 fn to_body(call: &Call) -> Bytes {
     let body = &call.work.body;
     let (Some(tier), Some(rest)) = (call.priority, body.strip_prefix(b"{")) else {
@@ -169,7 +169,7 @@
     }
 }
 
-/// Passes an answer on, part by part, and reads along.
+/// Relays an answer chunk by chunk and inspects it for usage.
 async fn pass_on(
     call: &Call,
     response: Response<Incoming>,
@@ -202,7 +202,7 @@
         }
         untold += reader.read(&part);
         record.add(&part);
-        // A caller that went away is the core's to act on.
+        // The core reacts when a caller disconnects.
         let _ = call.reply.send(Reply::Data(part)).await;
         if untold > 0 && told.elapsed() >= TELL_EVERY {
             tell(call, node::Call::Tokens(std::mem::take(&mut untold)), None);
@@ -214,7 +214,7 @@
     }
     reader.finish();
     if call.work.is_model && !reader.done {
-        // The connection ended in order but the stream did not say it is whole.
+        // The connection ended cleanly, but the stream had no end marker.
         return Err(if started {
             Failure::BROKEN
         } else {
@@ -244,10 +244,10 @@
     (whole, answer)
 }
 
-/// What a recorded answer takes beside its body, about.
+/// The approximate memory of a recorded answer beside its body.
 const HEAD_SIZE: u64 = 256;
 
-/// A copy of an answer, up to a limit.
+/// A copy of an answer, up to a size limit.
 struct Record {
     limit: usize,
     copy: Option<BytesMut>,
--- a/crates/node/src/endpoints/mod.rs
+++ b/crates/node/src/endpoints/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP to engines and services: one call, told to the core as it goes.
+//! The HTTP client for engines and services: runs calls and reports their
+//! progress to the core.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -25,27 +26,29 @@
 
 const CONNECT_WITHIN: Duration = Duration::from_secs(1);
 
-/// Idle connections kept to one endpoint.
+/// The maximum number of idle connections kept to one endpoint.
 const IDLE: usize = 64;
 
-/// The header that tells an endpoint which incarnation of which run orders.
+/// The header that tells an endpoint which incarnation of which run issues the
+/// request.
 pub const FENCE_HEADER: &str = "woadstage-fence";
 
-/// The header by which an endpoint says that it is leaving.
+/// The header by which an endpoint announces that it is leaving.
 pub const LEAVING_HEADER: &str = "woadstage-leaving";
 
-/// Connections to endpoints.
+/// The connections to endpoints.
 #[derive(Clone)]
 pub struct Client {
-    /// For what may be repeated: connections are used again.
+    /// The client for repeatable requests, which reuses connections.
     pooled: legacy::Client<HttpConnector, Full<Bytes>>,
-    /// For what may not: a connection of its own, since one from the pool can
-    /// break under a request in a way that leaves open whether it was read.
+    /// The client for requests that must not be repeated. It opens a new
+    /// connection for each, because a pooled connection can break without
+    /// revealing whether the request was read.
     fresh: legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Client {
-    /// No connections yet.
+    /// Creates the clients without any connections.
     pub fn new() -> Client {
         Client {
             pooled: build(IDLE),
@@ -64,8 +67,8 @@
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(CONNECT_WITHIN));
-    // A pooled connection that died must not make the library send a request
-    // a second time without our knowing.
+    // If a pooled connection died, the library must not send a request a second
+    // time on its own.
     legacy::Client::builder(TokioExecutor::new())
         .retry_canceled_requests(false)
         .pool_max_idle_per_host(idle)
@@ -73,26 +76,27 @@
         .build(connector)
 }
 
-/// One call.
+/// One call to an endpoint.
 pub struct Call {
-    /// For which request.
+    /// The request.
     pub request: id::Request,
-    /// Which attempt.
+    /// The number of the attempt.
     pub attempt: u32,
-    /// Where.
+    /// The endpoint.
     pub address: Arc<str>,
     /// The tier, for engines that honour priorities.
     pub priority: Option<u8>,
-    /// The key, for endpoints that check it.
+    /// The idempotency key, for endpoints that check it.
     pub key: Option<String>,
-    /// What is sent.
+    /// The request to send.
     pub work: Arc<Work>,
-    /// Where the answer goes.
+    /// The channel for the parts of the answer.
     pub reply: mpsc::Sender<Reply>,
-    /// Set once part of the answer goes out.
+    /// Set once part of the answer has been sent.
     pub started: Arc<AtomicBool>,
-    /// Bytes of the answer to record for repeats; 0 for none.
+    /// The maximum number of bytes of the answer to record for repeats; 0
+    /// records none.
     pub record: usize,
-    /// The loop.
+    /// The handle to the driver loop.
     pub handle: Handle,
 }
--- a/crates/node/src/endpoints/report.rs
+++ b/crates/node/src/endpoints/report.rs
@@ -1,5 +1,5 @@
-//! Reads the endpoints' own reports. Only the node that holds a pool reads
-//! those of its endpoints.
+//! Polls the endpoints' load reports. Only the node that owns a pool polls its
+//! endpoints.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 const PATH: &str = "/load";
 const LARGEST: usize = 4_096;
 
-/// An endpoint's report, old on arrival.
+/// An endpoint's load report, which is already out of date on arrival.
 #[derive(Debug, Clone, Copy, Deserialize)]
 struct Report {
     running: u32,
@@ -30,7 +30,7 @@
     leaving: bool,
 }
 
-/// Polls the endpoints of the pools held here, for as long as the loop runs.
+/// Polls the endpoints of the pools that this node owns until the loop ends.
 pub async fn poll(client: Client, handle: Handle) {
     loop {
         tokio::time::sleep(EVERY).await;
--- a/crates/node/src/endpoints/usage.rs
+++ b/crates/node/src/endpoints/usage.rs
@@ -1,30 +1,30 @@
-//! What an engine's answer says of itself: tokens, usage, and that it is whole.
+//! Extracts token events, usage and the end marker from an engine's answer.
 
 use serde::Deserialize;
 
-/// Most bytes of a plain answer that are read for usage.
+/// The maximum size in bytes of a plain answer that is read for usage.
 const PLAIN_LIMIT: usize = 1 << 20;
 
-/// Longest line of a stream that is read for usage.
+/// The maximum length of a line of a stream that is read for usage.
 const LINE_LIMIT: usize = 1 << 16;
 
-/// The engine's own count.
+/// The usage reported by the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// The tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// The tokens of the answer.
     pub completion_tokens: u64,
-    /// Of the prompt's tokens, what came from the cache.
+    /// The prompt tokens that were served from the cache.
     pub prompt_tokens_details: Option<Details>,
 }
 
-/// Details of the prompt's tokens.
+/// The breakdown of the prompt tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Details {
-    /// Taken from the cache.
+    /// The tokens that were served from the cache.
     pub cached_tokens: u64,
 }
 
@@ -33,21 +33,21 @@
     usage: Option<Usage>,
 }
 
-/// Reads along an answer as it passes.
+/// Inspects an answer while it is relayed.
 #[derive(Debug)]
 pub struct Reader {
     is_stream: bool,
     rest: Vec<u8>,
     /// The usage, once seen.
     pub usage: Usage,
-    /// Events that carry tokens.
+    /// The number of events that carry tokens.
     pub tokens: u64,
-    /// True once the stream said that it is whole.
+    /// Whether the stream had its end marker.
     pub done: bool,
 }
 
 impl Reader {
-    /// A reader of a stream or of a plain answer.
+    /// Creates a reader for a stream or a plain answer.
     pub fn new(is_stream: bool) -> Reader {
         Reader {
             is_stream,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes in a part; gives the token events in it.
+    /// Processes a chunk and returns the number of token events in it.
     pub fn read(&mut self, part: &[u8]) -> u64 {
         if !self.is_stream {
             let room = PLAIN_LIMIT.saturating_sub(self.rest.len());
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Ends the reading of a plain answer.
+    /// Parses the usage of a plain answer at its end.
     pub fn finish(&mut self) {
         if self.is_stream {
             return;
