--- a/crates/node/src/commands/serve.rs
+++ b/crates/node/src/commands/serve.rs
@@ -48,8 +48,8 @@
 /// Time for the last answers to be sent.
 const LAST_ANSWERS: Duration = Duration::from_secs(5);
 
-/// The divisor of the memory for recorded answers that gives the limit for one
-/// answer.
+/// One answer may take one part in this many of the memory for recorded
+/// answers.
 const ANSWER_SHARE: u64 = 16;
 
 /// Runs a node.
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -295,7 +295,7 @@
         self.count_bytes(now);
     }
 
-    /// Counts the bytes exchanged between nodes, once a second.
+    /// Updates the byte gauges of the connections between nodes, once a second.
     fn count_bytes(&mut self, now: Time) {
         if now.since(self.counted) < COUNT_EVERY {
             return;
--- a/crates/node/src/endpoints/call.rs
+++ b/crates/node/src/endpoints/call.rs
@@ -28,7 +28,8 @@
 use crate::driver::Input;
 use crate::driver::Reply;
 
-/// The number of tokens reported to the core at once, rather than one by one.
+/// The minimum time between two reports of tokens to the core, so that they are
+/// reported in batches.
 const TELL_EVERY: Duration = Duration::from_millis(50);
 
 /// The statuses by which an endpoint or a proxy before it reports that it did
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,16 @@
-//! The shells around the decision core: everything that touches a socket or a
-//! clock. One process is one loop on one thread.
+//! The input and output around the decision core: everything that uses a socket
+//! or a clock. Each process runs one event loop on one thread.
 //!
-//! * [`driver`]: the loop that owns the core and carries out its actions.
-//! * [`callers`]: HTTP from callers.
-//! * [`endpoints`]: HTTP to engines and services.
-//! * [`peers`]: QUIC between nodes.
-//! * [`platform`]: the platform's read-only service, behind one adapter.
-//! * [`operators`]: metrics, health and what the query commands read.
-//! * [`metrics`]: what is counted.
-//! * [`clock`]: the time.
-//! * [`commands`]: what the program's commands do.
+//! * [`driver`]: the event loop that owns the core and executes its actions.
+//! * [`callers`]: the HTTP server for callers.
+//! * [`endpoints`]: the HTTP client for engines and services.
+//! * [`peers`]: QUIC connections between nodes.
+//! * [`platform`]: the client of the platform's read-only service.
+//! * [`operators`]: the HTTP server for metrics, health checks and the query
+//! commands.
+//! * [`metrics`]: the metrics.
+//! * [`clock`]: the process's clock.
+//! * [`commands`]: the program's commands.
 
 pub mod callers;
 pub mod clock;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,5 +1,5 @@
-//! What is counted. Labels are bounded: classes and tiers come from the
-//! configuration, customers only as the heaviest few.
+//! The node's metrics. Label values are bounded: classes and tiers come from
+//! the configuration, and only the customers with the most requests are shown.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -19,17 +19,18 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Tokens;
 
-/// Customers counted at once (space-saving, Metwally et al. 2005).
+/// The maximum number of customers counted at once, by the space-saving
+/// algorithm (Metwally et al. 2005).
 const COUNTED: usize = 64;
 
-/// Customers shown.
+/// The number of customers shown.
 const SHOWN: usize = 8;
 
 const SECONDS: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.33, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0,
 ];
 
-/// What is counted.
+/// The node's metrics.
 pub struct Metrics {
     registry: Registry,
     latency: HistogramVec,
@@ -40,18 +41,18 @@
     cached: IntCounterVec,
     customers: IntGaugeVec,
     heaviest: Mutex<HashMap<String, u64>>,
-    /// Requests held.
+    /// The number of requests in progress.
     pub requests: IntGauge,
-    /// The configuration's revision in force.
+    /// The revision of the configuration in force.
     pub revision: IntGauge,
-    /// Bytes sent to other nodes on the connections that stand.
+    /// The bytes sent to other nodes on the open connections.
     pub peer_sent: IntGauge,
-    /// Bytes received from them.
+    /// The bytes received from other nodes on the open connections.
     pub peer_received: IntGauge,
 }
 
 impl Metrics {
-    /// Nothing counted yet. Fails only if two names were the same.
+    /// Creates and registers the metrics. Fails only if two have the same name.
     pub fn new() -> prometheus::Result<Metrics> {
         let registry = Registry::new();
         let histogram = |name: &str, help: &str| -> prometheus::Result<HistogramVec> {
@@ -166,7 +167,7 @@
         counts.insert(customer.into(), count + 1);
     }
 
-    /// Counts prompt work that was thrown away.
+    /// Counts prompt tokens whose work was discarded.
     pub fn wasted(&self, tokens: Tokens, why: Waste) {
         let cause = match why {
             Waste::CallerGone => "caller-gone",
@@ -177,7 +178,7 @@
         self.wasted.with_label_values(&[cause]).inc_by(tokens.0);
     }
 
-    /// All of it in Prometheus's text form.
+    /// Returns all metrics in Prometheus's text format.
     pub fn to_text(&self) -> String {
         self.show_heaviest();
         let mut text = Vec::new();
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,4 +1,5 @@
-//! What operators are served: metrics, health, and what the query commands read.
+//! The HTTP server for operators: metrics, health checks and the data of the
+//! query commands.
 
 use std::sync::Arc;
 
@@ -24,50 +25,51 @@
 use crate::driver::Handle;
 use crate::metrics::Metrics;
 
-/// Largest intent.
+/// The maximum size of an intent in bytes.
 const INTENT_LIMIT: usize = 1 << 20;
 
-/// A step as it is shown.
+/// A recorded step of a request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Shown {
-    /// When, in microseconds since the Unix epoch.
+    /// The time, in microseconds since the Unix epoch.
     pub at: Time,
-    /// What.
+    /// The step.
     pub step: Step,
 }
 
-/// A change as it is shown.
+/// A planned change.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Change {
-    /// The path.
+    /// The path of the setting.
     pub place: String,
     /// The value in force.
     pub from: Option<String>,
-    /// The value after confirming.
+    /// The value after the plan is confirmed.
     pub to: Option<String>,
 }
 
-/// A plan as it is shown.
+/// The plan made from an intent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Plan {
-    /// What would change.
+    /// The planned changes.
     pub changes: Vec<Change>,
     /// The document to publish.
     pub document: String,
-    /// Its revision.
+    /// The revision of the document.
     pub revision: u64,
-    /// The platform's index of the document in force, for its check-and-set.
+    /// The platform's index of the document in force, for a check-and-set on
+    /// publication.
     pub base_index: u64,
 }
 
-/// A fault as it is shown.
+/// A fault in a document or an intent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Fault {
-    /// The path.
+    /// The path of the setting.
     pub place: String,
-    /// The code.
+    /// The result code.
     pub code: String,
-    /// What to do.
+    /// The advice for correcting it.
     pub mend: String,
 }
 
@@ -87,7 +89,7 @@
     metrics: Arc<Metrics>,
 }
 
-/// The routes that operators are served on.
+/// Returns the router for operators.
 pub fn router(handle: &Handle, metrics: &Arc<Metrics>) -> Router {
     let page = |route| Page {
         route,
--- a/crates/node/src/peers/accept.rs
+++ b/crates/node/src/peers/accept.rs
@@ -1,4 +1,4 @@
-//! Takes connections of other nodes.
+//! Accepts connections from other nodes.
 
 use anyhow::Context;
 use quinn::Connection;
@@ -15,7 +15,7 @@
 use crate::driver::Handle;
 use crate::driver::Input;
 
-/// Takes connections for as long as the endpoint stands.
+/// Accepts connections until the QUIC endpoint is closed.
 pub async fn accept(endpoint: Endpoint, own: Peer, handle: Handle) {
     while let Some(incoming) = endpoint.accept().await {
         tokio::spawn(serve(incoming, own.clone(), handle.clone()));
@@ -41,7 +41,7 @@
     let ended = take_messages(messages, &handle).await;
     requests.abort();
     connection.close(0u32.into(), b"");
-    // A connection that simply broke is no fault worth a line.
+    // A lost connection is not logged as a fault.
     match connection.close_reason() {
         Some(quinn::ConnectionError::LocallyClosed) => ended,
         _ => Ok(()),
--- a/crates/node/src/peers/dial.rs
+++ b/crates/node/src/peers/dial.rs
@@ -1,4 +1,4 @@
-//! Keeps one connection to one other node and sends it messages.
+//! Maintains the connection to one other node and sends it messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,10 +25,10 @@
 const DIAL_AGAIN: Duration = Duration::from_millis(200);
 const HELLO_WITHIN: Duration = Duration::from_secs(2);
 
-/// Messages written at once at the most.
+/// The maximum number of messages written at once.
 const LOT: usize = 64;
 
-/// One dialled connection and all that belongs to it.
+/// The state of the connection to one node.
 pub(super) struct Dial {
     pub(super) endpoint: Endpoint,
     pub(super) own: Peer,
@@ -41,7 +41,7 @@
 }
 
 impl Dial {
-    /// Dials, and dials again, while the node is wanted.
+    /// Connects, and reconnects after a failure, while the node is wanted.
     pub(super) async fn run(mut self) {
         while self.wanted.load(Ordering::Relaxed) {
             match self.open().await {
@@ -63,7 +63,7 @@
     }
 
     async fn serve(&mut self, connection: Connection, mut stream: SendStream, peer: Peer) {
-        // What was meant for an earlier connection is not for this one.
+        // Messages queued for an earlier connection are discarded.
         while self.messages.try_recv().is_ok() {}
         let host = self.host.to_string();
         info!("peers: A node is connected.", kv: { host: });
--- a/crates/node/src/peers/forward.rs
+++ b/crates/node/src/peers/forward.rs
@@ -1,4 +1,4 @@
-//! A request that is passed to the node its key names, and the answer back.
+//! Forwards a request to the node that owns its key and relays the answer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -20,21 +20,21 @@
 use crate::driver::Reply;
 use crate::driver::Work;
 
-/// A request to pass on.
+/// A request to forward.
 pub struct Forward {
-    /// What the core was told.
+    /// The request as the core received it.
     pub arrival: Arrival,
-    /// What the endpoint is to be sent.
+    /// The request for the endpoint.
     pub work: Arc<Work>,
-    /// Where the answer goes.
+    /// The channel for the parts of the answer.
     pub reply: mpsc::Sender<Reply>,
-    /// Set once part of the answer goes out.
+    /// Set once part of the answer has been sent.
     pub started: Arc<AtomicBool>,
-    /// The loop.
+    /// The handle to the driver loop.
     pub handle: Handle,
 }
 
-/// Passes a request on and its answer back.
+/// Forwards a request and relays its answer.
 pub async fn forward(connection: Connection, forward: Forward) {
     let request = forward.arrival.request;
     let event = match try_forward(connection, &forward).await {
@@ -61,8 +61,8 @@
     };
     let (mut send, mut receive) = connection.open_bi().await?;
     send.write_all(&wire::to_frame(&passed)?).await?;
-    // The sending side stays open: when this task is stopped it is reset, and
-    // the other node learns that nobody waits any more.
+    // The sending side stays open. If this task is aborted, the stream is
+    // reset, which tells the other node that the caller no longer waits.
     loop {
         let reply: Reply = wire::read(&mut receive).await?.context("cut off")?;
         let last = matches!(reply, Reply::Refuse(_) | Reply::End | Reply::Broken(_));
@@ -75,7 +75,7 @@
     }
 }
 
-/// Serves a request that another node passed on.
+/// Serves a request that another node forwarded.
 pub(super) async fn serve(send: SendStream, receive: RecvStream, handle: Handle) {
     let _ = try_serve(send, receive, handle).await;
 }
@@ -92,7 +92,8 @@
     loop {
         let reply = tokio::select! {
             reply = answer.next() => reply,
-            // A reset or the end: nobody waits for the answer any more.
+            // The stream was reset or ended: the caller no longer waits for the
+            // answer.
             _ = receive.read(&mut byte) => return Ok(()),
         };
         let Some(reply) = reply else { break };
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,9 +1,9 @@
-//! QUIC between nodes: one connection each way between two nodes, on which
-//! the dialling node sends its messages and passes requests on.
+//! QUIC between nodes. Each node dials every other one and uses that connection
+//! to send messages and forward requests.
 //!
-//! Every frame begins with the protocol's version. A frame of another version
+//! Every frame begins with the protocol version. A frame of another version
 //! closes the connection: the two nodes then work without each other, as in a
-//! cut, until the roll-out is over.
+//! network partition, until the roll-out is complete.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,22 +34,22 @@
 pub use forward::Forward;
 pub use forward::forward;
 
-/// Messages that may wait for one node. When they do not go out the node is
-/// as good as cut off: the connection is closed and made anew.
+/// The maximum number of messages queued for one node. If the queue overflows,
+/// the connection is treated as lost: it is closed and opened again.
 const QUEUE: usize = 8_192;
 
-/// One other node.
+/// The connection to one other node.
 struct Link {
     address: SocketAddr,
     queue: mpsc::Sender<Message>,
     connection: watch::Receiver<Option<Connection>>,
-    /// False once the host list no longer names the node: a connection that
-    /// breaks is then not made again.
+    /// False once the host list no longer names the node, after which a lost
+    /// connection is not reopened.
     wanted: Arc<AtomicBool>,
     task: AbortHandle,
 }
 
-/// All other nodes.
+/// The connections to all other nodes.
 pub struct Peers {
     endpoint: Endpoint,
     own: Peer,
@@ -58,7 +58,7 @@
 }
 
 impl Peers {
-    /// Nobody yet.
+    /// Creates the set without any connections.
     pub fn new(endpoint: Endpoint, own: Peer, handle: Handle) -> Peers {
         Peers {
             endpoint,
@@ -68,12 +68,12 @@
         }
     }
 
-    /// This node's host.
+    /// Returns the name of this node's host.
     pub fn own_host(&self) -> &id::Host {
         &self.own.host
     }
 
-    /// Sends a message, if a connection stands; else it is lost.
+    /// Queues a message if the node is connected; otherwise drops it.
     pub fn send(&mut self, to: &id::Host, message: Message) {
         let Some(link) = self.links.get(to) else {
             return;
@@ -88,13 +88,13 @@
         }
     }
 
-    /// The connection to a node, if one stands.
+    /// Returns the connection to a node, if connected.
     pub fn connection_opt(&self, to: &id::Host) -> Option<Connection> {
         self.links.get(to)?.connection.borrow().clone()
     }
 
-    /// Bytes sent and received on the connections that this node dialled, as
-    /// UDP payload, since each was made.
+    /// Returns the UDP payload bytes sent and received on the open connections
+    /// that this node dialled, each counted from its start.
     pub fn bytes(&self) -> (u64, u64) {
         let connections = self
             .links
@@ -106,7 +106,7 @@
         })
     }
 
-    /// Keeps connections to the nodes named, and lets the others end.
+    /// Connects to the listed nodes and lets the connections to all others end.
     pub fn set_wanted(&mut self, wanted: &[(id::Host, SocketAddr)]) {
         for (name, link) in &self.links {
             let listed = wanted.iter().any(|(other, _)| other == name);
--- a/crates/node/src/peers/tls.rs
+++ b/crates/node/src/peers/tls.rs
@@ -1,4 +1,5 @@
-//! Keys and certificates: both ends show one that the common authority signed.
+//! TLS for QUIC. Both sides present a certificate signed by the common
+//! authority.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,21 +21,21 @@
 use rustls::server::WebPkiClientVerifier;
 use woadstage_config::settings::Identity;
 
-/// What the nodes call their protocol in the handshake.
+/// The ALPN protocol name.
 const PROTOCOL: &[u8] = b"woadstage";
 
-/// Silence after which a connection is given up.
+/// The time without traffic after which a connection is closed.
 const IDLE: Duration = Duration::from_secs(2);
 
-/// Requests that one node may pass to another at once.
+/// The maximum number of requests that one node may forward to another at once.
 const STREAMS: u32 = 1_024;
 
-/// Bytes that one stream, and one connection, may have under way. Bounds the
-/// memory that a slow reader costs.
+/// The flow-control windows in bytes of a stream and a connection. They bound
+/// the memory that a slow reader takes.
 const STREAM_WINDOW: u32 = 256 << 10;
 const CONNECTION_WINDOW: u32 = 2 << 20;
 
-/// Binds the socket on which this node is met and from which it dials.
+/// Binds the socket that accepts connections and from which this node dials.
 pub fn bind(address: SocketAddr, identity: &Identity) -> anyhow::Result<Endpoint> {
     let transport = Arc::new(transport()?);
     let mut server = ServerConfig::with_crypto(Arc::new(server(identity)?));
--- a/crates/node/src/peers/wire.rs
+++ b/crates/node/src/peers/wire.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes: a length, the version, and a postcard value.
+//! Frames between nodes: a length, the protocol version and a postcard value.
 
 use anyhow::Context;
 use anyhow::bail;
@@ -15,53 +15,53 @@
 
 use crate::driver::Work;
 
-/// Largest frame: a document of a megabyte and what stands around it.
+/// The maximum size of a frame in bytes: a document of 1 MiB and its envelope.
 const LARGEST: usize = (1 << 20) + (1 << 16);
 
-/// Bytes of the length before a frame.
+/// The size in bytes of the length prefix of a frame.
 const LENGTH: usize = 4;
 
-/// The reason given when a node's queue was full.
+/// The close code for a full message queue.
 pub const CLOSE_FULL: u32 = 1;
 
-/// The first frame of a stream of messages.
+/// The first frame of a message stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The host that speaks.
+    /// The host of the sender.
     pub host: id::Host,
-    /// Its run.
+    /// The incarnation of the sender.
     pub incarnation: id::Incarnation,
 }
 
-/// The first frame of a request that is passed on.
+/// The first frame of a forwarded request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Passed {
-    /// The node that passes it on.
+    /// The node that forwards the request.
     pub from: id::Host,
     /// The request.
     pub request: id::Request,
-    /// SHA-256 of the bearer token.
+    /// The SHA-256 of the bearer token.
     pub token: [u8; 32],
     /// The declared class.
     pub class: Option<id::Class>,
     /// The model or service.
     pub target: id::Target,
-    /// Its key.
+    /// The idempotency key.
     pub key: Option<String>,
-    /// The time left.
+    /// The time left until the deadline.
     pub left: Span,
-    /// Prompt tokens, estimated.
+    /// The estimated number of prompt tokens.
     pub prompt: Tokens,
-    /// The most output tokens.
+    /// The maximum number of output tokens.
     pub output_limit: Option<Tokens>,
-    /// Hash of what is asked.
+    /// The hash of the request's content.
     pub fingerprint: u64,
-    /// What the endpoint is sent.
+    /// The request for the endpoint.
     pub work: Work,
 }
 
 impl Passed {
-    /// The request as the core is told of it.
+    /// Returns the request as the core receives it.
     pub fn to_arrival(&self) -> Arrival {
         Arrival {
             request: self.request,
@@ -73,7 +73,8 @@
             timeout: Some(self.left),
             prompt: self.prompt,
             output_limit: self.output_limit,
-            // Keyed work is short and rare: it is placed without prefix hints.
+            // Requests with an idempotency key are short and rare, so they are
+            // placed without prefix hints.
             prefix: std::sync::Arc::from([]),
             fingerprint: self.fingerprint,
             from: Some(self.from.clone()),
@@ -94,14 +95,14 @@
     Ok(())
 }
 
-/// A frame by itself.
+/// Returns a value encoded as one frame.
 pub fn to_frame<T: Serialize>(value: &T) -> anyhow::Result<Vec<u8>> {
     let mut buffer = Vec::new();
     append(&mut buffer, value)?;
     Ok(buffer)
 }
 
-/// Reads the inside of a frame: its version and its value.
+/// Decodes a frame without its length prefix.
 pub fn decode<T: DeserializeOwned>(inside: &[u8]) -> anyhow::Result<T> {
     let (version, value) = inside.split_first().context("a frame is empty")?;
     ensure!(
@@ -111,7 +112,7 @@
     Ok(postcard::from_bytes(value)?)
 }
 
-/// Reads a frame from a stream; none where the stream ended in order.
+/// Reads a frame from a stream; returns `None` if the stream ended cleanly.
 pub async fn read<T: DeserializeOwned>(stream: &mut RecvStream) -> anyhow::Result<Option<T>> {
     let mut length = [0; LENGTH];
     match stream.read_exact(&mut length).await {
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's read-only service, behind this one adapter: HTTP in the
-//! manner of Consul's key-value reads. Nothing is ever written there.
+//! The client of the platform's read-only service, which answers HTTP reads
+//! like Consul's key-value store. The node never writes to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,22 +32,24 @@
 /// The key of the host list.
 pub const HOSTS_KEY: &str = "woadstage/hosts";
 
-/// Time between two calls after one failed, or while another node reads.
+/// The delay before the next call after a failure or while another node is the
+/// watcher.
 const AGAIN: Duration = Duration::from_secs(1);
 
-/// What a waiting call may take beyond its wait, and a pause in its answer.
+/// The time a blocking read may take beyond its wait, and the longest pause
+/// within its answer.
 const MARGIN: Duration = Duration::from_secs(2);
 
-/// A value as the platform gives it, base64 and all around it.
+/// The maximum size of an answer: a base64 value with its JSON around it.
 const ANSWER_LIMIT: usize = MAX_DOCUMENT_BYTES * 2;
 
-/// How an answer's body is read.
+/// The limits for reading an answer's body.
 const BODY: Limits = Limits {
     max_bytes: ANSWER_LIMIT,
     idle_timeout: MARGIN,
 };
 
-/// The platform.
+/// A client of the platform.
 #[derive(Clone)]
 pub struct Platform {
     address: SocketAddr,
@@ -60,7 +62,7 @@
 pub struct Value {
     /// The value.
     pub text: String,
-    /// The platform's index of it.
+    /// The platform's modification index of the value.
     pub index: u64,
 }
 
@@ -72,7 +74,7 @@
 }
 
 impl Platform {
-    /// The platform at an address; one waiting call lasts up to `wait`.
+    /// Creates a client for an address; one blocking read waits up to `wait`.
     pub fn new(address: SocketAddr, wait: Span) -> Platform {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
         Platform {
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Reads a key, at once for index 0, else when it passes the index or the
-    /// wait is over.
+    /// Reads a key: at once for index 0, otherwise when its index exceeds the
+    /// given one or the wait ends.
     pub async fn read(&self, key: &str, index: u64) -> anyhow::Result<Value> {
         let wait = self.wait.to_secs_ceil();
         let uri = match index {
@@ -108,8 +110,8 @@
     }
 }
 
-/// Follows one key for as long as the loop runs. A node that others read for
-/// makes no calls.
+/// Watches one key until the loop ends. A node that is not a watcher makes no
+/// calls.
 pub async fn follow(platform: Platform, key: &'static str, handle: Handle) {
     let mut index = 0;
     let mut failing = false;
@@ -125,7 +127,7 @@
         match platform.read(key, index).await {
             Ok(value) => {
                 failing = false;
-                // A service that starts again may count from the beginning.
+                // A restarted service may count from the beginning.
                 index = if value.index < index { 0 } else { value.index };
                 tell(&handle, key, value);
             }
