--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -44,31 +44,31 @@
     Service,
     Models,
     Tickets,
-    Elsewhere,
+    Unknown,
 }
 
-struct Entry {
+struct CallerHandler {
     route: Route,
     shared: Arc<Shared>,
 }
 
 /// Returns the router for callers.
 pub fn router(shared: Arc<Shared>) -> Router {
-    let entry = |route| Entry {
+    let handler = |route| CallerHandler {
         route,
         shared: shared.clone(),
     };
     Router::new()
-        .push(Router::with_path("v1/chat/completions").post(entry(Route::Chat)))
-        .push(Router::with_path("v1/models").get(entry(Route::Models)))
-        .push(Router::with_path("v1/tickets").post(entry(Route::Tickets)))
-        .push(Router::with_path("services/{service}/{**path}").goal(entry(Route::Service)))
-        .push(Router::with_path("services/{service}").goal(entry(Route::Service)))
-        .push(Router::with_path("{**path}").goal(entry(Route::Elsewhere)))
+        .push(Router::with_path("v1/chat/completions").post(handler(Route::Chat)))
+        .push(Router::with_path("v1/models").get(handler(Route::Models)))
+        .push(Router::with_path("v1/tickets").post(handler(Route::Tickets)))
+        .push(Router::with_path("services/{service}/{**path}").goal(handler(Route::Service)))
+        .push(Router::with_path("services/{service}").goal(handler(Route::Service)))
+        .push(Router::with_path("{**path}").goal(handler(Route::Unknown)))
 }
 
 #[async_trait]
-impl Handler for Entry {
+impl Handler for CallerHandler {
     async fn handle(
         &self,
         request: &mut Request,
@@ -80,12 +80,12 @@
             Route::Chat | Route::Service => self.serve(request, response).await,
             Route::Models => self.models(request, response).await,
             Route::Tickets => self.ticket(request, response).await,
-            Route::Elsewhere => reply::refuse(response, None, &Refusal::new(Code::PathUnknown)),
+            Route::Unknown => reply::refuse(response, None, &Refusal::new(Code::PathUnknown)),
         }
     }
 }
 
-impl Entry {
+impl CallerHandler {
     async fn serve(&self, request: &mut Request, response: &mut Response) {
         let shared = &self.shared;
         let Ok(permit) = shared.permits.clone().try_acquire_owned() else {
@@ -100,7 +100,7 @@
         match read {
             Ok((arrival, work, held)) => {
                 let answer = reply::submit(&shared.handle, arrival, work).await;
-                reply::pass(response, answer, vec![permit, held]).await;
+                reply::relay(response, answer, vec![permit, held]).await;
             }
             Err(code) => reply::refuse(response, Some(id), &Refusal::new(code)),
         }
--- a/crates/node/src/callers/read.rs
+++ b/crates/node/src/callers/read.rs
@@ -29,17 +29,17 @@
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// A parsed request with the permits for the bytes of its body.
-type Read = (Arrival, Work, OwnedSemaphorePermit);
+type ParsedRequest = (Arrival, Work, OwnedSemaphorePermit);
 
 /// The number of bytes that one permit covers.
-const KIB: usize = 1 << 10;
+const BYTES_PER_PERMIT: usize = 1 << 10;
 
-/// How many times the largest allowed body is read and discarded before the
-/// connection is given up.
-const DRAIN: usize = 8;
+/// How many times the largest allowed body is read and discarded before
+/// reading stops.
+const DRAIN_FACTOR: usize = 8;
 
 /// The maximum length of an idempotency key.
-const KEY_LIMIT: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
 /// Returns the SHA-256 of the bearer token.
 pub(super) fn token(request: &Request) -> Result<[u8; 32], Code> {
@@ -68,7 +68,7 @@
 /// A body with the permits for its bytes.
 struct Body {
     bytes: Bytes,
-    held: OwnedSemaphorePermit,
+    body_permit: OwnedSemaphorePermit,
 }
 
 async fn body(request: &mut Request, shared: &Shared) -> Result<Body, Code> {
@@ -83,9 +83,9 @@
 /// together. Beyond either, up to a bound, the rest is read and discarded,
 /// because a caller that is still sending would not see the answer.
 async fn collect(mut body: ReqBody, shared: &Shared) -> Result<Body, Code> {
-    let most = shared.limits.body.0 as usize;
+    let max_bytes = shared.limits.body.0 as usize;
     let mut kept = BytesMut::new();
-    let mut held = permits(shared, 0)?;
+    let mut body_permit = permits(shared, 0)?;
     let mut refused = None;
     let mut read = 0;
     while let Some(frame) = body.frame().await {
@@ -94,18 +94,21 @@
             continue;
         };
         read += part.len();
-        if read > most {
+        if read > max_bytes {
             refused = Some(Code::BodyTooLarge);
         }
-        if read > most.saturating_mul(DRAIN) {
+        if read > max_bytes.saturating_mul(DRAIN_FACTOR) {
             break;
         }
         if refused.is_some() {
             continue;
         }
-        match permits(shared, read.div_ceil(KIB) - held.num_permits()) {
+        match permits(
+            shared,
+            read.div_ceil(BYTES_PER_PERMIT) - body_permit.num_permits(),
+        ) {
             Ok(more) => {
-                held.merge(more);
+                body_permit.merge(more);
                 kept.extend_from_slice(&part);
             }
             Err(code) => refused = Some(code),
@@ -115,7 +118,7 @@
         Some(code) => Err(code),
         None => Ok(Body {
             bytes: kept.freeze(),
-            held,
+            body_permit,
         }),
     }
 }
@@ -131,7 +134,7 @@
     let Some(key) = header(request, "idempotency-key")? else {
         return Ok(None);
     };
-    let fits = !key.is_empty() && key.len() <= KEY_LIMIT;
+    let fits = !key.is_empty() && key.len() <= MAX_KEY_BYTES;
     fits.then(|| Some(key.to_string()))
         .ok_or(Code::HeaderInvalid)
 }
@@ -169,10 +172,13 @@
     request: &mut Request,
     id: id::Request,
     shared: &Shared,
-) -> Result<Read, Code> {
+) -> Result<ParsedRequest, Code> {
     let mut arrival = arrival(request, id)?;
     let content_type = content_type(request)?;
-    let Body { bytes: given, held } = body(request, shared).await?;
+    let Body {
+        bytes: given,
+        body_permit,
+    } = body(request, shared).await?;
     let mut fields: Map<String, Value> =
         serde_json::from_slice(&given).map_err(|_| Code::BodyNotJson)?;
     let model = fields
@@ -211,7 +217,7 @@
         is_model: true,
         is_stream,
     };
-    Ok((arrival, work, held))
+    Ok((arrival, work, body_permit))
 }
 
 fn is_stream(fields: &Map<String, Value>) -> Result<bool, Code> {
@@ -239,7 +245,7 @@
     request: &mut Request,
     id: id::Request,
     shared: &Shared,
-) -> Result<Read, Code> {
+) -> Result<ParsedRequest, Code> {
     let mut arrival = arrival(request, id)?;
     let content_type = content_type(request)?;
     let method = request.method().to_string();
@@ -257,7 +263,10 @@
         query if query.starts_with('?') => format!("/{query}"),
         path => path.to_string(),
     };
-    let Body { bytes: body, held } = body(request, shared).await?;
+    let Body {
+        bytes: body,
+        body_permit,
+    } = body(request, shared).await?;
     let asked = format!("{method} {path}");
     arrival.fingerprint = hash::chain(hash::of(&body), asked.as_bytes());
     let work = Work {
@@ -268,5 +277,5 @@
         is_model: false,
         is_stream: false,
     };
-    Ok((arrival, work, held))
+    Ok((arrival, work, body_permit))
 }
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -42,25 +42,25 @@
     id: id::Request,
     replies: mpsc::Receiver<Reply>,
     handle: Handle,
-    over: bool,
+    is_over: bool,
 }
 
 impl Answer {
     /// Returns the next part, or `None` at the end of the answer.
     pub async fn next(&mut self) -> Option<Reply> {
-        if self.over {
+        if self.is_over {
             return None;
         }
         let reply = self.replies.recv().await;
-        self.over = !matches!(reply, Some(Reply::Head(_) | Reply::Data(_)));
+        self.is_over = !matches!(reply, Some(Reply::Head(_) | Reply::Data(_)));
         reply
     }
 }
 
 impl Drop for Answer {
     fn drop(&mut self) {
-        if !self.over {
-            self.handle.put(Input::Event(Event::Gone(self.id)));
+        if !self.is_over {
+            self.handle.send(Input::Event(Event::Gone(self.id)));
         }
     }
 }
@@ -74,17 +74,17 @@
         work: Arc::new(work),
         reply,
     };
-    handle.put(Input::Request(Box::new(request)));
+    handle.send(Input::Request(Box::new(request)));
     Answer {
         id,
         replies,
         handle: handle.clone(),
-        over: false,
+        is_over: false,
     }
 }
 
 /// Relays an answer to a caller.
-pub(super) async fn pass(
+pub(super) async fn relay(
     response: &mut Response,
     mut answer: Answer,
     permits: Vec<OwnedSemaphorePermit>,
@@ -154,7 +154,7 @@
             Reply::Broken(refusal) | Reply::Refuse(refusal) => {
                 Err(io::Error::other(refusal.code.text()))
             }
-            Reply::Head(_) => Err(io::Error::other("two heads")),
+            Reply::Head(_) => Err(io::Error::other("second head in an answer")),
             Reply::End => return None,
         };
         Some((part, (answer, permits)))
--- a/crates/node/src/commands/explain.rs
+++ b/crates/node/src/commands/explain.rs
@@ -7,7 +7,7 @@
 use woadstage_types::id;
 
 use super::fetch;
-use crate::operators::Shown;
+use crate::operators::RecordedStep;
 
 /// Queries a node and prints the recorded steps of a request.
 pub async fn run(
@@ -17,13 +17,13 @@
     out: &mut impl Write,
 ) -> anyhow::Result<()> {
     let path = format!("/v1/explain/{request}");
-    let steps: Vec<Shown> = fetch::ask(node, &path, None, out).await?;
+    let steps: Vec<RecordedStep> = fetch::ask(node, &path, None, out).await?;
     if json {
         writeln!(out, "{}", serde_json::to_string(&steps)?)?;
         return Ok(());
     }
     let start = steps.first().map(|shown| shown.at).unwrap_or_default();
-    for Shown { at, step } in &steps {
+    for RecordedStep { at, step } in &steps {
         let millis = at.since(start).0 as f64 / 1_000.0;
         writeln!(out, "{millis:>10.3} ms  {}", to_sentence(step))?;
     }
--- a/crates/node/src/commands/fetch.rs
+++ b/crates/node/src/commands/fetch.rs
@@ -16,8 +16,8 @@
 use super::Refused;
 use crate::operators::Fault;
 
-const WITHIN: Duration = Duration::from_secs(10);
-const LARGEST: usize = 8 << 20;
+const TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Sends the query and returns the decoded value; prints the faults of a
 /// refusal.
@@ -33,12 +33,12 @@
         None => Request::get(uri).body(Full::new(Bytes::new()))?,
     };
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let answer = tokio::time::timeout(WITHIN, client.request(request)).await??;
-    let is_good = answer.status().is_success();
-    let body = Limited::new(answer.into_body(), LARGEST).collect();
-    let body = tokio::time::timeout(WITHIN, body).await?;
+    let answer = tokio::time::timeout(TIMEOUT, client.request(request)).await??;
+    let is_success = answer.status().is_success();
+    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect();
+    let body = tokio::time::timeout(TIMEOUT, body).await?;
     let body = body.map_err(|error| anyhow::anyhow!(error))?.to_bytes();
-    if is_good {
+    if is_success {
         return Ok(serde_json::from_slice(&body)?);
     }
     let faults: Vec<Fault> = serde_json::from_slice(&body)?;
--- a/crates/node/src/commands/serve.rs
+++ b/crates/node/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `woadstage serve`: runs a node until SIGTERM.
+//! `woadstage serve`: runs a node until SIGTERM or SIGINT.
 
 use std::io::Write;
 use std::path::Path;
@@ -43,14 +43,14 @@
 
 /// Time for load balancers and other nodes to notice a planned stop before
 /// callers are refused.
-const NOTICE: Duration = Duration::from_secs(1);
+const STOP_NOTICE: Duration = Duration::from_secs(1);
 
 /// Time for the last answers to be sent.
-const LAST_ANSWERS: Duration = Duration::from_secs(5);
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One answer may take one part in this many of the memory for recorded
 /// answers.
-const ANSWER_SHARE: u64 = 16;
+const ANSWER_LIMIT_DIVISOR: u64 = 16;
 
 /// Runs a node.
 pub async fn run(path: &Path, out: &mut impl Write) -> anyhow::Result<()> {
@@ -82,12 +82,12 @@
         bodies: Arc::new(Semaphore::new((settings.limits.bodies.0 >> 10) as usize)),
     });
     let callers = listen(settings.callers, callers::router(shared), &settings).await?;
-    let pages = operators::router(&handle, &metrics);
-    let operators = listen(settings.operators, pages, &settings).await?;
+    let operator_router = operators::router(&handle, &metrics);
+    let operators = listen(settings.operators, operator_router, &settings).await?;
     tokio::spawn(peers::accept(endpoint.clone(), own.clone(), handle.clone()));
     let platform = Platform::new(settings.platform, settings.platform_wait);
     for key in [platform::CONFIG_KEY, platform::HOSTS_KEY] {
-        tokio::spawn(platform::follow(platform.clone(), key, handle.clone()));
+        tokio::spawn(platform::watch(platform.clone(), key, handle.clone()));
     }
     tokio::spawn(endpoints::poll(endpoints::Client::new(), handle.clone()));
     tokio::spawn(stop_on_signal(handle.clone(), settings.stop_within));
@@ -104,7 +104,7 @@
             ..Options::default()
         },
     );
-    let answer_limit = (answers.0 / ANSWER_SHARE).max(Size::from_kib(4).0) as usize;
+    let answer_limit = (answers.0 / ANSWER_LIMIT_DIVISOR).max(Size::from_kib(4).0) as usize;
     let peers = Peers::new(endpoint.clone(), own, handle.clone());
     let parts = driver::Parts {
         node,
@@ -115,13 +115,13 @@
     };
     let host = settings.host.to_string();
     let run = incarnation.to_string();
-    info!("serve: The node runs.", kv: { host:, incarnation = run });
+    info!("serve: Node started.", kv: { host:, incarnation = run });
     Driver::new(parts, handle, inputs).run().await;
-    callers.stop_graceful(LAST_ANSWERS);
-    operators.stop_graceful(LAST_ANSWERS);
+    callers.stop_graceful(LAST_ANSWERS_TIMEOUT);
+    operators.stop_graceful(LAST_ANSWERS_TIMEOUT);
     endpoint.close(0u32.into(), b"stopped");
     endpoint.wait_idle().await;
-    info!("serve: The node has stopped.");
+    info!("serve: Node stopped.");
     Ok(())
 }
 
@@ -131,7 +131,7 @@
     settings: &Settings,
 ) -> anyhow::Result<salvo::server::ServerHandle> {
     let listener = TcpListener::new(address).try_bind().await;
-    let acceptor = listener.with_context(|| format!("listen on {address}"))?;
+    let acceptor = listener.with_context(|| format!("cannot listen on {address}"))?;
     let within = to_duration(settings.limits.receive_within);
     let fuse = FuseConfig::default().with_http1_header_timeout(within);
     let server = Server::new(acceptor).fuse_config(fuse);
@@ -140,7 +140,7 @@
     Ok(handle)
 }
 
-/// Carries out a planned stop on SIGTERM: announces it, then refuses callers,
+/// Carries out a planned stop on SIGTERM or SIGINT: announces it, then refuses callers,
 /// then waits for the requests in progress. A second signal, or the end of the
 /// configured time, ends the process with what is unfinished.
 async fn stop_on_signal(handle: Handle, within: woadstage_types::unit::Span) {
@@ -154,15 +154,15 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    info!("serve: A planned stop begins.");
-    handle.put(Input::Event(Event::Stop));
-    tokio::time::sleep(NOTICE).await;
-    handle.put(Input::Event(Event::Close));
+    info!("serve: Planned stop started.");
+    handle.send(Input::Event(Event::Stop));
+    tokio::time::sleep(STOP_NOTICE).await;
+    handle.send(Input::Event(Event::Close));
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
         () = tokio::time::sleep(to_duration(within)) => {}
     }
-    warn!("serve: The stop did not end in time; what is in progress is cut.");
+    warn!("serve: Planned stop not completed; aborting the requests in progress.");
     std::process::exit(1);
 }
--- a/crates/node/src/driver/act.rs
+++ b/crates/node/src/driver/act.rs
@@ -18,7 +18,7 @@
 use crate::peers;
 
 impl Driver {
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.peers.send(&to, message),
             Action::Call { request, .. } => self.call(request, action),
@@ -30,10 +30,10 @@
                 self.answers.remove(&request);
             }
             Action::Ended(ended) => {
-                self.metrics.ended(&ended);
-                self.held.remove(&ended.request);
+                self.metrics.record_ended(&ended);
+                self.pending.remove(&ended.request);
             }
-            Action::Wasted(tokens, why) => self.metrics.wasted(tokens, why),
+            Action::Wasted(tokens, why) => self.metrics.record_wasted(tokens, why),
             Action::Config { revision, refused } => self.log_config(revision, refused),
         }
     }
@@ -41,12 +41,12 @@
     fn log_config(&mut self, revision: u64, refused: Option<woadstage_types::code::Code>) {
         match refused {
             None => {
-                info!("config: A document is in force.", kv: { revision });
+                info!("config: Configuration applied.", kv: { revision });
                 self.metrics.revision.set(revision as i64);
             }
             Some(code) => {
                 let code = code.to_string();
-                warn!("config: A document was refused.", kv: { revision, code: });
+                warn!("config: Configuration rejected.", kv: { revision, code: });
             }
         }
     }
@@ -64,10 +64,10 @@
         else {
             return;
         };
-        let Some(held) = self.held.get_mut(&request) else {
+        let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
-        if Driver::is_started(held) {
+        if Driver::is_started(pending) {
             // Part of an earlier attempt's answer has been sent meanwhile; the
             // answer of another attempt must not follow it.
             let what = Call::BROKEN;
@@ -77,7 +77,7 @@
                 what,
                 answer: None,
             };
-            self.handle.put(input);
+            self.handle.send(input);
             return;
         }
         let call = endpoints::Call {
@@ -86,84 +86,85 @@
             address,
             priority: priority.then_some(tier),
             key,
-            work: held.work.clone(),
-            reply: held.reply.clone(),
-            started: held.started.clone(),
+            work: pending.work.clone(),
+            reply: pending.reply.clone(),
+            started: pending.started.clone(),
             record: if record { self.answer_limit } else { 0 },
             handle: self.handle.clone(),
         };
         let client = self.endpoints.clone();
         let task = tokio::spawn(endpoints::run(client, call));
-        held.task = Some(task.abort_handle());
+        pending.task = Some(task.abort_handle());
     }
 
     fn cancel(&mut self, request: id::Request) {
         let task = self
-            .held
+            .pending
             .get_mut(&request)
-            .and_then(|held| held.task.take());
+            .and_then(|pending| pending.task.take());
         if let Some(task) = task {
             task.abort();
         }
     }
 
     fn refuse(&mut self, request: id::Request, refusal: Refusal) {
-        let Some(held) = self.held.get(&request) else {
+        let Some(pending) = self.pending.get(&request) else {
             return;
         };
         let (code, outcome) = (refusal.code.to_string(), refusal.outcome.to_string());
         let id = request.to_string();
-        info!("request: Refused.", kv: { request = id, code:, outcome: });
-        let reply = match Driver::is_started(held) {
+        info!("request: Request refused.", kv: { request = id, code:, outcome: });
+        let reply = match Driver::is_started(pending) {
             true => Reply::Broken(refusal),
             false => Reply::Refuse(refusal),
         };
-        held.started.store(true, Ordering::Relaxed);
-        let sender = held.reply.clone();
+        pending.started.store(true, Ordering::Relaxed);
+        let sender = pending.reply.clone();
         // The window may be full because the caller reads slowly.
         tokio::spawn(async move {
             let _ = sender.send(reply).await;
         });
-        if let Some(held) = self.held.get(&request)
-            && held.task.is_none()
+        if let Some(pending) = self.pending.get(&request)
+            && pending.task.is_none()
         {
-            self.held.remove(&request);
+            self.pending.remove(&request);
         }
     }
 
     fn forward(&mut self, request: id::Request, to: &id::Host, left: Span) {
-        let Some(held) = self.held.get_mut(&request) else {
+        let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
-        let Some(mut arrival) = held.arrival.take() else {
+        let Some(mut arrival) = pending.arrival.take() else {
             return;
         };
         arrival.timeout = Some(left);
         arrival.from = Some(self.peers.own_host().clone());
         let Some(connection) = self.peers.connection_opt(to) else {
-            self.handle.put(Input::Event(Event::ForwardLost(request)));
+            self.handle.send(Input::Event(Event::ForwardLost(request)));
             return;
         };
         let forward = peers::Forward {
             arrival,
-            work: held.work.clone(),
-            reply: held.reply.clone(),
-            started: held.started.clone(),
+            work: pending.work.clone(),
+            reply: pending.reply.clone(),
+            started: pending.started.clone(),
             handle: self.handle.clone(),
         };
         let task = tokio::spawn(peers::forward(connection, forward));
-        held.task = Some(task.abort_handle());
+        pending.task = Some(task.abort_handle());
     }
 
     fn replay(&mut self, request: id::Request, of: id::Request) {
-        let (Some(held), Some(answer)) = (self.held.get(&request), self.answers.get(&of)) else {
+        let (Some(pending), Some(answer)) = (self.pending.get(&request), self.answers.get(&of))
+        else {
             self.refuse(
                 request,
                 Refusal::new(woadstage_types::code::Code::AnswerDropped),
             );
             return;
         };
-        let (sender, answer) = (held.reply.clone(), answer.clone());
+        let (sender, answer) = (pending.reply.clone(), answer.clone());
         tokio::spawn(async move {
             for reply in [
                 Reply::Head(answer.head),
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -31,8 +31,8 @@
 
 mod act;
 
-/// How often the bytes exchanged between nodes are counted.
-const COUNT_EVERY: Span = Span::from_secs(1);
+/// How often the byte gauges of the connections between nodes are updated.
+const BYTES_UPDATE_INTERVAL: Span = Span::from_secs(1);
 
 /// The maximum number of parts of an answer queued for a slow caller.
 pub const REPLY_WINDOW: usize = 16;
@@ -134,7 +134,7 @@
 
 impl Handle {
     /// Sends an input to the loop. It is lost only when the process is ending.
-    pub fn put(&self, input: Input) {
+    pub fn send(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
@@ -142,18 +142,18 @@
     /// ending.
     pub async fn ask<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&mut Node, Time) -> T + Send + 'static,
+        query: impl FnOnce(&mut Node, Time) -> T + Send + 'static,
     ) -> Option<T> {
-        let (answer, asked) = oneshot::channel();
-        self.put(Input::Query(Box::new(move |node, now| {
-            let _ = answer.send(question(node, now));
+        let (answer, result) = oneshot::channel();
+        self.send(Input::Query(Box::new(move |node, now| {
+            let _ = answer.send(query(node, now));
         })));
-        asked.await.ok()
+        result.await.ok()
     }
 }
 
 /// The input and output state of a request.
-struct Held {
+struct PendingRequest {
     work: Arc<Work>,
     reply: mpsc::Sender<Reply>,
     arrival: Option<Arrival>,
@@ -168,14 +168,14 @@
     clock: Clock,
     inputs: mpsc::UnboundedReceiver<Input>,
     handle: Handle,
-    held: HashMap<id::Request, Held>,
+    pending: HashMap<id::Request, PendingRequest>,
     answers: HashMap<id::Request, Answer>,
     endpoints: endpoints::Client,
     peers: peers::Peers,
     metrics: Arc<Metrics>,
     answer_limit: usize,
     list: Option<Arc<hosts::List>>,
-    counted: Time,
+    bytes_updated_at: Time,
 }
 
 /// The components of a driver.
@@ -213,14 +213,14 @@
             clock,
             inputs,
             handle,
-            held: HashMap::new(),
+            pending: HashMap::new(),
             answers: HashMap::new(),
             endpoints: endpoints::Client::new(),
             peers,
             metrics,
             answer_limit,
             list: None,
-            counted: Time(0),
+            bytes_updated_at: Time(0),
         }
     }
 
@@ -231,7 +231,7 @@
             tokio::select! {
                 biased;
                 input = self.inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 () = tokio::time::sleep_until(wake) => self.handle_event(Event::Tick),
@@ -239,9 +239,9 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Request(request) => self.take_request(*request),
+            Input::Request(request) => self.handle_request(*request),
             Input::Event(event) => self.handle_event(event),
             Input::Call {
                 request,
@@ -251,7 +251,7 @@
             } => {
                 // A call that ended after its request has no record to update,
                 // and the core would never ask to remove one.
-                if let Some(answer) = answer.filter(|_| self.held.contains_key(&request)) {
+                if let Some(answer) = answer.filter(|_| self.pending.contains_key(&request)) {
                     self.answers.insert(request, answer);
                 }
                 self.handle_event(Event::Call {
@@ -267,20 +267,20 @@
         }
     }
 
-    fn take_request(&mut self, request: Request) {
+    fn handle_request(&mut self, request: Request) {
         let Request {
             arrival,
             work,
             reply,
         } = request;
-        let held = Held {
+        let pending = PendingRequest {
             work,
             reply,
             arrival: Some(arrival.clone()),
             started: Arc::new(AtomicBool::new(false)),
             task: None,
         };
-        self.held.insert(arrival.request, held);
+        self.pending.insert(arrival.request, pending);
         self.handle_event(Event::Arrive(arrival));
     }
 
@@ -288,26 +288,26 @@
         let now = self.clock.now();
         let actions = self.node.handle(now, event);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
         self.metrics.requests.set(self.node.requests() as i64);
-        self.follow_list();
-        self.count_bytes(now);
+        self.dial_new_hosts();
+        self.update_peer_bytes(now);
     }
 
     /// Updates the byte gauges of the connections between nodes, once a second.
-    fn count_bytes(&mut self, now: Time) {
-        if now.since(self.counted) < COUNT_EVERY {
+    fn update_peer_bytes(&mut self, now: Time) {
+        if now.since(self.bytes_updated_at) < BYTES_UPDATE_INTERVAL {
             return;
         }
-        self.counted = now;
+        self.bytes_updated_at = now;
         let (sent, received) = self.peers.bytes();
         self.metrics.peer_sent.set(sent as i64);
         self.metrics.peer_received.set(received as i64);
     }
 
     /// Dials the hosts of a new host list.
-    fn follow_list(&mut self) {
+    fn dial_new_hosts(&mut self) {
         let Some(list) = self.node.hosts_opt() else {
             return;
         };
@@ -329,7 +329,7 @@
         self.peers.set_wanted(&wanted);
     }
 
-    fn is_started(held: &Held) -> bool {
-        held.started.load(Ordering::Relaxed)
+    fn is_started(pending: &PendingRequest) -> bool {
+        pending.started.load(Ordering::Relaxed)
     }
 }
--- a/crates/node/src/endpoints/call.rs
+++ b/crates/node/src/endpoints/call.rs
@@ -30,11 +30,11 @@
 
 /// The minimum time between two reports of tokens to the core, so that they are
 /// reported in batches.
-const TELL_EVERY: Duration = Duration::from_millis(50);
+const TOKEN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The statuses by which an endpoint or a proxy before it reports that it did
 /// not complete the request. Whether the endpoint started on it is unknown.
-const NOT_SERVED: [u16; 3] = [502, 503, 504];
+const GATEWAY_ERROR_STATUSES: [u16; 3] = [502, 503, 504];
 
 /// A call that failed.
 struct Failure {
@@ -78,14 +78,14 @@
             None,
         ),
     };
-    tell(&call, what, answer);
+    report(&call, what, answer);
 }
 
-fn tell(call: &Call, what: node::Call, answer: Option<Answer>) {
+fn report(call: &Call, what: node::Call, answer: Option<Answer>) {
     let Call {
         request, attempt, ..
     } = *call;
-    call.handle.put(Input::Call {
+    call.handle.send(Input::Call {
         request,
         attempt,
         what,
@@ -96,7 +96,7 @@
 async fn serve(client: &Client, call: &Call) -> Result<(node::Call, Option<Answer>), Failure> {
     let request = to_request(call).map_err(|_| Failure::REFUSED)?;
     let http = if call.record > 0 {
-        &client.fresh
+        &client.unpooled
     } else {
         &client.pooled
     };
@@ -106,14 +106,14 @@
         Err(_) => return Err(Failure::LOST),
     };
     let status = response.status().as_u16();
-    if NOT_SERVED.contains(&status) {
+    if GATEWAY_ERROR_STATUSES.contains(&status) {
         let leaving = response.headers().contains_key(LEAVING_HEADER);
         return Err(Failure {
             leaving,
             ..Failure::LOST
         });
     }
-    pass_on(call, response).await
+    relay(call, response).await
 }
 
 fn to_request(call: &Call) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
@@ -143,9 +143,9 @@
         return body.clone();
     }
     let comma = if rest.first() == Some(&b'}') { "" } else { "," };
-    let mut with = BytesMut::from(format!("{{\"priority\":{tier}{comma}").as_bytes());
-    with.extend_from_slice(rest);
-    with.freeze()
+    let mut extended = BytesMut::from(format!("{{\"priority\":{tier}{comma}").as_bytes());
+    extended.extend_from_slice(rest);
+    extended.freeze()
 }
 
 fn to_head(response: &Response<Incoming>) -> Head {
@@ -171,7 +171,7 @@
 }
 
 /// Relays an answer chunk by chunk and inspects it for usage.
-async fn pass_on(
+async fn relay(
     call: &Call,
     response: Response<Incoming>,
 ) -> Result<(node::Call, Option<Answer>), Failure> {
@@ -183,8 +183,8 @@
     let mut reader = Reader::new(is_stream);
     let mut body = response.into_body();
     let mut record = Record::new(call.record);
-    let mut told = Instant::now();
-    let mut untold = 0;
+    let mut reported_at = Instant::now();
+    let mut unreported = 0;
     let mut started = false;
     while let Some(frame) = body.frame().await {
         let broken = if started {
@@ -199,19 +199,23 @@
             started = true;
             call.started.store(true, Ordering::Relaxed);
             let _ = call.reply.send(Reply::Head(head.clone())).await;
-            tell(call, node::Call::First, None);
+            report(call, node::Call::First, None);
         }
-        untold += reader.read(&part);
+        unreported += reader.read(&part);
         record.add(&part);
         // The core reacts when a caller disconnects.
         let _ = call.reply.send(Reply::Data(part)).await;
-        if untold > 0 && told.elapsed() >= TELL_EVERY {
-            tell(call, node::Call::Tokens(std::mem::take(&mut untold)), None);
-            told = Instant::now();
+        if unreported > 0 && reported_at.elapsed() >= TOKEN_REPORT_INTERVAL {
+            report(
+                call,
+                node::Call::Tokens(std::mem::take(&mut unreported)),
+                None,
+            );
+            reported_at = Instant::now();
         }
     }
-    if untold > 0 {
-        tell(call, node::Call::Tokens(untold), None);
+    if unreported > 0 {
+        report(call, node::Call::Tokens(unreported), None);
     }
     reader.finish();
     if call.work.is_model && !reader.done {
@@ -240,13 +244,13 @@
         output: Tokens(usage.completion_tokens.max(reader.tokens).max(1)),
         recorded: answer
             .as_ref()
-            .map(|answer| Size(answer.body.len() as u64 + HEAD_SIZE)),
+            .map(|answer| Size(answer.body.len() as u64 + HEAD_BYTES)),
     };
     (whole, answer)
 }
 
 /// The approximate memory of a recorded answer beside its body.
-const HEAD_SIZE: u64 = 256;
+const HEAD_BYTES: u64 = 256;
 
 /// A copy of an answer, up to a size limit.
 struct Record {
--- a/crates/node/src/endpoints/mod.rs
+++ b/crates/node/src/endpoints/mod.rs
@@ -24,13 +24,13 @@
 pub use call::run;
 pub use report::poll;
 
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The maximum number of idle connections kept to one endpoint.
-const IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// The header that tells an endpoint which incarnation of which run issues the
-/// request.
+/// The header that carries the request and the attempt of a call with an
+/// idempotency key, as a fencing token.
 pub const FENCE_HEADER: &str = "woadstage-fence";
 
 /// The header by which an endpoint announces that it is leaving.
@@ -44,15 +44,15 @@
     /// The client for requests that must not be repeated. It opens a new
     /// connection for each, because a pooled connection can break without
     /// revealing whether the request was read.
-    fresh: legacy::Client<HttpConnector, Full<Bytes>>,
+    unpooled: legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Client {
     /// Creates the clients without any connections.
     pub fn new() -> Client {
         Client {
-            pooled: build(IDLE),
-            fresh: build(0),
+            pooled: build(MAX_IDLE_CONNECTIONS),
+            unpooled: build(0),
         }
     }
 }
@@ -66,7 +66,7 @@
 fn build(idle: usize) -> legacy::Client<HttpConnector, Full<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(CONNECT_WITHIN));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     // If a pooled connection died, the library must not send a request a second
     // time on its own.
     legacy::Client::builder(TokioExecutor::new())
--- a/crates/node/src/endpoints/report.rs
+++ b/crates/node/src/endpoints/report.rs
@@ -16,10 +16,10 @@
 use crate::driver::Handle;
 use crate::driver::Input;
 
-const EVERY: Duration = Duration::from_secs(1);
-const WITHIN: Duration = Duration::from_millis(800);
-const PATH: &str = "/load";
-const LARGEST: usize = 4_096;
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+const TIMEOUT: Duration = Duration::from_millis(800);
+const LOAD_PATH: &str = "/load";
+const MAX_REPORT_BYTES: usize = 4_096;
 
 /// An endpoint's load report, which is already out of date on arrival.
 #[derive(Debug, Clone, Copy, Deserialize)]
@@ -33,7 +33,7 @@
 /// Polls the endpoints of the pools that this node owns until the loop ends.
 pub async fn poll(client: Client, handle: Handle) {
     loop {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let Some(polled) = handle.ask(|node, _| node.polled()).await else {
             return;
         };
@@ -49,11 +49,11 @@
 }
 
 async fn read(client: Client, handle: Handle, endpoint: id::Endpoint, address: String) {
-    let report = tokio::time::timeout(WITHIN, fetch(&client, &address)).await;
+    let report = tokio::time::timeout(TIMEOUT, fetch(&client, &address)).await;
     if let Ok(Some(report)) = report {
         let busy = report.running + report.waiting;
         let leaving = report.leaving;
-        handle.put(Input::Event(Event::Report {
+        handle.send(Input::Event(Event::Report {
             endpoint,
             busy,
             leaving,
@@ -62,10 +62,10 @@
 }
 
 async fn fetch(client: &Client, address: &str) -> Option<Report> {
-    let uri = format!("http://{address}{PATH}");
+    let uri = format!("http://{address}{LOAD_PATH}");
     let request = Request::get(uri).body(Full::new(Bytes::new())).ok()?;
     let response = client.pooled.request(request).await.ok()?;
-    let body = Limited::new(response.into_body(), LARGEST)
+    let body = Limited::new(response.into_body(), MAX_REPORT_BYTES)
         .collect()
         .await
         .ok()?;
--- a/crates/node/src/endpoints/usage.rs
+++ b/crates/node/src/endpoints/usage.rs
@@ -3,10 +3,10 @@
 use serde::Deserialize;
 
 /// The maximum size in bytes of a plain answer that is read for usage.
-const PLAIN_LIMIT: usize = 1 << 20;
+const MAX_PLAIN_BYTES: usize = 1 << 20;
 
 /// The maximum length of a line of a stream that is read for usage.
-const LINE_LIMIT: usize = 1 << 16;
+const MAX_LINE_BYTES: usize = 1 << 16;
 
 /// The usage reported by the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Reader {
     is_stream: bool,
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
     /// The usage, once seen.
     pub usage: Usage,
     /// The number of events that carry tokens.
@@ -51,7 +51,7 @@
     pub fn new(is_stream: bool) -> Reader {
         Reader {
             is_stream,
-            rest: Vec::new(),
+            buffer: Vec::new(),
             usage: Usage::default(),
             tokens: 0,
             done: false,
@@ -61,17 +61,17 @@
     /// Processes a chunk and returns the number of token events in it.
     pub fn read(&mut self, part: &[u8]) -> u64 {
         if !self.is_stream {
-            let room = PLAIN_LIMIT.saturating_sub(self.rest.len());
-            self.rest.extend_from_slice(&part[..part.len().min(room)]);
+            let room = MAX_PLAIN_BYTES.saturating_sub(self.buffer.len());
+            self.buffer.extend_from_slice(&part[..part.len().min(room)]);
             return 0;
         }
         let before = self.tokens;
         for line in part.split_inclusive(|byte| *byte == b'\n') {
-            if self.rest.len() + line.len() <= LINE_LIMIT {
-                self.rest.extend_from_slice(line);
+            if self.buffer.len() + line.len() <= MAX_LINE_BYTES {
+                self.buffer.extend_from_slice(line);
             }
             if line.ends_with(b"\n") {
-                let whole = std::mem::take(&mut self.rest);
+                let whole = std::mem::take(&mut self.buffer);
                 self.line(&whole);
             }
         }
@@ -102,7 +102,7 @@
         if self.is_stream {
             return;
         }
-        if let Ok(Envelope { usage: Some(usage) }) = serde_json::from_slice(&self.rest) {
+        if let Ok(Envelope { usage: Some(usage) }) = serde_json::from_slice(&self.buffer) {
             self.usage = usage;
         }
         self.done = true;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -21,12 +21,12 @@
 
 /// The maximum number of customers counted at once, by the space-saving
 /// algorithm (Metwally et al. 2005).
-const COUNTED: usize = 64;
+const MAX_COUNTED_CUSTOMERS: usize = 64;
 
 /// The number of customers shown.
-const SHOWN: usize = 8;
+const SHOWN_CUSTOMERS: usize = 8;
 
-const SECONDS: &[f64] = &[
+const LATENCY_BUCKETS_SECONDS: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.33, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0,
 ];
 
@@ -40,7 +40,7 @@
     wasted: IntCounterVec,
     cached: IntCounterVec,
     customers: IntGaugeVec,
-    heaviest: Mutex<HashMap<String, u64>>,
+    customer_counts: Mutex<HashMap<String, u64>>,
     /// The number of requests in progress.
     pub requests: IntGauge,
     /// The revision of the configuration in force.
@@ -56,20 +56,20 @@
     pub fn new() -> prometheus::Result<Metrics> {
         let registry = Registry::new();
         let histogram = |name: &str, help: &str| -> prometheus::Result<HistogramVec> {
-            let options = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
-            let made = HistogramVec::new(options, &["class"])?;
-            registry.register(Box::new(made.clone()))?;
-            Ok(made)
+            let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_SECONDS.to_vec());
+            let metric = HistogramVec::new(options, &["class"])?;
+            registry.register(Box::new(metric.clone()))?;
+            Ok(metric)
         };
         let counter = |name: &str, help: &str, labels: &[&str]| {
-            let made = IntCounterVec::new(Opts::new(name, help), labels)?;
-            registry.register(Box::new(made.clone()))?;
-            prometheus::Result::Ok(made)
+            let metric = IntCounterVec::new(Opts::new(name, help), labels)?;
+            registry.register(Box::new(metric.clone()))?;
+            prometheus::Result::Ok(metric)
         };
         let gauge = |name: &str, help: &str| {
-            let made = IntGauge::new(name, help)?;
-            registry.register(Box::new(made.clone()))?;
-            prometheus::Result::Ok(made)
+            let metric = IntGauge::new(name, help)?;
+            registry.register(Box::new(metric.clone()))?;
+            prometheus::Result::Ok(metric)
         };
         let customers = IntGaugeVec::new(
             Opts::new(
@@ -115,13 +115,13 @@
                 "Bytes received on dialled connections.",
             )?,
             customers,
-            heaviest: Mutex::new(HashMap::new()),
+            customer_counts: Mutex::new(HashMap::new()),
             registry,
         })
     }
 
     /// Counts a request that ended.
-    pub fn ended(&self, ended: &Ended) {
+    pub fn record_ended(&self, ended: &Ended) {
         let class = [ended.class.as_str()];
         let tier = ended.tier.to_string();
         let code = ended.code.to_string();
@@ -144,11 +144,11 @@
             observe(&self.queue_wait, wait);
         }
         self.cached.with_label_values(&class).inc_by(ended.cached.0);
-        self.weigh(ended.customer.as_str());
+        self.count_customer(ended.customer.as_str());
     }
 
-    fn weigh(&self, customer: &str) {
-        let Ok(mut counts) = self.heaviest.lock() else {
+    fn count_customer(&self, customer: &str) {
+        let Ok(mut counts) = self.customer_counts.lock() else {
             return;
         };
         if let Some(count) = counts.get_mut(customer) {
@@ -156,7 +156,7 @@
             return;
         }
         let mut count = 0;
-        if counts.len() >= COUNTED {
+        if counts.len() >= MAX_COUNTED_CUSTOMERS {
             let least = counts.iter().min_by_key(|(_, count)| **count);
             let Some((name, least)) = least.map(|(name, count)| (name.clone(), *count)) else {
                 return;
@@ -168,8 +168,8 @@
     }
 
     /// Counts prompt tokens whose work was discarded.
-    pub fn wasted(&self, tokens: Tokens, why: Waste) {
-        let cause = match why {
+    pub fn record_wasted(&self, tokens: Tokens, reason: Waste) {
+        let cause = match reason {
             Waste::CallerGone => "caller-gone",
             Waste::Late => "late",
             Waste::EndpointLost => "endpoint-lost",
@@ -180,20 +180,20 @@
 
     /// Returns all metrics in Prometheus's text format.
     pub fn to_text(&self) -> String {
-        self.show_heaviest();
+        self.update_customer_gauge();
         let mut text = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8(text).unwrap_or_default()
     }
 
-    fn show_heaviest(&self) {
-        let Ok(counts) = self.heaviest.lock() else {
+    fn update_customer_gauge(&self) {
+        let Ok(counts) = self.customer_counts.lock() else {
             return;
         };
         let mut all: Vec<(&String, &u64)> = counts.iter().collect();
         all.sort_by(|one, other| other.1.cmp(one.1).then(one.0.cmp(other.0)));
         self.customers.reset();
-        for (name, count) in all.into_iter().take(SHOWN) {
+        for (name, count) in all.into_iter().take(SHOWN_CUSTOMERS) {
             self.customers
                 .with_label_values(&[name.as_str()])
                 .set(*count as i64);
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -26,11 +26,11 @@
 use crate::metrics::Metrics;
 
 /// The maximum size of an intent in bytes.
-const INTENT_LIMIT: usize = 1 << 20;
+const MAX_INTENT_BYTES: usize = 1 << 20;
 
 /// A recorded step of a request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Shown {
+pub struct RecordedStep {
     /// The time, in microseconds since the Unix epoch.
     pub at: Time,
     /// The step.
@@ -83,7 +83,7 @@
     Plan,
 }
 
-struct Page {
+struct OperatorHandler {
     route: Route,
     handle: Handle,
     metrics: Arc<Metrics>,
@@ -91,22 +91,22 @@
 
 /// Returns the router for operators.
 pub fn router(handle: &Handle, metrics: &Arc<Metrics>) -> Router {
-    let page = |route| Page {
+    let handler = |route| OperatorHandler {
         route,
         handle: handle.clone(),
         metrics: metrics.clone(),
     };
     Router::new()
-        .push(Router::with_path("metrics").get(page(Route::Metrics)))
-        .push(Router::with_path("healthz").get(page(Route::Health)))
-        .push(Router::with_path("readyz").get(page(Route::Ready)))
-        .push(Router::with_path("v1/status").get(page(Route::Status)))
-        .push(Router::with_path("v1/explain/{request}").get(page(Route::Explain)))
-        .push(Router::with_path("v1/plan").post(page(Route::Plan)))
+        .push(Router::with_path("metrics").get(handler(Route::Metrics)))
+        .push(Router::with_path("healthz").get(handler(Route::Health)))
+        .push(Router::with_path("readyz").get(handler(Route::Ready)))
+        .push(Router::with_path("v1/status").get(handler(Route::Status)))
+        .push(Router::with_path("v1/explain/{request}").get(handler(Route::Explain)))
+        .push(Router::with_path("v1/plan").post(handler(Route::Plan)))
 }
 
 #[async_trait]
-impl Handler for Page {
+impl Handler for OperatorHandler {
     async fn handle(
         &self,
         request: &mut Request,
@@ -158,7 +158,7 @@
     faults(response, status, &one);
 }
 
-impl Page {
+impl OperatorHandler {
     async fn health(&self, response: &mut Response) {
         let alive = self.handle.ask(|_, _| ()).await.is_some();
         let status = if alive {
@@ -205,9 +205,9 @@
             .await;
         match steps.flatten() {
             Some(steps) => {
-                let shown: Vec<Shown> = steps
+                let shown: Vec<RecordedStep> = steps
                     .into_iter()
-                    .map(|(at, step)| Shown { at, step })
+                    .map(|(at, step)| RecordedStep { at, step })
                     .collect();
                 json(response, StatusCode::OK, &shown);
             }
@@ -216,7 +216,7 @@
     }
 
     async fn plan(&self, request: &mut Request, response: &mut Response) {
-        let body = request.payload_with_max_size(INTENT_LIMIT).await;
+        let body = request.payload_with_max_size(MAX_INTENT_BYTES).await;
         let intent = body
             .ok()
             .and_then(|body| String::from_utf8(body.to_vec()).ok());
--- a/crates/node/src/peers/accept.rs
+++ b/crates/node/src/peers/accept.rs
@@ -26,7 +26,7 @@
     let from = incoming.remote_address().to_string();
     if let Err(error) = try_serve(incoming, own, handle).await {
         let error = error.to_string();
-        warn!("peers: A connection ended with a fault.", kv: { from:, error: });
+        warn!("peers: Incoming connection failed.", kv: { from:, error: });
     }
 }
 
@@ -37,8 +37,8 @@
     let hello = wire::to_frame(&wire::Hello { host, incarnation })?;
     stream.write_all(&hello).await?;
     let messages = connection.accept_uni().await?;
-    let requests = tokio::spawn(take_requests(connection.clone(), handle.clone()));
-    let ended = take_messages(messages, &handle).await;
+    let requests = tokio::spawn(accept_requests(connection.clone(), handle.clone()));
+    let ended = receive_messages(messages, &handle).await;
     requests.abort();
     connection.close(0u32.into(), b"");
     // A lost connection is not logged as a fault.
@@ -48,14 +48,16 @@
     }
 }
 
-async fn take_messages(mut stream: RecvStream, handle: &Handle) -> anyhow::Result<()> {
-    let hello: wire::Hello = wire::read(&mut stream).await?.context("no hello")?;
+async fn receive_messages(mut stream: RecvStream, handle: &Handle) -> anyhow::Result<()> {
+    let hello: wire::Hello = wire::read(&mut stream)
+        .await?
+        .context("the stream ended before the hello frame")?;
     let from = Peer {
         host: hello.host,
         incarnation: hello.incarnation,
     };
     while let Some(message) = wire::read::<Message>(&mut stream).await? {
-        handle.put(Input::Event(Event::Message {
+        handle.send(Input::Event(Event::Message {
             from: from.clone(),
             message,
         }));
@@ -63,7 +65,7 @@
     Ok(())
 }
 
-async fn take_requests(connection: Connection, handle: Handle) {
+async fn accept_requests(connection: Connection, handle: Handle) {
     while let Ok((send, receive)) = connection.accept_bi().await {
         tokio::spawn(forward::serve(send, receive, handle.clone()));
     }
--- a/crates/node/src/peers/dial.rs
+++ b/crates/node/src/peers/dial.rs
@@ -22,11 +22,11 @@
 use crate::driver::Handle;
 use crate::driver::Input;
 
-const DIAL_AGAIN: Duration = Duration::from_millis(200);
-const HELLO_WITHIN: Duration = Duration::from_secs(2);
+const REDIAL_DELAY: Duration = Duration::from_millis(200);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The maximum number of messages written at once.
-const LOT: usize = 64;
+const MAX_BATCH: usize = 64;
 
 /// The state of the connection to one node.
 pub(super) struct Dial {
@@ -46,7 +46,7 @@
         while self.wanted.load(Ordering::Relaxed) {
             match self.open().await {
                 Ok((connection, stream, peer)) => self.serve(connection, stream, peer).await,
-                Err(_) => tokio::time::sleep(DIAL_AGAIN).await,
+                Err(_) => tokio::time::sleep(REDIAL_DELAY).await,
             }
         }
     }
@@ -58,17 +58,17 @@
         let Peer { host, incarnation } = self.own.clone();
         let hello = wire::to_frame(&wire::Hello { host, incarnation })?;
         stream.write_all(&hello).await?;
-        let heard = tokio::time::timeout(HELLO_WITHIN, read_hello(&connection)).await??;
-        Ok((connection, stream, heard))
+        let peer = tokio::time::timeout(HELLO_TIMEOUT, read_hello(&connection)).await??;
+        Ok((connection, stream, peer))
     }
 
     async fn serve(&mut self, connection: Connection, mut stream: SendStream, peer: Peer) {
         // Messages queued for an earlier connection are discarded.
         while self.messages.try_recv().is_ok() {}
         let host = self.host.to_string();
-        info!("peers: A node is connected.", kv: { host: });
+        info!("peers: Connected to a node.", kv: { host: });
         let _ = self.connected.send(Some(connection.clone()));
-        self.handle.put(Input::Event(Event::PeerUp(peer)));
+        self.handle.send(Input::Event(Event::PeerUp(peer)));
         tokio::select! {
             _ = connection.closed() => {}
             _ = send_all(&mut self.messages, &mut stream) => {}
@@ -76,15 +76,17 @@
         connection.close(0u32.into(), b"");
         let _ = self.connected.send(None);
         self.handle
-            .put(Input::Event(Event::PeerDown(self.host.clone())));
+            .send(Input::Event(Event::PeerDown(self.host.clone())));
         let host = self.host.to_string();
-        info!("peers: A node is not connected any more.", kv: { host: });
+        info!("peers: Disconnected from a node.", kv: { host: });
     }
 }
 
 async fn read_hello(connection: &Connection) -> anyhow::Result<Peer> {
     let mut stream = connection.accept_uni().await?;
-    let hello: wire::Hello = wire::read(&mut stream).await?.context("no hello")?;
+    let hello: wire::Hello = wire::read(&mut stream)
+        .await?
+        .context("the stream ended before the hello frame")?;
     Ok(Peer {
         host: hello.host,
         incarnation: hello.incarnation,
@@ -95,11 +97,11 @@
     messages: &mut mpsc::Receiver<Message>,
     stream: &mut SendStream,
 ) -> anyhow::Result<()> {
-    let mut lot = Vec::with_capacity(LOT);
+    let mut batch = Vec::with_capacity(MAX_BATCH);
     let mut buffer = Vec::new();
-    while messages.recv_many(&mut lot, LOT).await > 0 {
+    while messages.recv_many(&mut batch, MAX_BATCH).await > 0 {
         buffer.clear();
-        for message in lot.drain(..) {
+        for message in batch.drain(..) {
             wire::append(&mut buffer, &message)?;
         }
         stream.write_all(&buffer).await?;
--- a/crates/node/src/peers/forward.rs
+++ b/crates/node/src/peers/forward.rs
@@ -41,12 +41,12 @@
         Ok(()) => Event::ForwardEnded(request),
         Err(_) => Event::ForwardLost(request),
     };
-    forward.handle.put(Input::Event(event));
+    forward.handle.send(Input::Event(event));
 }
 
 async fn try_forward(connection: Connection, forward: &Forward) -> anyhow::Result<()> {
     let arrival = &forward.arrival;
-    let passed = wire::Passed {
+    let forwarded = wire::ForwardedRequest {
         from: arrival.from.clone().unwrap_or_else(|| id::Host::new("")),
         request: arrival.request,
         token: arrival.token,
@@ -60,11 +60,13 @@
         work: Work::clone(&forward.work),
     };
     let (mut send, mut receive) = connection.open_bi().await?;
-    send.write_all(&wire::to_frame(&passed)?).await?;
+    send.write_all(&wire::to_frame(&forwarded)?).await?;
     // The sending side stays open. If this task is aborted, the stream is
     // reset, which tells the other node that the caller no longer waits.
     loop {
-        let reply: Reply = wire::read(&mut receive).await?.context("cut off")?;
+        let reply: Reply = wire::read(&mut receive)
+            .await?
+            .context("the forwarded answer ended early")?;
         let last = matches!(reply, Reply::Refuse(_) | Reply::End | Reply::Broken(_));
         forward.started.store(true, Ordering::Relaxed);
         let _ = forward.reply.send(reply).await;
@@ -85,9 +87,11 @@
     mut receive: RecvStream,
     handle: Handle,
 ) -> anyhow::Result<()> {
-    let passed: wire::Passed = wire::read(&mut receive).await?.context("no request")?;
-    let arrival = passed.to_arrival();
-    let mut answer = callers::submit(&handle, arrival, passed.work).await;
+    let forwarded: wire::ForwardedRequest = wire::read(&mut receive)
+        .await?
+        .context("the stream ended before the request")?;
+    let arrival = forwarded.to_arrival();
+    let mut answer = callers::submit(&handle, arrival, forwarded.work).await;
     let mut byte = [0; 1];
     loop {
         let reply = tokio::select! {
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -36,7 +36,7 @@
 
 /// The maximum number of messages queued for one node. If the queue overflows,
 /// the connection is treated as lost: it is closed and opened again.
-const QUEUE: usize = 8_192;
+const QUEUE_CAPACITY: usize = 8_192;
 
 /// The connection to one other node.
 struct Link {
@@ -84,7 +84,7 @@
         if link.queue.try_send(message).is_err()
             && let Some(connection) = link.connection.borrow().as_ref()
         {
-            connection.close(wire::CLOSE_FULL.into(), b"queue full");
+            connection.close(wire::CLOSE_QUEUE_FULL.into(), b"queue full");
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     fn link(&mut self, name: &id::Host, address: SocketAddr) {
-        let (queue, messages) = mpsc::channel(QUEUE);
+        let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
         let (connected, connection) = watch::channel(None);
         let wanted = Arc::new(AtomicBool::new(true));
         let dial = dial::Dial {
@@ -150,7 +150,8 @@
             },
         ) {
             old.task.abort();
-            self.handle.put(Input::Event(Event::PeerDown(name.clone())));
+            self.handle
+                .send(Input::Event(Event::PeerDown(name.clone())));
         }
     }
 }
--- a/crates/node/src/peers/tls.rs
+++ b/crates/node/src/peers/tls.rs
@@ -22,18 +22,18 @@
 use woadstage_config::settings::Identity;
 
 /// The ALPN protocol name.
-const PROTOCOL: &[u8] = b"woadstage";
+const ALPN_PROTOCOL: &[u8] = b"woadstage";
 
 /// The time without traffic after which a connection is closed.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The maximum number of requests that one node may forward to another at once.
-const STREAMS: u32 = 1_024;
+const MAX_FORWARDED_REQUESTS: u32 = 1_024;
 
 /// The flow-control windows in bytes of a stream and a connection. They bound
 /// the memory that a slow reader takes.
-const STREAM_WINDOW: u32 = 256 << 10;
-const CONNECTION_WINDOW: u32 = 2 << 20;
+const STREAM_WINDOW_BYTES: u32 = 256 << 10;
+const CONNECTION_WINDOW_BYTES: u32 = 2 << 20;
 
 /// Binds the socket that accepts connections and from which this node dials.
 pub fn bind(address: SocketAddr, identity: &Identity) -> anyhow::Result<Endpoint> {
@@ -42,7 +42,7 @@
     server.transport_config(transport.clone());
     let mut client = ClientConfig::new(Arc::new(client(identity)?));
     client.transport_config(transport);
-    let mut endpoint = Endpoint::server(server, address).context("bind the peers' address")?;
+    let mut endpoint = Endpoint::server(server, address).context("cannot bind the peer address")?;
     endpoint.set_default_client_config(client);
     Ok(endpoint)
 }
@@ -50,22 +50,22 @@
 fn transport() -> anyhow::Result<TransportConfig> {
     let mut transport = TransportConfig::default();
     transport
-        .max_idle_timeout(Some(IdleTimeout::try_from(IDLE)?))
-        .keep_alive_interval(Some(IDLE / 4))
-        .max_concurrent_bidi_streams(VarInt::from_u32(STREAMS))
-        .stream_receive_window(VarInt::from_u32(STREAM_WINDOW))
-        .receive_window(VarInt::from_u32(CONNECTION_WINDOW))
-        .send_window(u64::from(CONNECTION_WINDOW));
+        .max_idle_timeout(Some(IdleTimeout::try_from(IDLE_TIMEOUT)?))
+        .keep_alive_interval(Some(IDLE_TIMEOUT / 4))
+        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_FORWARDED_REQUESTS))
+        .stream_receive_window(VarInt::from_u32(STREAM_WINDOW_BYTES))
+        .receive_window(VarInt::from_u32(CONNECTION_WINDOW_BYTES))
+        .send_window(u64::from(CONNECTION_WINDOW_BYTES));
     Ok(transport)
 }
 
-struct Material {
+struct Credentials {
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
     roots: Arc<RootCertStore>,
 }
 
-fn material(identity: &Identity) -> anyhow::Result<Material> {
+fn credentials(identity: &Identity) -> anyhow::Result<Credentials> {
     let read = |pem: &str| -> Result<Vec<_>, _> {
         CertificateDer::pem_slice_iter(pem.as_bytes()).collect()
     };
@@ -80,7 +80,7 @@
             .add(certificate)
             .context("identity.authority is not an authority")?;
     }
-    Ok(Material {
+    Ok(Credentials {
         chain,
         key: key.context("identity.key is not PEM")?,
         roots: Arc::new(roots),
@@ -92,22 +92,22 @@
 }
 
 fn server(identity: &Identity) -> anyhow::Result<QuicServerConfig> {
-    let Material { chain, key, roots } = material(identity)?;
+    let Credentials { chain, key, roots } = credentials(identity)?;
     let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider()).build()?;
     let mut config = rustls::ServerConfig::builder_with_provider(provider())
         .with_protocol_versions(&[&rustls::version::TLS13])?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain, key)?;
-    config.alpn_protocols = vec![PROTOCOL.into()];
+    config.alpn_protocols = vec![ALPN_PROTOCOL.into()];
     Ok(QuicServerConfig::try_from(config)?)
 }
 
 fn client(identity: &Identity) -> anyhow::Result<QuicClientConfig> {
-    let Material { chain, key, roots } = material(identity)?;
+    let Credentials { chain, key, roots } = credentials(identity)?;
     let mut config = rustls::ClientConfig::builder_with_provider(provider())
         .with_protocol_versions(&[&rustls::version::TLS13])?
         .with_root_certificates(roots)
         .with_client_auth_cert(chain, key)?;
-    config.alpn_protocols = vec![PROTOCOL.into()];
+    config.alpn_protocols = vec![ALPN_PROTOCOL.into()];
     Ok(QuicClientConfig::try_from(config)?)
 }
--- a/crates/node/src/peers/wire.rs
+++ b/crates/node/src/peers/wire.rs
@@ -16,13 +16,13 @@
 use crate::driver::Work;
 
 /// The maximum size of a frame in bytes: a document of 1 MiB and its envelope.
-const LARGEST: usize = (1 << 20) + (1 << 16);
+const MAX_FRAME_BYTES: usize = (1 << 20) + (1 << 16);
 
 /// The size in bytes of the length prefix of a frame.
-const LENGTH: usize = 4;
+const LENGTH_BYTES: usize = 4;
 
 /// The close code for a full message queue.
-pub const CLOSE_FULL: u32 = 1;
+pub const CLOSE_QUEUE_FULL: u32 = 1;
 
 /// The first frame of a message stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
 
 /// The first frame of a forwarded request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct ForwardedRequest {
     /// The node that forwards the request.
     pub from: id::Host,
     /// The request.
@@ -60,7 +60,7 @@
     pub work: Work,
 }
 
-impl Passed {
+impl ForwardedRequest {
     /// Returns the request as the core receives it.
     pub fn to_arrival(&self) -> Arrival {
         Arrival {
@@ -85,13 +85,16 @@
 /// Appends a frame to a buffer.
 pub fn append<T: Serialize>(buffer: &mut Vec<u8>, value: &T) -> anyhow::Result<()> {
     let start = buffer.len();
-    buffer.extend_from_slice(&[0; LENGTH]);
+    buffer.extend_from_slice(&[0; LENGTH_BYTES]);
     buffer.push(VERSION);
     let taken = std::mem::take(buffer);
     *buffer = postcard::to_extend(value, taken)?;
-    let length = buffer.len() - start - LENGTH;
-    ensure!(length <= LARGEST, "a frame of {length} bytes is too large");
-    buffer[start..start + LENGTH].copy_from_slice(&(length as u32).to_be_bytes());
+    let length = buffer.len() - start - LENGTH_BYTES;
+    ensure!(
+        length <= MAX_FRAME_BYTES,
+        "frame of {length} bytes exceeds the limit"
+    );
+    buffer[start..start + LENGTH_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
     Ok(())
 }
 
@@ -103,28 +106,28 @@
 }
 
 /// Decodes a frame without its length prefix.
-pub fn decode<T: DeserializeOwned>(inside: &[u8]) -> anyhow::Result<T> {
-    let (version, value) = inside.split_first().context("a frame is empty")?;
+pub fn decode<T: DeserializeOwned>(payload: &[u8]) -> anyhow::Result<T> {
+    let (version, value) = payload.split_first().context("empty frame")?;
     ensure!(
         *version == VERSION,
-        "a frame has version {version}, this release speaks {VERSION}"
+        "frame has protocol version {version}, expected {VERSION}"
     );
     Ok(postcard::from_bytes(value)?)
 }
 
 /// Reads a frame from a stream; returns `None` if the stream ended cleanly.
 pub async fn read<T: DeserializeOwned>(stream: &mut RecvStream) -> anyhow::Result<Option<T>> {
-    let mut length = [0; LENGTH];
+    let mut length = [0; LENGTH_BYTES];
     match stream.read_exact(&mut length).await {
         Ok(()) => {}
         Err(quinn::ReadExactError::FinishedEarly(0)) => return Ok(None),
         Err(error) => return Err(error.into()),
     }
     let length = u32::from_be_bytes(length) as usize;
-    if length == 0 || length > LARGEST {
-        bail!("a frame of {length} bytes is out of bounds");
+    if length == 0 || length > MAX_FRAME_BYTES {
+        bail!("frame of {length} bytes is empty or exceeds the limit");
     }
-    let mut inside = vec![0; length];
-    stream.read_exact(&mut inside).await?;
-    decode(&inside).map(Some)
+    let mut payload = vec![0; length];
+    stream.read_exact(&mut payload).await?;
+    decode(&payload).map(Some)
 }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -34,19 +34,19 @@
 
 /// The delay before the next call after a failure or while another node is the
 /// watcher.
-const AGAIN: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The time a blocking read may take beyond its wait, and the longest pause
 /// within its answer.
-const MARGIN: Duration = Duration::from_secs(2);
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
 /// The maximum size of an answer: a base64 value with its JSON around it.
-const ANSWER_LIMIT: usize = MAX_DOCUMENT_BYTES * 2;
+const MAX_ANSWER_BYTES: usize = MAX_DOCUMENT_BYTES * 2;
 
 /// The limits for reading an answer's body.
-const BODY: Limits = Limits {
-    max_bytes: ANSWER_LIMIT,
-    idle_timeout: MARGIN,
+const BODY_LIMITS: Limits = Limits {
+    max_bytes: MAX_ANSWER_BYTES,
+    idle_timeout: TIMEOUT_MARGIN,
 };
 
 /// A client of the platform.
@@ -96,12 +96,16 @@
             ),
         };
         let request = Request::get(uri).body(Full::new(Bytes::new()))?;
-        let within = to_duration(self.wait) + MARGIN;
+        let within = to_duration(self.wait) + TIMEOUT_MARGIN;
         let answer = tokio::time::timeout(within, self.client.request(request)).await??;
-        ensure!(answer.status().is_success(), "status {}", answer.status());
-        let body = woadstage_body::collect(answer.into_body(), BODY).await?;
+        ensure!(
+            answer.status().is_success(),
+            "unexpected status {}",
+            answer.status()
+        );
+        let body = woadstage_body::collect(answer.into_body(), BODY_LIMITS).await?;
         let items: Vec<Item> = serde_json::from_slice(&body)?;
-        let item = items.into_iter().next().context("the key is not there")?;
+        let item = items.into_iter().next().context("the key does not exist")?;
         let bytes = STANDARD.decode(item.value.context("the key has no value")?)?;
         Ok(Value {
             text: String::from_utf8(bytes)?,
@@ -112,7 +116,7 @@
 
 /// Watches one key until the loop ends. A node that is not a watcher makes no
 /// calls.
-pub async fn follow(platform: Platform, key: &'static str, handle: Handle) {
+pub async fn watch(platform: Platform, key: &'static str, handle: Handle) {
     let mut index = 0;
     let mut failing = false;
     loop {
@@ -121,7 +125,7 @@
         };
         if !watcher {
             index = 0;
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
         match platform.read(key, index).await {
@@ -129,36 +133,36 @@
                 failing = false;
                 // A restarted service may count from the beginning.
                 index = if value.index < index { 0 } else { value.index };
-                tell(&handle, key, value);
+                send_event(&handle, key, value);
             }
             Err(error) => {
                 if !std::mem::replace(&mut failing, true) {
                     let error = error.to_string();
-                    warn!("platform: A read failed.", kv: { key, error: });
+                    warn!("platform: Read failed.", kv: { key, error: });
                 }
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn tell(handle: &Handle, key: &str, value: Value) {
+fn send_event(handle: &Handle, key: &str, value: Value) {
     let Value { text, index } = value;
     if key == CONFIG_KEY {
-        handle.put(Input::Event(Event::Document {
+        handle.send(Input::Event(Event::Document {
             text: text.into(),
             index,
         }));
         return;
     }
     match serde_json::from_str::<hosts::List>(&text) {
-        Ok(list) => handle.put(Input::Event(Event::Hosts {
+        Ok(list) => handle.send(Input::Event(Event::Hosts {
             list: Arc::new(list),
             index,
         })),
         Err(error) => {
             let error = error.to_string();
-            warn!("platform: The host list cannot be read.", kv: { error: });
+            warn!("platform: Cannot parse the host list.", kv: { error: });
         }
     }
 }
--- a/crates/node/tests/node/answers.rs
+++ b/crates/node/tests/node/answers.rs
@@ -25,12 +25,16 @@
     /// Bytes of the response that are sent before the connection closes.
     cut: Option<usize>,
     /// Bytes written at once.
-    piece: usize,
+    write_size: usize,
 }
 
 fn exchange() -> impl Strategy<Value = Exchange> {
     let cut = proptest::option::of(0usize..1_200);
-    (0usize..20, cut, 1usize..300).prop_map(|(tokens, cut, piece)| Exchange { tokens, cut, piece })
+    (0usize..20, cut, 1usize..300).prop_map(|(tokens, cut, write_size)| Exchange {
+        tokens,
+        cut,
+        write_size,
+    })
 }
 
 /// The event stream that one caller's words make.
@@ -75,10 +79,14 @@
                 break place.parse::<usize>().ok()?;
             }
         };
-        let Exchange { tokens, cut, piece } = exchanges[place].clone();
+        let Exchange {
+            tokens,
+            cut,
+            write_size,
+        } = exchanges[place].clone();
         let bytes = response(&format!("caller {place}"), tokens);
         let sent = cut.unwrap_or(bytes.len()).min(bytes.len());
-        for part in bytes[..sent].chunks(piece) {
+        for part in bytes[..sent].chunks(write_size) {
             socket.write_all(part).await.ok()?;
             tokio::task::yield_now().await;
         }
@@ -89,13 +97,13 @@
 }
 
 /// What one caller got: its bytes, and whether it was told that it is whole.
-struct Got {
+struct Received {
     bytes: Vec<u8>,
     is_whole: bool,
-    said_whole: bool,
+    reported_whole: bool,
 }
 
-async fn call(client: endpoints::Client, address: Arc<str>, place: usize) -> Got {
+async fn call(client: endpoints::Client, address: Arc<str>, place: usize) -> Received {
     let (handle, mut inputs) = driver::channel();
     let (reply, mut replies) = mpsc::channel(driver::REPLY_WINDOW);
     let work = Work {
@@ -119,10 +127,10 @@
         handle,
     };
     let running = tokio::spawn(endpoints::run(client, call));
-    let mut got = Got {
+    let mut got = Received {
         bytes: Vec::new(),
         is_whole: false,
-        said_whole: false,
+        reported_whole: false,
     };
     while let Some(reply) = replies.recv().await {
         match reply {
@@ -138,13 +146,13 @@
             ..
         } = input
         {
-            got.said_whole = true;
+            got.reported_whole = true;
         }
     }
     got
 }
 
-async fn all(exchanges: Vec<Exchange>) -> std::io::Result<Vec<Got>> {
+async fn all(exchanges: Vec<Exchange>) -> std::io::Result<Vec<Received>> {
     let exchanges = Arc::new(exchanges);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address: Arc<str> = listener.local_addr()?.to_string().into();
@@ -185,7 +193,7 @@
         for (place, (got, exchange)) in found.iter().zip(&exchanges).enumerate() {
             let whole = stream(&format!("caller {place}"), exchange.tokens).into_bytes();
             prop_assert!(whole.starts_with(&got.bytes), "another's bytes or none of ours");
-            prop_assert_eq!(got.is_whole, got.said_whole);
+            prop_assert_eq!(got.is_whole, got.reported_whole);
             if got.is_whole {
                 prop_assert_eq!(&got.bytes, &whole);
             }
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -89,6 +89,6 @@
     #[test]
     fn any_bytes_are_decoded_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = wire::decode::<Message>(&bytes);
-        let _ = wire::decode::<wire::Passed>(&bytes);
+        let _ = wire::decode::<wire::ForwardedRequest>(&bytes);
     }
 }
