--- a/crates/node/tests/node/answers.rs
+++ b/crates/node/tests/node/answers.rs
@@ -1,6 +1,6 @@
-//! The way of an answer from an endpoint's socket to its caller: whatever the
-//! connection does, a caller gets a first part of its own answer and no other's,
-//! and is told that it is whole only when it is.
+//! Relaying an answer from an endpoint's socket to its caller. However the
+//! connection behaves, a caller receives a prefix of its own answer and nothing of
+//! another's, and the answer is reported as complete only if it is.
 
 use std::sync::Arc;
 
@@ -18,13 +18,13 @@
 use woadstage_node::endpoints;
 use woadstage_types::id;
 
-/// One caller's request and what happens to its connection.
+/// One caller's request and the behaviour of its connection.
 #[derive(Debug, Clone)]
 struct Exchange {
     tokens: usize,
-    /// Bytes of the response that are sent before the connection closes.
+    /// The number of bytes of the response sent before the connection closes.
     cut: Option<usize>,
-    /// Bytes written at once.
+    /// The number of bytes per write.
     write_size: usize,
 }
 
@@ -37,34 +37,34 @@
     })
 }
 
-/// The event stream that one caller's words make.
-fn stream(words: &str, tokens: usize) -> String {
+/// Returns the event stream for one caller, marked with `marker`.
+fn stream(marker: &str, tokens: usize) -> String {
     let mut text = String::new();
-    for place in 0..tokens {
+    for index in 0..tokens {
         text.push_str(&format!(
-            "data: {{\"choices\":[{{\"delta\":\"{words}-{place}\"}}]}}\n\n"
+            "data: {{\"choices\":[{{\"delta\":\"{marker}-{index}\"}}]}}\n\n"
         ));
     }
     text + "data: [DONE]\n\n"
 }
 
-/// The response on the wire, in chunks of one event each.
-fn response(words: &str, tokens: usize) -> Vec<u8> {
+/// Returns the HTTP response, with one event per chunk.
+fn response(marker: &str, tokens: usize) -> Vec<u8> {
     let head =
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
     let mut bytes = head.as_bytes().to_vec();
-    for event in stream(words, tokens).split_inclusive("\n\n") {
+    for event in stream(marker, tokens).split_inclusive("\n\n") {
         bytes.extend_from_slice(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes());
     }
     bytes.extend_from_slice(b"0\r\n\r\n");
     bytes
 }
 
-/// Serves requests on one connection until one of them is cut.
+/// Serves requests on one connection until a response is cut off.
 async fn serve(mut socket: TcpStream, exchanges: Arc<Vec<Exchange>>) -> Option<()> {
     loop {
         let mut request = Vec::new();
-        let place = loop {
+        let index = loop {
             let mut part = [0; 1_024];
             let read = socket.read(&mut part).await.ok().filter(|read| *read > 0)?;
             request.extend_from_slice(&part[..read]);
@@ -72,19 +72,19 @@
             let Some((_, body)) = text.split_once("\r\n\r\n") else {
                 continue;
             };
-            if let Some(place) = body
+            if let Some(index) = body
                 .strip_prefix("caller ")
                 .and_then(|rest| rest.strip_suffix('.'))
             {
-                break place.parse::<usize>().ok()?;
+                break index.parse::<usize>().ok()?;
             }
         };
         let Exchange {
             tokens,
             cut,
             write_size,
-        } = exchanges[place].clone();
-        let bytes = response(&format!("caller {place}"), tokens);
+        } = exchanges[index].clone();
+        let bytes = response(&format!("caller {index}"), tokens);
         let sent = cut.unwrap_or(bytes.len()).min(bytes.len());
         for part in bytes[..sent].chunks(write_size) {
             socket.write_all(part).await.ok()?;
@@ -96,26 +96,27 @@
     }
 }
 
-/// What one caller got: its bytes, and whether it was told that it is whole.
+/// The answer one caller received, whether it ended as complete, and whether the
+/// core was told so.
 struct Received {
     bytes: Vec<u8>,
-    is_whole: bool,
-    reported_whole: bool,
+    is_complete: bool,
+    reported_complete: bool,
 }
 
-async fn call(client: endpoints::Client, address: Arc<str>, place: usize) -> Received {
+async fn call(client: endpoints::Client, address: Arc<str>, index: usize) -> Received {
     let (handle, mut inputs) = driver::channel();
     let (reply, mut replies) = mpsc::channel(driver::REPLY_WINDOW);
     let work = Work {
         method: "POST".into(),
         path: "/v1/chat/completions".into(),
         content_type: None,
-        body: format!("caller {place}.").into(),
+        body: format!("caller {index}.").into(),
         is_model: true,
         is_stream: true,
     };
     let call = endpoints::Call {
-        request: id::Request(place as u128),
+        request: id::Request(index as u128),
         attempt: 1,
         address,
         priority: None,
@@ -127,15 +128,15 @@
         handle,
     };
     let running = tokio::spawn(endpoints::run(client, call));
-    let mut got = Received {
+    let mut received = Received {
         bytes: Vec::new(),
-        is_whole: false,
-        reported_whole: false,
+        is_complete: false,
+        reported_complete: false,
     };
     while let Some(reply) = replies.recv().await {
         match reply {
-            Reply::Data(part) => got.bytes.extend_from_slice(&part),
-            Reply::End => got.is_whole = true,
+            Reply::Data(part) => received.bytes.extend_from_slice(&part),
+            Reply::End => received.is_complete = true,
             _ => {}
         }
     }
@@ -146,13 +147,13 @@
             ..
         } = input
         {
-            got.reported_whole = true;
+            received.reported_complete = true;
         }
     }
-    got
+    received
 }
 
-async fn all(exchanges: Vec<Exchange>) -> std::io::Result<Vec<Received>> {
+async fn run_exchanges(exchanges: Vec<Exchange>) -> std::io::Result<Vec<Received>> {
     let exchanges = Arc::new(exchanges);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address: Arc<str> = listener.local_addr()?.to_string().into();
@@ -165,9 +166,9 @@
     let client = endpoints::Client::new();
     let mut tasks = Vec::new();
     let mut found = Vec::new();
-    for place in 0..exchanges.len() {
-        tasks.push(tokio::spawn(call(client.clone(), address.clone(), place)));
-        // Two at once, so that connections are used again by others.
+    for index in 0..exchanges.len() {
+        tasks.push(tokio::spawn(call(client.clone(), address.clone(), index)));
+        // Two run at once, so that connections are reused for other callers.
         if tasks.len() == 2 {
             for task in tasks.drain(..) {
                 found.push(task.await?);
@@ -185,21 +186,24 @@
     #![proptest_config(ProptestConfig { cases: 128, ..Default::default() })]
 
     #[test]
-    fn a_caller_gets_its_own_answer_whole_or_is_told(
+    fn a_caller_receives_its_own_answer_or_an_incomplete_prefix(
         exchanges in proptest::collection::vec(exchange(), 1..8),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let found = runtime.block_on(all(exchanges.clone()))?;
-        for (place, (got, exchange)) in found.iter().zip(&exchanges).enumerate() {
-            let whole = stream(&format!("caller {place}"), exchange.tokens).into_bytes();
-            prop_assert!(whole.starts_with(&got.bytes), "another's bytes or none of ours");
-            prop_assert_eq!(got.is_whole, got.reported_whole);
-            if got.is_whole {
-                prop_assert_eq!(&got.bytes, &whole);
+        let found = runtime.block_on(run_exchanges(exchanges.clone()))?;
+        for (index, (received, exchange)) in found.iter().zip(&exchanges).enumerate() {
+            let whole = stream(&format!("caller {index}"), exchange.tokens).into_bytes();
+            prop_assert!(
+                whole.starts_with(&received.bytes),
+                "bytes that are not a prefix of the caller's answer"
+            );
+            prop_assert_eq!(received.is_complete, received.reported_complete);
+            if received.is_complete {
+                prop_assert_eq!(&received.bytes, &whole);
             }
-            let sent = response(&format!("caller {place}"), exchange.tokens).len();
+            let sent = response(&format!("caller {index}"), exchange.tokens).len();
             if exchange.cut.is_some_and(|cut| cut < sent) {
-                prop_assert!(!got.is_whole, "a cut answer looks whole");
+                prop_assert!(!received.is_complete, "a cut answer was reported as complete");
             }
         }
     }
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the shells' own parts.
+//! Tests of the frames between nodes, of reading usage and of relaying answers.
 
 mod answers;
 
@@ -23,7 +23,7 @@
 }
 
 cases! {
-    a_frame_reads_as_it_was_written => {
+    a_frame_round_trips => {
         let message = Message::Heartbeat(Heartbeat {
             revision: 4,
             serves: vec![id::Incarnation(9)],
@@ -33,14 +33,14 @@
         assert_eq!(wire::decode::<Message>(&bytes[4..]).expect("a message"), message);
     };
 
-    a_frame_of_another_release_is_refused => {
+    a_frame_of_another_protocol_version_is_rejected => {
         let mut bytes = frame(&Message::WantDocument);
         bytes[4] += 1;
         let error = wire::decode::<Message>(&bytes[4..]).expect_err("another version");
         assert!(error.to_string().contains("version 2"), "{error}");
     };
 
-    a_plain_answer_tells_its_usage => {
+    usage_is_read_from_a_plain_answer => {
         let mut reader = Reader::new(false);
         reader.read(b"{\"choices\":[],\"usage\":{\"prompt_tokens\":3,");
         reader.read(b"\"completion_tokens\":4}}");
@@ -56,7 +56,7 @@
         assert!(!reader.done);
     };
 
-    an_endless_line_costs_bounded_memory => {
+    a_stream_is_still_read_after_an_oversized_line => {
         let mut reader = Reader::new(true);
         for _ in 0..1_000 {
             reader.read(&[b'x'; 1_024]);
@@ -68,9 +68,11 @@
 }
 
 proptest! {
-    /// However a stream is cut into parts, it is read the same.
+    /// The result does not depend on how a stream is split into chunks.
     #[test]
-    fn parts_of_a_stream_do_not_matter(cuts in proptest::collection::vec(0..STREAM.len(), 0..20)) {
+    fn usage_is_independent_of_chunk_boundaries(
+        cuts in proptest::collection::vec(0..STREAM.len(), 0..20),
+    ) {
         let mut cuts = cuts;
         cuts.push(0);
         cuts.push(STREAM.len());
@@ -85,9 +87,9 @@
         prop_assert_eq!(reader.usage.prompt_tokens_details.unwrap_or_default().cached_tokens, 5);
     }
 
-    /// No bytes make the decoder panic.
+    /// The decoder does not panic on any input.
     #[test]
-    fn any_bytes_are_decoded_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = wire::decode::<Message>(&bytes);
         let _ = wire::decode::<wire::ForwardedRequest>(&bytes);
     }
