--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -98,9 +98,9 @@
             _ => read::service(request, id, shared).await,
         };
         match read {
-            Ok((arrival, work, held)) => {
+            Ok((arrival, work, body_permit)) => {
                 let answer = reply::submit(&shared.handle, arrival, work).await;
-                reply::relay(response, answer, vec![permit, held]).await;
+                reply::relay(response, answer, vec![permit, body_permit]).await;
             }
             Err(code) => reply::refuse(response, Some(id), &Refusal::new(code)),
         }
--- a/crates/node/src/callers/read.rs
+++ b/crates/node/src/callers/read.rs
@@ -24,8 +24,8 @@
 use crate::clock::to_duration;
 use crate::driver::Work;
 
-/// Approximate bytes of prompt per token; the usage that the engine reports is
-/// exact.
+/// The approximate number of prompt bytes per token; the usage that the engine
+/// reports is exact.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// A parsed request with the permits for the bytes of its body.
@@ -84,7 +84,7 @@
 /// because a caller that is still sending would not see the answer.
 async fn collect(mut body: ReqBody, shared: &Shared) -> Result<Body, Code> {
     let max_bytes = shared.limits.body.0 as usize;
-    let mut kept = BytesMut::new();
+    let mut buffer = BytesMut::new();
     let mut body_permit = permits(shared, 0)?;
     let mut refused = None;
     let mut read = 0;
@@ -109,7 +109,7 @@
         ) {
             Ok(more) => {
                 body_permit.merge(more);
-                kept.extend_from_slice(&part);
+                buffer.extend_from_slice(&part);
             }
             Err(code) => refused = Some(code),
         }
@@ -117,7 +117,7 @@
     match refused {
         Some(code) => Err(code),
         None => Ok(Body {
-            bytes: kept.freeze(),
+            bytes: buffer.freeze(),
             body_permit,
         }),
     }
@@ -176,11 +176,11 @@
     let mut arrival = arrival(request, id)?;
     let content_type = content_type(request)?;
     let Body {
-        bytes: given,
+        bytes: received,
         body_permit,
     } = body(request, shared).await?;
     let mut fields: Map<String, Value> =
-        serde_json::from_slice(&given).map_err(|_| Code::BodyNotJson)?;
+        serde_json::from_slice(&received).map_err(|_| Code::BodyNotJson)?;
     let model = fields
         .get("model")
         .and_then(Value::as_str)
@@ -228,10 +228,10 @@
 }
 
 fn output_limit(fields: &Map<String, Value>) -> Result<Option<Tokens>, Code> {
-    let given = fields
+    let received = fields
         .get("max_completion_tokens")
         .or_else(|| fields.get("max_tokens"));
-    match given {
+    match received {
         None | Some(Value::Null) => Ok(None),
         Some(value) => value
             .as_u64()
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -200,7 +200,7 @@
     response.body(body.to_string());
 }
 
-/// Lists the models that a customer may use.
+/// Builds the response that lists the models a customer may use.
 pub(super) fn models(response: &mut Response, names: &[id::Target]) {
     let data: Vec<_> = names
         .iter()
@@ -209,7 +209,7 @@
     json(response, &json!({"object": "list", "data": data}));
 }
 
-/// Returns the status of a ticket.
+/// Builds the response with a newly issued ticket.
 pub(super) fn ticket(response: &mut Response, ticket: &str) {
     if let Ok(value) = ticket.parse() {
         response.headers_mut().insert(TICKET_HEADER, value);
--- a/crates/node/src/commands/explain.rs
+++ b/crates/node/src/commands/explain.rs
@@ -22,7 +22,10 @@
         writeln!(out, "{}", serde_json::to_string(&steps)?)?;
         return Ok(());
     }
-    let start = steps.first().map(|shown| shown.at).unwrap_or_default();
+    let start = steps
+        .first()
+        .map(|recorded| recorded.at)
+        .unwrap_or_default();
     for RecordedStep { at, step } in &steps {
         let millis = at.since(start).0 as f64 / 1_000.0;
         writeln!(out, "{millis:>10.3} ms  {}", to_sentence(step))?;
--- a/crates/node/src/commands/plan.rs
+++ b/crates/node/src/commands/plan.rs
@@ -46,8 +46,8 @@
             writeln!(out, "  + {to}")?;
         }
     }
-    let usual = PathBuf::from(format!("woadstage-{}.toml", plan.revision));
-    let output = options.output.as_ref().unwrap_or(&usual);
+    let default_output = PathBuf::from(format!("woadstage-{}.toml", plan.revision));
+    let output = options.output.as_ref().unwrap_or(&default_output);
     std::fs::write(output, &plan.document).with_context(|| output.display().to_string())?;
     writeln!(
         out,
--- a/crates/node/src/commands/serve.rs
+++ b/crates/node/src/commands/serve.rs
@@ -48,8 +48,7 @@
 /// Time for the last answers to be sent.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One answer may take one part in this many of the memory for recorded
-/// answers.
+/// The memory for recorded answers divided by this is the limit for one answer.
 const ANSWER_LIMIT_DIVISOR: u64 = 16;
 
 /// Runs a node.
@@ -140,9 +139,9 @@
     Ok(handle)
 }
 
-/// Carries out a planned stop on SIGTERM or SIGINT: announces it, then refuses callers,
-/// then waits for the requests in progress. A second signal, or the end of the
-/// configured time, ends the process with what is unfinished.
+/// Carries out a planned stop on SIGTERM or SIGINT: announces it, then refuses
+/// callers, then waits for the requests in progress. A second signal, or the end
+/// of the configured time, aborts the remaining requests and ends the process.
 async fn stop_on_signal(handle: Handle, within: woadstage_types::unit::Span) {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
--- a/crates/node/src/endpoints/usage.rs
+++ b/crates/node/src/endpoints/usage.rs
@@ -71,8 +71,8 @@
                 self.buffer.extend_from_slice(line);
             }
             if line.ends_with(b"\n") {
-                let whole = std::mem::take(&mut self.buffer);
-                self.line(&whole);
+                let complete_line = std::mem::take(&mut self.buffer);
+                self.line(&complete_line);
             }
         }
         self.tokens - before
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,7 +7,7 @@
 //! * [`peers`]: QUIC connections between nodes.
 //! * [`platform`]: the client of the platform's read-only service.
 //! * [`operators`]: the HTTP server for metrics, health checks and the query
-//! commands.
+//!   commands.
 //! * [`metrics`]: the metrics.
 //! * [`clock`]: the process's clock.
 //! * [`commands`]: the program's commands.
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -41,7 +41,7 @@
     cached: IntCounterVec,
     customers: IntGaugeVec,
     customer_counts: Mutex<HashMap<String, u64>>,
-    /// The number of requests in progress.
+    /// The number of requests that wait or run.
     pub requests: IntGauge,
     /// The revision of the configuration in force.
     pub revision: IntGauge,
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -223,12 +223,12 @@
         let Some(intent) = intent else {
             return fault(response, StatusCode::BAD_REQUEST, Code::IntentInvalid);
         };
-        let held = self
+        let document = self
             .handle
             .ask(|node, _| node.document_opt().cloned())
             .await
             .flatten();
-        let base = held.as_ref().map_or("", |held| &held.text);
+        let base = document.as_ref().map_or("", |document| &document.text);
         match plan::build(base, &intent) {
             Ok(plan) => {
                 let change = |change: plan::Change| {
@@ -243,7 +243,7 @@
                     changes: plan.changes.into_iter().map(change).collect(),
                     document: plan.document,
                     revision: plan.confirmation.revision,
-                    base_index: held.map_or(0, |held| held.index),
+                    base_index: document.map_or(0, |document| document.index),
                 };
                 json(response, StatusCode::OK, &shown);
             }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -96,8 +96,8 @@
             ),
         };
         let request = Request::get(uri).body(Full::new(Bytes::new()))?;
-        let within = to_duration(self.wait) + TIMEOUT_MARGIN;
-        let answer = tokio::time::timeout(within, self.client.request(request)).await??;
+        let timeout = to_duration(self.wait) + TIMEOUT_MARGIN;
+        let answer = tokio::time::timeout(timeout, self.client.request(request)).await??;
         ensure!(
             answer.status().is_success(),
             "unexpected status {}",
