--- a/crates/node/src/commands/check.rs
+++ b/crates/node/src/commands/check.rs
@@ -10,7 +10,7 @@
 
 use super::Refused;
 
-/// The kind of file to check.
+/// The files to check.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
     /// The settings of a node.
@@ -19,7 +19,7 @@
     pub config: Option<PathBuf>,
 }
 
-/// Checks the file and prints every fault with its path and code.
+/// Checks the files and prints every fault with its path and code.
 pub fn run(options: &Options, out: &mut impl Write) -> anyhow::Result<()> {
     let mut faults = Faults::default();
     if let Some(path) = &options.settings {
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -249,8 +249,8 @@
                 what,
                 answer,
             } => {
-                // A call that ended after its request has no record to update,
-                // and the core would never ask to remove one.
+                // The answer of a call that ended after its request is dropped,
+                // because the core would never ask to remove it.
                 if let Some(answer) = answer.filter(|_| self.pending.contains_key(&request)) {
                     self.answers.insert(request, answer);
                 }
--- a/crates/node/src/endpoints/call.rs
+++ b/crates/node/src/endpoints/call.rs
@@ -32,8 +32,8 @@
 /// reported in batches.
 const TOKEN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The statuses by which an endpoint or a proxy before it reports that it did
-/// not complete the request. Whether the endpoint started on it is unknown.
+/// The statuses by which an endpoint or a proxy in front of it reports that it
+/// did not complete the request. Whether the endpoint started on it is unknown.
 const GATEWAY_ERROR_STATUSES: [u16; 3] = [502, 503, 504];
 
 /// A call that failed.
@@ -203,7 +203,7 @@
         }
         unreported += reader.read(&part);
         record.add(&part);
-        // The core reacts when a caller disconnects.
+        // A failed send is ignored: the core handles a disconnected caller.
         let _ = call.reply.send(Reply::Data(part)).await;
         if unreported > 0 && reported_at.elapsed() >= TOKEN_REPORT_INTERVAL {
             report(
--- a/crates/node/src/endpoints/mod.rs
+++ b/crates/node/src/endpoints/mod.rs
@@ -39,11 +39,13 @@
 /// The connections to endpoints.
 #[derive(Clone)]
 pub struct Client {
-    /// The client for repeatable requests, which reuses connections.
+    /// The client for calls whose answer is not recorded, which may be
+    /// repeated. It reuses connections.
     pooled: legacy::Client<HttpConnector, Full<Bytes>>,
-    /// The client for requests that must not be repeated. It opens a new
-    /// connection for each, because a pooled connection can break without
-    /// revealing whether the request was read.
+    /// The client for calls whose answer is recorded under an idempotency key,
+    /// which must not run twice. It opens a new connection for each, because
+    /// a pooled connection can break without revealing whether the request
+    /// was read.
     unpooled: legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
