--- a/crates/node/src/endpoints/mod.rs
+++ b/crates/node/src/endpoints/mod.rs
@@ -70,7 +70,7 @@
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     // If a pooled connection died, the library must not send a request a second
-    // time on its own.
+    // time without the core's knowledge.
     legacy::Client::builder(TokioExecutor::new())
         .retry_canceled_requests(false)
         .pool_max_idle_per_host(idle)
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -57,6 +57,7 @@
     };
 
     a_stream_is_still_read_after_an_oversized_line => {
+        // The length limit for a line bounds the memory that an endless line takes.
         let mut reader = Reader::new(true);
         for _ in 0..1_000 {
             reader.read(&[b'x'; 1_024]);
