--- a/crates/node/src/callers/read.rs
+++ b/crates/node/src/callers/read.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request, bounded in bytes and time.
+//! Reads callers' requests within limits on size and time.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -24,22 +24,24 @@
 use crate::clock::to_duration;
 use crate::driver::Work;
 
-/// Bytes of prompt that make a token, about; the engine's usage is exact.
+/// The approximate number of prompt bytes per token; the usage that the engine
+/// reports is exact.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What was read, and the permits for the bytes of its body.
-type Read = (Arrival, Work, OwnedSemaphorePermit);
+/// A parsed request with the permits for the bytes of its body.
+type ParsedRequest = (Arrival, Work, OwnedSemaphorePermit);
 
-/// Bytes that one permit stands for.
-const KIB: usize = 1 << 10;
+/// The number of bytes that one permit covers.
+const BYTES_PER_PERMIT: usize = 1 << 10;
 
-/// How many times the largest body is read and dropped before giving up.
-const DRAIN: usize = 8;
+/// How many times the largest allowed body is read and discarded before
+/// reading stops.
+const DRAIN_FACTOR: usize = 8;
 
-/// Longest idempotency key.
-const KEY_LIMIT: usize = 128;
+/// The maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 128;
 
-/// SHA-256 of the bearer token.
+/// Returns the SHA-256 of the bearer token.
 pub(super) fn token(request: &Request) -> Result<[u8; 32], Code> {
     let text = header(request, "authorization")?.ok_or(Code::CustomerUnknown)?;
     let token = text.strip_prefix("Bearer ").ok_or(Code::CustomerUnknown)?;
@@ -63,10 +65,10 @@
         .map_err(|_| Code::HeaderInvalid)
 }
 
-/// A body and the permits for its bytes.
+/// A body with the permits for its bytes.
 struct Body {
     bytes: Bytes,
-    held: OwnedSemaphorePermit,
+    body_permit: OwnedSemaphorePermit,
 }
 
 async fn body(request: &mut Request, shared: &Shared) -> Result<Body, Code> {
@@ -77,13 +79,13 @@
     read.map_err(|_| Code::BodyTooSlow)?
 }
 
-/// Reads a body up to the limit of one, and while the limit of all is not
-/// reached. More is read and dropped, up to a bound, since a caller that is
-/// still sending would not see the answer.
+/// Reads a body within the limit for one body and the limit for all bodies
+/// together. Beyond either, up to a bound, the rest is read and discarded,
+/// because a caller that is still sending would not see the answer.
 async fn collect(mut body: ReqBody, shared: &Shared) -> Result<Body, Code> {
-    let most = shared.limits.body.0 as usize;
-    let mut kept = BytesMut::new();
-    let mut held = permits(shared, 0)?;
+    let max_bytes = shared.limits.body.0 as usize;
+    let mut buffer = BytesMut::new();
+    let mut body_permit = permits(shared, 0)?;
     let mut refused = None;
     let mut read = 0;
     while let Some(frame) = body.frame().await {
@@ -92,19 +94,22 @@
             continue;
         };
         read += part.len();
-        if read > most {
+        if read > max_bytes {
             refused = Some(Code::BodyTooLarge);
         }
-        if read > most.saturating_mul(DRAIN) {
+        if read > max_bytes.saturating_mul(DRAIN_FACTOR) {
             break;
         }
         if refused.is_some() {
             continue;
         }
-        match permits(shared, read.div_ceil(KIB) - held.num_permits()) {
+        match permits(
+            shared,
+            read.div_ceil(BYTES_PER_PERMIT) - body_permit.num_permits(),
+        ) {
             Ok(more) => {
-                held.merge(more);
-                kept.extend_from_slice(&part);
+                body_permit.merge(more);
+                buffer.extend_from_slice(&part);
             }
             Err(code) => refused = Some(code),
         }
@@ -112,13 +117,13 @@
     match refused {
         Some(code) => Err(code),
         None => Ok(Body {
-            bytes: kept.freeze(),
-            held,
+            bytes: buffer.freeze(),
+            body_permit,
         }),
     }
 }
 
-/// Permits for more KiB of bodies, if there are any left.
+/// Acquires permits for more KiB of bodies, if enough are available.
 fn permits(shared: &Shared, kib: usize) -> Result<OwnedSemaphorePermit, Code> {
     let all = shared.bodies.clone();
     all.try_acquire_many_owned(kib as u32)
@@ -129,12 +134,13 @@
     let Some(key) = header(request, "idempotency-key")? else {
         return Ok(None);
     };
-    let fits = !key.is_empty() && key.len() <= KEY_LIMIT;
+    let fits = !key.is_empty() && key.len() <= MAX_KEY_BYTES;
     fits.then(|| Some(key.to_string()))
         .ok_or(Code::HeaderInvalid)
 }
 
-/// What the headers say; the body's part is filled in by the caller.
+/// Parses the headers; the fields that depend on the body are filled in by the
+/// calling function.
 fn arrival(request: &Request, id: id::Request) -> Result<Arrival, Code> {
     let millis: Option<u64> = parsed(request, "woadstage-timeout-ms")?;
     if millis == Some(0) {
@@ -161,17 +167,20 @@
     Ok(header(request, "content-type")?.map(str::to_string))
 }
 
-/// A model's request in the OpenAI-compatible form.
+/// Parses a model request in the OpenAI-compatible format.
 pub(super) async fn chat(
     request: &mut Request,
     id: id::Request,
     shared: &Shared,
-) -> Result<Read, Code> {
+) -> Result<ParsedRequest, Code> {
     let mut arrival = arrival(request, id)?;
     let content_type = content_type(request)?;
-    let Body { bytes: given, held } = body(request, shared).await?;
+    let Body {
+        bytes: received,
+        body_permit,
+    } = body(request, shared).await?;
     let mut fields: Map<String, Value> =
-        serde_json::from_slice(&given).map_err(|_| Code::BodyNotJson)?;
+        serde_json::from_slice(&received).map_err(|_| Code::BodyNotJson)?;
     let model = fields
         .get("model")
         .and_then(Value::as_str)
@@ -184,11 +193,11 @@
     arrival.prefix = prefix.into();
     arrival.output_limit = output_limit(&fields)?;
     let is_stream = is_stream(&fields)?;
-    // The tier comes from the configuration, never from the caller's word.
+    // The tier comes from the configuration, never from the request body.
     fields.shift_remove("priority");
     if is_stream {
-        // Usage tells what was served from the cache; a caller that did not
-        // ask for it gets one more event, as the API allows.
+        // The usage reports the cached tokens. A caller that did not ask for it
+        // receives one additional event, which the API allows.
         fields.insert(
             "stream_options".into(),
             serde_json::json!({"include_usage": true}),
@@ -208,7 +217,7 @@
         is_model: true,
         is_stream,
     };
-    Ok((arrival, work, held))
+    Ok((arrival, work, body_permit))
 }
 
 fn is_stream(fields: &Map<String, Value>) -> Result<bool, Code> {
@@ -219,10 +228,10 @@
 }
 
 fn output_limit(fields: &Map<String, Value>) -> Result<Option<Tokens>, Code> {
-    let given = fields
+    let received = fields
         .get("max_completion_tokens")
         .or_else(|| fields.get("max_tokens"));
-    match given {
+    match received {
         None | Some(Value::Null) => Ok(None),
         Some(value) => value
             .as_u64()
@@ -231,12 +240,12 @@
     }
 }
 
-/// A call of a plain service.
+/// Parses a request for a plain service.
 pub(super) async fn service(
     request: &mut Request,
     id: id::Request,
     shared: &Shared,
-) -> Result<Read, Code> {
+) -> Result<ParsedRequest, Code> {
     let mut arrival = arrival(request, id)?;
     let content_type = content_type(request)?;
     let method = request.method().to_string();
@@ -254,7 +263,10 @@
         query if query.starts_with('?') => format!("/{query}"),
         path => path.to_string(),
     };
-    let Body { bytes: body, held } = body(request, shared).await?;
+    let Body {
+        bytes: body,
+        body_permit,
+    } = body(request, shared).await?;
     let asked = format!("{method} {path}");
     arrival.fingerprint = hash::chain(hash::of(&body), asked.as_bytes());
     let work = Work {
@@ -265,5 +277,5 @@
         is_model: false,
         is_stream: false,
     };
-    Ok((arrival, work, held))
+    Ok((arrival, work, body_permit))
 }
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -1,4 +1,4 @@
-//! Gives callers their answers.
+//! Sends answers to callers.
 
 use std::io;
 use std::sync::Arc;
@@ -36,36 +36,36 @@
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("woadstage-outcome");
 const TICKET_HEADER: HeaderName = HeaderName::from_static("woadstage-ticket");
 
-/// An answer on its way. Dropping it before it is whole tells the core that
-/// the caller went away.
+/// An answer in progress. Dropping it before it is complete tells the core that
+/// the caller disconnected.
 pub struct Answer {
     id: id::Request,
     replies: mpsc::Receiver<Reply>,
     handle: Handle,
-    over: bool,
+    is_over: bool,
 }
 
 impl Answer {
-    /// The next part; none once it is over.
+    /// Returns the next part, or `None` at the end of the answer.
     pub async fn next(&mut self) -> Option<Reply> {
-        if self.over {
+        if self.is_over {
             return None;
         }
         let reply = self.replies.recv().await;
-        self.over = !matches!(reply, Some(Reply::Head(_) | Reply::Data(_)));
+        self.is_over = !matches!(reply, Some(Reply::Head(_) | Reply::Data(_)));
         reply
     }
 }
 
 impl Drop for Answer {
     fn drop(&mut self) {
-        if !self.over {
-            self.handle.put(Input::Event(Event::CallerGone(self.id)));
+        if !self.is_over {
+            self.handle.send(Input::Event(Event::CallerGone(self.id)));
         }
     }
 }
 
-/// Hands a request to the loop.
+/// Submits a request to the driver loop.
 pub async fn submit(handle: &Handle, arrival: Arrival, work: Work) -> Answer {
     let (reply, replies) = mpsc::channel(REPLY_WINDOW);
     let id = arrival.request;
@@ -74,17 +74,17 @@
         work: Arc::new(work),
         reply,
     };
-    handle.put(Input::Request(Box::new(request)));
+    handle.send(Input::Request(Box::new(request)));
     Answer {
         id,
         replies,
         handle: handle.clone(),
-        over: false,
+        is_over: false,
     }
 }
 
-/// Passes an answer to a caller.
-pub(super) async fn pass(
+/// Relays an answer to a caller.
+pub(super) async fn relay(
     response: &mut Response,
     mut answer: Answer,
     permits: Vec<OwnedSemaphorePermit>,
@@ -136,8 +136,9 @@
 
 type Part = Result<Bytes, io::Error>;
 
-/// The body. A broken event stream ends with an error event; any other broken
-/// body ends by breaking the connection, so that neither looks whole.
+/// Builds the response body. A broken event stream ends with an error event and
+/// any other broken body with an aborted connection, so that neither looks
+/// complete.
 fn body(
     answer: Answer,
     is_stream: bool,
@@ -153,7 +154,7 @@
             Reply::Broken(refusal) | Reply::Refuse(refusal) => {
                 Err(io::Error::other(refusal.code.text()))
             }
-            Reply::Head(_) => Err(io::Error::other("two heads")),
+            Reply::Head(_) => Err(io::Error::other("second head in an answer")),
             Reply::End => return None,
         };
         Some((part, (answer, permits)))
@@ -172,7 +173,7 @@
     error.to_string()
 }
 
-/// Answers with a refusal.
+/// Builds the response for a refusal.
 pub(super) fn refuse(response: &mut Response, id: Option<id::Request>, refusal: &Refusal) {
     let status = StatusCode::from_u16(refusal.code.status());
     response.status_code(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
@@ -199,7 +200,7 @@
     response.body(body.to_string());
 }
 
-/// The models that a customer may name.
+/// Builds the response that lists the models a customer may use.
 pub(super) fn models(response: &mut Response, names: &[id::Target]) {
     let data: Vec<_> = names
         .iter()
@@ -208,7 +209,7 @@
     json(response, &json!({"object": "list", "data": data}));
 }
 
-/// A ticket.
+/// Builds the response with a newly issued ticket.
 pub(super) fn ticket(response: &mut Response, ticket: &str) {
     if let Ok(value) = ticket.parse() {
         response.headers_mut().insert(TICKET_HEADER, value);
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,4 +1,5 @@
-//! What operators are served: metrics, health, and what the query commands read.
+//! The HTTP server for operators: metrics, health checks and the data of the
+//! query commands.
 
 use std::sync::Arc;
 
@@ -24,50 +25,51 @@
 use crate::driver::Handle;
 use crate::metrics::Metrics;
 
-/// Largest intent.
-const INTENT_LIMIT: usize = 1 << 20;
+/// The maximum size of an intent in bytes.
+const MAX_INTENT_BYTES: usize = 1 << 20;
 
-/// A step as it is shown.
+/// A recorded step of a request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Shown {
-    /// When, in microseconds since the Unix epoch.
+pub struct RecordedStep {
+    /// The time, in microseconds since the Unix epoch.
     pub at: Time,
-    /// What.
+    /// The step.
     pub step: Step,
 }
 
-/// A change as it is shown.
+/// A planned change.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Change {
-    /// The path.
+    /// The path of the setting.
     pub place: String,
     /// The value in force.
     pub from: Option<String>,
-    /// The value after confirming.
+    /// The value after the plan is confirmed.
     pub to: Option<String>,
 }
 
-/// A plan as it is shown.
+/// The plan made from an intent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Plan {
-    /// What would change.
+    /// The planned changes.
     pub changes: Vec<Change>,
     /// The document to publish.
     pub document: String,
-    /// Its revision.
+    /// The revision of the document.
     pub revision: u64,
-    /// The platform's index of the document in force, for its check-and-set.
+    /// The platform's index of the document in force, for a check-and-set on
+    /// publication.
     pub base_index: u64,
 }
 
-/// A fault as it is shown.
+/// A fault in a document or an intent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Fault {
-    /// The path.
+    /// The path of the setting.
     pub place: String,
-    /// The code.
+    /// The result code.
     pub code: String,
-    /// What to do.
+    /// The advice for correcting it.
     pub mend: String,
 }
 
@@ -81,30 +83,30 @@
     Plan,
 }
 
-struct Page {
+struct OperatorHandler {
     route: Route,
     handle: Handle,
     metrics: Arc<Metrics>,
 }
 
-/// The routes that operators are served on.
+/// Returns the router for operators.
 pub fn router(handle: &Handle, metrics: &Arc<Metrics>) -> Router {
-    let page = |route| Page {
+    let handler = |route| OperatorHandler {
         route,
         handle: handle.clone(),
         metrics: metrics.clone(),
     };
     Router::new()
-        .push(Router::with_path("metrics").get(page(Route::Metrics)))
-        .push(Router::with_path("healthz").get(page(Route::Health)))
-        .push(Router::with_path("readyz").get(page(Route::Ready)))
-        .push(Router::with_path("v1/status").get(page(Route::Status)))
-        .push(Router::with_path("v1/explain/{request}").get(page(Route::Explain)))
-        .push(Router::with_path("v1/plan").post(page(Route::Plan)))
+        .push(Router::with_path("metrics").get(handler(Route::Metrics)))
+        .push(Router::with_path("healthz").get(handler(Route::Health)))
+        .push(Router::with_path("readyz").get(handler(Route::Ready)))
+        .push(Router::with_path("v1/status").get(handler(Route::Status)))
+        .push(Router::with_path("v1/explain/{request}").get(handler(Route::Explain)))
+        .push(Router::with_path("v1/plan").post(handler(Route::Plan)))
 }
 
 #[async_trait]
-impl Handler for Page {
+impl Handler for OperatorHandler {
     async fn handle(
         &self,
         request: &mut Request,
@@ -156,7 +158,7 @@
     faults(response, status, &one);
 }
 
-impl Page {
+impl OperatorHandler {
     async fn health(&self, response: &mut Response) {
         let alive = self.handle.ask(|_, _| ()).await.is_some();
         let status = if alive {
@@ -203,9 +205,9 @@
             .await;
         match steps.flatten() {
             Some(steps) => {
-                let shown: Vec<Shown> = steps
+                let shown: Vec<RecordedStep> = steps
                     .into_iter()
-                    .map(|(at, step)| Shown { at, step })
+                    .map(|(at, step)| RecordedStep { at, step })
                     .collect();
                 json(response, StatusCode::OK, &shown);
             }
@@ -214,19 +216,19 @@
     }
 
     async fn plan(&self, request: &mut Request, response: &mut Response) {
-        let body = request.payload_with_max_size(INTENT_LIMIT).await;
+        let body = request.payload_with_max_size(MAX_INTENT_BYTES).await;
         let intent = body
             .ok()
             .and_then(|body| String::from_utf8(body.to_vec()).ok());
         let Some(intent) = intent else {
             return fault(response, StatusCode::BAD_REQUEST, Code::IntentInvalid);
         };
-        let held = self
+        let document = self
             .handle
             .ask(|node, _| node.document_opt().cloned())
             .await
             .flatten();
-        let base = held.as_ref().map_or("", |held| &held.text);
+        let base = document.as_ref().map_or("", |document| &document.text);
         match plan::build(base, &intent) {
             Ok(plan) => {
                 let change = |change: plan::Change| {
@@ -241,7 +243,7 @@
                     changes: plan.changes.into_iter().map(change).collect(),
                     document: plan.document,
                     revision: plan.confirmation.revision,
-                    base_index: held.map_or(0, |held| held.index),
+                    base_index: document.map_or(0, |document| document.index),
                 };
                 json(response, StatusCode::OK, &shown);
             }
--- a/crates/node/src/peers/forward.rs
+++ b/crates/node/src/peers/forward.rs
@@ -1,4 +1,4 @@
-//! A request that is passed to the node its key names, and the answer back.
+//! Forwards a request to the node that owns its key and relays the answer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -20,33 +20,33 @@
 use crate::driver::Reply;
 use crate::driver::Work;
 
-/// A request to pass on.
+/// A request to forward.
 pub struct Forward {
-    /// What the core was told.
+    /// The request as the core received it.
     pub arrival: Arrival,
-    /// What the endpoint is to be sent.
+    /// The request for the endpoint.
     pub work: Arc<Work>,
-    /// Where the answer goes.
+    /// The channel for the parts of the answer.
     pub reply: mpsc::Sender<Reply>,
-    /// Set once part of the answer goes out.
+    /// Set once part of the answer has been sent.
     pub started: Arc<AtomicBool>,
-    /// The loop.
+    /// The handle to the driver loop.
     pub handle: Handle,
 }
 
-/// Passes a request on and its answer back.
+/// Forwards a request and relays its answer.
 pub async fn forward(connection: Connection, forward: Forward) {
     let request = forward.arrival.request;
     let event = match try_forward(connection, &forward).await {
         Ok(()) => Event::ForwardEnded(request),
         Err(_) => Event::ForwardLost(request),
     };
-    forward.handle.put(Input::Event(event));
+    forward.handle.send(Input::Event(event));
 }
 
 async fn try_forward(connection: Connection, forward: &Forward) -> anyhow::Result<()> {
     let arrival = &forward.arrival;
-    let passed = wire::Passed {
+    let forwarded = wire::ForwardedRequest {
         from: arrival.from.clone().unwrap_or_else(|| id::Host::new("")),
         request: arrival.request,
         token: arrival.token,
@@ -60,11 +60,13 @@
         work: Work::clone(&forward.work),
     };
     let (mut send, mut receive) = connection.open_bi().await?;
-    send.write_all(&wire::to_frame(&passed)?).await?;
-    // The sending side stays open: when this task is stopped it is reset, and
-    // the other node learns that nobody waits any more.
+    send.write_all(&wire::to_frame(&forwarded)?).await?;
+    // The sending side stays open. If this task is aborted, the stream is
+    // reset, which tells the other node that the caller no longer waits.
     loop {
-        let reply: Reply = wire::read(&mut receive).await?.context("cut off")?;
+        let reply: Reply = wire::read(&mut receive)
+            .await?
+            .context("the forwarded answer ended early")?;
         let last = matches!(reply, Reply::Refuse(_) | Reply::End | Reply::Broken(_));
         forward.started.store(true, Ordering::Relaxed);
         let _ = forward.reply.send(reply).await;
@@ -75,7 +77,7 @@
     }
 }
 
-/// Serves a request that another node passed on.
+/// Serves a request that another node forwarded.
 pub(super) async fn serve(send: SendStream, receive: RecvStream, handle: Handle) {
     let _ = try_serve(send, receive, handle).await;
 }
@@ -85,14 +87,17 @@
     mut receive: RecvStream,
     handle: Handle,
 ) -> anyhow::Result<()> {
-    let passed: wire::Passed = wire::read(&mut receive).await?.context("no request")?;
-    let arrival = passed.to_arrival();
-    let mut answer = callers::submit(&handle, arrival, passed.work).await;
+    let forwarded: wire::ForwardedRequest = wire::read(&mut receive)
+        .await?
+        .context("the stream ended before the request")?;
+    let arrival = forwarded.to_arrival();
+    let mut answer = callers::submit(&handle, arrival, forwarded.work).await;
     let mut byte = [0; 1];
     loop {
         let reply = tokio::select! {
             reply = answer.next() => reply,
-            // A reset or the end: nobody waits for the answer any more.
+            // The stream was reset or ended: the caller no longer waits for the
+            // answer.
             _ = receive.read(&mut byte) => return Ok(()),
         };
         let Some(reply) = reply else { break };
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's read-only service, behind this one adapter: HTTP in the
-//! manner of Consul's key-value reads. Nothing is ever written there.
+//! The client of the platform's read-only service, which answers HTTP reads
+//! like Consul's key-value store. The node never writes to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,22 +32,24 @@
 /// The key of the host list.
 pub const HOSTS_KEY: &str = "woadstage/hosts";
 
-/// Time between two calls after one failed, or while another node reads.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The delay before the next call after a failure or while another node is the
+/// watcher.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a waiting call may take beyond its wait, and a pause in its answer.
-const MARGIN: Duration = Duration::from_secs(2);
+/// The time a blocking read may take beyond its wait, and the longest pause
+/// within its answer.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
-/// A value as the platform gives it, base64 and all around it.
-const ANSWER_LIMIT: usize = MAX_DOCUMENT_BYTES * 2;
+/// The maximum size of an answer: a base64 value with its JSON around it.
+const MAX_ANSWER_BYTES: usize = MAX_DOCUMENT_BYTES * 2;
 
-/// How an answer's body is read.
-const BODY: Limits = Limits {
-    max_bytes: ANSWER_LIMIT,
-    idle_timeout: MARGIN,
+/// The limits for reading an answer's body.
+const BODY_LIMITS: Limits = Limits {
+    max_bytes: MAX_ANSWER_BYTES,
+    idle_timeout: TIMEOUT_MARGIN,
 };
 
-/// The platform.
+/// A client of the platform.
 #[derive(Clone)]
 pub struct Platform {
     address: SocketAddr,
@@ -60,7 +62,7 @@
 pub struct Value {
     /// The value.
     pub text: String,
-    /// The platform's index of it.
+    /// The platform's modification index of the value.
     pub index: u64,
 }
 
@@ -72,7 +74,7 @@
 }
 
 impl Platform {
-    /// The platform at an address; one waiting call lasts up to `wait`.
+    /// Creates a client for an address; one blocking read waits up to `wait`.
     pub fn new(address: SocketAddr, wait: Span) -> Platform {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
         Platform {
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Reads a key, at once for index 0, else when it passes the index or the
-    /// wait is over.
+    /// Reads a key: at once for index 0, otherwise when its index exceeds the
+    /// given one or the wait ends.
     pub async fn read(&self, key: &str, index: u64) -> anyhow::Result<Value> {
         let wait = self.wait.to_secs_ceil();
         let uri = match index {
@@ -94,12 +96,16 @@
             ),
         };
         let request = Request::get(uri).body(Full::new(Bytes::new()))?;
-        let within = to_duration(self.wait) + MARGIN;
-        let answer = tokio::time::timeout(within, self.client.request(request)).await??;
-        ensure!(answer.status().is_success(), "status {}", answer.status());
-        let body = woadstage_body::collect(answer.into_body(), BODY).await?;
+        let timeout = to_duration(self.wait) + TIMEOUT_MARGIN;
+        let answer = tokio::time::timeout(timeout, self.client.request(request)).await??;
+        ensure!(
+            answer.status().is_success(),
+            "unexpected status {}",
+            answer.status()
+        );
+        let body = woadstage_body::collect(answer.into_body(), BODY_LIMITS).await?;
         let items: Vec<Item> = serde_json::from_slice(&body)?;
-        let item = items.into_iter().next().context("the key is not there")?;
+        let item = items.into_iter().next().context("the key does not exist")?;
         let bytes = STANDARD.decode(item.value.context("the key has no value")?)?;
         Ok(Value {
             text: String::from_utf8(bytes)?,
@@ -108,9 +114,9 @@
     }
 }
 
-/// Follows one key for as long as the loop runs. A node that others read for
-/// makes no calls.
-pub async fn follow(platform: Platform, key: &'static str, handle: Handle) {
+/// Watches one key until the loop ends. A node that is not a watcher makes no
+/// calls.
+pub async fn watch(platform: Platform, key: &'static str, handle: Handle) {
     let mut index = 0;
     let mut failing = false;
     loop {
@@ -119,44 +125,44 @@
         };
         if !watcher {
             index = 0;
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
         match platform.read(key, index).await {
             Ok(value) => {
                 failing = false;
-                // A service that starts again may count from the beginning.
+                // A restarted service may count from the beginning.
                 index = if value.index < index { 0 } else { value.index };
-                tell(&handle, key, value);
+                send_event(&handle, key, value);
             }
             Err(error) => {
                 if !std::mem::replace(&mut failing, true) {
                     let error = error.to_string();
-                    warn!("platform: A read failed.", kv: { key, error: });
+                    warn!("platform: Read failed.", kv: { key, error: });
                 }
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn tell(handle: &Handle, key: &str, value: Value) {
+fn send_event(handle: &Handle, key: &str, value: Value) {
     let Value { text, index } = value;
     if key == CONFIG_KEY {
-        handle.put(Input::Event(Event::Document {
+        handle.send(Input::Event(Event::Document {
             text: text.into(),
             index,
         }));
         return;
     }
     match serde_json::from_str::<hosts::List>(&text) {
-        Ok(list) => handle.put(Input::Event(Event::Hosts {
+        Ok(list) => handle.send(Input::Event(Event::Hosts {
             list: Arc::new(list),
             index,
         })),
         Err(error) => {
             let error = error.to_string();
-            warn!("platform: The host list cannot be read.", kv: { error: });
+            warn!("platform: Cannot parse the host list.", kv: { error: });
         }
     }
 }
