--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -226,12 +226,14 @@
         oldest_ms: u64,
         /// The estimated number of prompt tokens that the endpoint has to read.
         uncached: u64,
-        /// The estimated number of prompt tokens of other requests that it has to read first.
+        /// The estimated number of prompt tokens of other requests that the endpoint has to
+        /// read first.
         unread: u64,
         /// The endpoint's time for a call, or an engine's for a step, as a multiple of the
         /// typical one.
         pace: f64,
-        /// Who assigned the slot and knew the values above: `here` or the owner's address.
+        /// The node that assigned the slot and supplied the values above: `here` or the
+        /// owner's address.
         owner: &'a str,
         /// The endpoints passed over because they announced that they are leaving, separated by
         /// commas.
@@ -262,7 +264,7 @@
         /// The number of endpoints that crashed while running the request since it was last
         /// cleared.
         ends: usize,
-        /// The number of trials since then.
+        /// The number of trials of the request since it was last cleared.
         trials: u8,
     },
     /// An attempt ended.
@@ -303,7 +305,7 @@
         status: u16,
         /// The numbered result code; empty for an endpoint's own response.
         code: &'a str,
-        /// Whether the request has run, as told to the caller: `ran`, `not-run` or
+        /// Whether the request has run, as reported to the caller: `ran`, `not-run` or
         /// `unknown`.
         outcome: &'a str,
         /// The time in milliseconds since the request arrived.
--- a/crates/gateway/src/explain.rs
+++ b/crates/gateway/src/explain.rs
@@ -51,7 +51,7 @@
     serde_json::from_str(&text[start..]).ok()
 }
 
-/// Returns a sentence that says what happened to the request.
+/// Returns a sentence that describes what happened to the request.
 pub fn cause(lines: &[Line]) -> String {
     let events: Vec<&Value> = lines.iter().map(|line| &line.event).collect();
     let last = |name: &str| events.iter().rev().find(|event| event["event"] == name);
@@ -193,7 +193,7 @@
     event[field].as_str().unwrap_or_default()
 }
 
-/// Writes the lines about a request and a sentence that says what happened to it.
+/// Writes the lines about a request and a sentence that describes what happened to it.
 ///
 /// # Errors
 /// Fails if `out` cannot be written to.
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -37,8 +37,8 @@
     pub rate_limit: HeaderName,
     /// States that the endpoint is leaving.
     pub leaving: HeaderName,
-    /// The time for which an endpoint that rejects a request wants no other from this node, in
-    /// seconds.
+    /// The time, in seconds, for which an endpoint that rejects a request asks this node to send
+    /// it no other requests.
     pub rest: HeaderName,
     /// Headers that control endpoints and that only the system may set. They are removed from
     /// callers' requests.
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -25,7 +25,7 @@
 pub struct Options {
     /// The maximum number of bytes that wait for the reader.
     pub max_buffered_bytes: usize,
-    /// The part of these bytes that lines about anything but failures may use.
+    /// The maximum buffer size at which lines that do not explain a failure are still added.
     pub max_routine_bytes: usize,
     /// How long lines are collected before they are written.
     pub flush_interval: Duration,
@@ -62,8 +62,8 @@
             Level::Info => self.options.max_routine_bytes,
             _ => self.options.max_buffered_bytes,
         };
-        let at = record.time().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let head = format!("{{\"time_ms\":{},", at.as_millis());
+        let logged_at = record.time().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let head = format!("{{\"time_ms\":{},", logged_at.as_millis());
         let rest = record.payload().strip_prefix('{').unwrap_or_default();
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() + head.len() + rest.len() + 1 > limit {
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -73,7 +73,7 @@
     metrics.configuration_version.set(configuration as i64);
     let now = shell.now();
     let age = |since: Option<Time>| since.map_or(-1, |at| (now.since(at).0 / 1_000) as i64);
-    let in_force_since = shell.active_configuration.get().map(|one| one.since);
+    let in_force_since = shell.active_configuration.get().map(|active| active.since);
     metrics.configuration_age.set(age(in_force_since));
     metrics
         .platform_answer_age
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -19,8 +19,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a node that reads the platform itself waits for the platform to deliver a document
-/// that other nodes already have. A little more than the time in which platform reads batch
-/// changes.
+/// that other nodes already have. This is slightly longer than the period over which
+/// platform reads batch changes.
 const PLATFORM_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
 /// The minimum pause after a node declined, and the range of the jitter added to it: about the time
--- a/crates/gateway/src/peers/traffic.rs
+++ b/crates/gateway/src/peers/traffic.rs
@@ -12,11 +12,11 @@
     StatusInCell,
     /// Statuses to nodes outside the cell.
     StatusOutsideCell,
-    /// Requests for slots, their replies and reports.
+    /// Messages about slot leases: requests, replies, reports and checks.
     Lease,
     /// Reservations and releases of quota units.
     Quota,
-    /// Findings on requests under which endpoints ended.
+    /// Findings about requests during which endpoints crashed.
     Findings,
     /// Configurations and parts of them.
     Configuration,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Returns the kind of a message. A status counts as one to a node outside the cell.
+    /// Returns the kind of a message. Every status is classified as
+    /// [`Kind::StatusOutsideCell`].
     pub fn from_message(message: &Message) -> Kind {
         match message {
             Message::Status(_) => Kind::StatusOutsideCell,
--- a/crates/gateway/src/peers/transfer/fetch.rs
+++ b/crates/gateway/src/peers/transfer/fetch.rs
@@ -37,7 +37,7 @@
 /// Fetches a document from a node, if it has a newer one than this node, and applies it.
 ///
 /// # Errors
-/// If the node can't be reached, uses an unsupported layout or the transfer fails.
+/// Returns an error if the node can't be reached, uses an unsupported layout or the transfer fails.
 pub async fn fetch(
     shell: &Shell,
     from: SocketAddrV4,
--- a/crates/gateway/src/peers/transfer/frame.rs
+++ b/crates/gateway/src/peers/transfer/frame.rs
@@ -24,7 +24,7 @@
 /// Appends a message with its length prefix.
 ///
 /// # Errors
-/// If the length of the message doesn't fit the prefix.
+/// Returns an error if the length of the message doesn't fit the prefix.
 pub fn put_message(bytes: &mut Vec<u8>, message: &[u8]) -> anyhow::Result<()> {
     let length = u32::try_from(message.len())?;
     bytes.extend_from_slice(&length.to_le_bytes());
@@ -35,7 +35,7 @@
 /// Writes all bytes; the timeout applies to each write, not to the whole.
 ///
 /// # Errors
-/// If the stream fails or a write makes no progress in time.
+/// Returns an error if the stream fails or a write makes no progress in time.
 pub async fn write(stream: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> anyhow::Result<()> {
     let mut remaining = bytes;
     while !remaining.is_empty() {
@@ -69,7 +69,7 @@
     /// Returns the next message as decoded by `decode`, or `None` at the end of the stream.
     ///
     /// # Errors
-    /// If the stream fails, ends within a message, makes no progress in time or has an
+    /// Returns an error if the stream fails, ends within a message, makes no progress in time or has an
     /// unsupported layout, or if a message is too long or can't be decoded.
     pub async fn next<M>(
         &mut self,
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -45,7 +45,8 @@
 /// The interval at which the settings file is checked for changes.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long callers keep arriving after the platform was told that the node is leaving.
+/// The maximum duration of [`Phase::Leaving`]. Callers keep arriving for this long after the
+/// platform is told that the node is leaving.
 const LEAVING_PERIOD: Duration = Duration::from_millis(2_600);
 
 /// The part of the stop time that is reserved for exiting in an orderly way.
@@ -203,7 +204,7 @@
 }
 
 /// Runs the periodic work: detecting suspensions, the dispatcher's timers, messages to other
-/// nodes and the role that the adapter is told.
+/// nodes and notifying the adapter of the node's role.
 async fn tick(shell: Rc<Shell>, socket: Rc<UdpSocket>, advertised_role: watch::Sender<Role>) {
     let mut last = shell.now();
     loop {
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -26,24 +26,24 @@
 /// An admitted request.
 #[derive(Debug, Clone)]
 pub struct Admitted {
-    /// The id that the caller gave it; empty if none.
+    /// The id that the caller gave the request; empty if none.
     pub request_id: String,
-    /// Its route.
+    /// The route of the request.
     pub route: Route,
-    /// The service it is for.
+    /// The service that the request is for.
     pub target: id::Target,
-    /// Its customer, if any.
+    /// The customer that sent the request, if any.
     pub customer: Option<Customer>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Time,
-    /// When its caller gives up.
+    /// When the caller gives up.
     pub caller_deadline: Time,
-    /// When its final answer is due: the earlier of the caller's and the route's deadline,
+    /// When the final answer is due: the earlier of the caller's and the route's deadline,
     /// less [`ANSWER_MARGIN`].
     pub deadline: Time,
-    /// The version of the configuration by which it was admitted.
+    /// The version of the configuration by which the request was admitted.
     pub configuration_version: u64,
-    /// The maximum size of its body.
+    /// The maximum size of the request's body.
     pub max_body: Size,
 }
 
@@ -56,7 +56,7 @@
 /// Finds the route and customer of a request.
 ///
 /// # Errors
-/// [`Code::NotReady`] without a configuration, [`Code::RouteUnknown`],
+/// Returns [`Code::NotReady`] without a configuration, [`Code::RouteUnknown`],
 /// [`Code::CustomerUnknown`], or [`Code::HeaderInvalid`].
 pub fn admit(
     table: Option<&Table>,
@@ -98,7 +98,7 @@
 }
 
 impl Admitted {
-    /// The units that the request is charged to its customer's quota.
+    /// Returns the units that the request is charged to its customer's quota.
     pub fn units(&self, headers: &Headers, head: &Parts) -> u64 {
         let quota = self.customer.as_ref().and_then(|customer| customer.quota);
         let Some(default_tokens) = quota.and_then(|quota| quota.default_tokens) else {
@@ -108,7 +108,7 @@
         tokens.map_or(default_tokens, |(prompt, output)| prompt + output)
     }
 
-    /// The job for the dispatcher. `tried_for` is the time that the caller has spent on
+    /// Returns the job for the dispatcher. `tried_for` is the time that the caller has spent on
     /// earlier attempts.
     pub fn to_job(
         &self,
--- a/crates/gateway/src/serve/charge.rs
+++ b/crates/gateway/src/serve/charge.rs
@@ -39,7 +39,7 @@
 /// Charges a request to its customer's quota.
 ///
 /// # Errors
-/// The reply to a request that exceeds the quota.
+/// Returns the reply to a request that exceeds the quota.
 pub async fn charge(shell: &Shell, admitted: &Admitted, units: u64) -> Result<ChargedBy, Reply> {
     let Some(customer) = &admitted.customer else {
         return Ok(ChargedBy::Nobody);
@@ -106,7 +106,7 @@
     });
 }
 
-/// Returns the units charged for a request that did not run.
+/// Refunds the units charged for a request that did not run.
 pub fn refund(shell: &Shell, admitted: &Admitted, units: u64, charged_by: ChargedBy) {
     let Some(customer) = &admitted.customer else {
         return;
@@ -118,7 +118,7 @@
     };
     let refunded = shell.command(|dispatcher, _| dispatcher.refund(customer, units, owner));
     if let Some((owner, release)) = refunded {
-        // If this message is lost, the customer can use that much less.
+        // If this message is lost, these units stay charged to the customer.
         shell.peers.send(owner, &Message::Release(release));
     }
 }
--- a/crates/gateway/src/serve/classify.rs
+++ b/crates/gateway/src/serve/classify.rs
@@ -10,7 +10,7 @@
 /// What happens to an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disposition {
-    /// It is forwarded to the caller.
+    /// The answer is forwarded to the caller.
     Forward,
     /// The attempt failed with this end; the request may be retried.
     Retry(End),
--- a/crates/gateway/src/serve/closing.rs
+++ b/crates/gateway/src/serve/closing.rs
@@ -12,8 +12,8 @@
 use super::reply::Reply;
 use crate::shell::Shell;
 
-/// The minimum time left at which a request is accepted. Endpoints that receive a request
-/// any later would run it in vain.
+/// The minimum time until the end of this node at which a request is accepted. An endpoint
+/// would run a later request in vain.
 const MIN_TIME_LEFT: Span = Span::from_millis(400);
 
 /// The retry delay while most other nodes serve: the retry is unlikely to reach another
@@ -27,7 +27,7 @@
 /// Limits a request's deadline to the end of this node, if it is stopping.
 ///
 /// # Errors
-/// The reply to a request that might not finish by then.
+/// Returns the reply to a request that might not finish before this node ends.
 pub fn limit_deadline(exchange: &mut Exchange) -> Result<(), Reply> {
     let Exchange {
         shell, admitted, ..
@@ -39,7 +39,7 @@
     let needed = match admitted.route.kind {
         // A stream may last until its deadline and is not aborted.
         Kind::Stream => admitted.deadline.since(now),
-        // A request that takes longer still receives a final answer before the end.
+        // A request that takes longer still receives a final answer before this node ends.
         Kind::Repeatable | Kind::Once => {
             let typical_duration =
                 shell.query(|dispatcher, _| dispatcher.duration_opt(&admitted.route.name));
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -48,9 +48,9 @@
     pub shell: Rc<Shell>,
     /// The admitted request.
     pub admitted: Admitted,
-    /// When it was last sent.
+    /// When the request was last sent.
     pub sent_at: Time,
-    /// The endpoint that it was last sent to.
+    /// The endpoint that the request was last sent to.
     pub endpoint: Option<std::sync::Arc<Endpoint>>,
     head: Parts,
     payload: Option<Payload>,
@@ -108,7 +108,7 @@
     /// Charges the customer's quota and submits the request to the dispatcher.
     ///
     /// # Errors
-    /// The reply to a request that exceeds its customer's quota.
+    /// Returns the reply to a request that exceeds its customer's quota.
     pub async fn submit(&mut self) -> Result<(), Reply> {
         let shell = self.shell.clone();
         self.charged_by = charge::charge(&shell, &self.admitted, self.units).await?;
@@ -148,7 +148,7 @@
     /// forwarded to the caller.
     ///
     /// # Errors
-    /// The final reply that this node generates if there is no such answer.
+    /// Returns the final reply that this node generates if there is no such answer.
     pub async fn run(&mut self, last_event: Option<&str>) -> Result<Answer, Reply> {
         loop {
             let endpoint = self.wait_for_endpoint().await?;
@@ -262,7 +262,7 @@
         disposition
     }
 
-    /// The status of an answer and, for a 503, the rest that the endpoint asks for.
+    /// Returns the status of an answer and, for a 503, the rest that the endpoint asks for.
     fn to_detail(&self, answer: &Answer) -> String {
         let status = answer.response.status();
         let rest = text(answer.response.headers(), &self.shell.headers.rest);
@@ -290,8 +290,8 @@
         }
     }
 
-    /// Forwards an endpoint's error to the caller, unless its status implies that the request
-    /// did not run, which is not known.
+    /// Forwards an endpoint's error to the caller. An error whose status implies that the
+    /// request did not run becomes [`Code::EndpointFault`], since it may have run.
     fn forward_fault(&self, answer: Answer) -> Result<Answer, Reply> {
         if classify::implies_not_run(answer.response.status()) {
             return Err(Code::EndpointFault.into());
--- a/crates/gateway/src/serve/framer.rs
+++ b/crates/gateway/src/serve/framer.rs
@@ -54,7 +54,7 @@
 
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let pairs = bytes.windows(2).rposition(|pair| pair == b"\n\n");
-    pairs.map(|at| at + 2)
+    pairs.map(|start| start + 2)
 }
 
 fn last_id(events: &[u8]) -> Option<String> {
--- a/crates/gateway/src/serve/handle.rs
+++ b/crates/gateway/src/serve/handle.rs
@@ -29,8 +29,8 @@
 /// no byte of their request was read within a second.
 const MAX_CONFIGURATION_WAIT: Span = Span::from_millis(800);
 
-/// A request waits for the first configuration for at most one in this many parts of its
-/// caller's timeout. Callers give up after a third of it.
+/// A request waits for the first configuration for at most its caller's timeout divided by
+/// this. Callers give up after a third of their timeout.
 const CONFIGURATION_WAIT_DIVISOR: u64 = 4;
 
 /// How long after its start a node expects its first configuration: it takes 1.4 s until
@@ -87,7 +87,7 @@
     }
 }
 
-/// How long a caller waits.
+/// Returns the timeout that the caller states, or the default if it states none.
 fn caller_timeout(shell: &Shell, head: &Parts) -> Span {
     let given_ms = shell.headers.to_deadline_ms(&head.headers);
     given_ms.map_or(admit::DEFAULT_CALLER_TIMEOUT, Span::from_millis)
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -52,11 +52,11 @@
 mod relay;
 mod reply;
 
-/// The minimum size of the buffer for a head that hyper allows.
+/// The minimum size of the buffer for a request's head that hyper accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// Accepts connections until the node has stopped, not just until it begins to: while many
-/// nodes stop, a caller may find no other.
+/// Accepts connections until [`Phase::Stopped`], and not only until the shutdown starts: while
+/// many nodes stop, a caller may find no other.
 pub async fn accept(shell: Rc<Shell>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -67,7 +67,7 @@
             Ok((stream, _)) => {
                 tokio::task::spawn_local(serve_connection(shell.clone(), stream));
             }
-            // Usually out of file descriptors: wait for other connections to close.
+            // The usual cause is a lack of file descriptors: wait for connections to close.
             Err(_) => tokio::time::sleep(std::time::Duration::from_millis(20)).await,
         }
     }
--- a/crates/gateway/src/serve/outgoing.rs
+++ b/crates/gateway/src/serve/outgoing.rs
@@ -29,7 +29,7 @@
 
 /// The properties of one attempt that are added to its request.
 pub struct Attempt<'a> {
-    /// The endpoint it is sent to.
+    /// The endpoint that the request is sent to.
     pub endpoint: &'a Endpoint,
     /// The time until the caller's deadline.
     pub time_left: Span,
--- a/crates/gateway/src/serve/parse_notice.rs
+++ b/crates/gateway/src/serve/parse_notice.rs
@@ -60,14 +60,14 @@
 }
 
 impl Parsed {
-    /// How long the endpoint stays cold.
+    /// Returns how long the endpoint stays cold.
     fn cold(&mut self, name: &HeaderName, headers: &HeaderMap) -> Option<Span> {
         let value = headers.get(name)?;
         let cold_for = self.ok_or_record("cold", parse_cold(value))?;
         (cold_for > Span::ZERO).then_some(cold_for)
     }
 
-    /// The requests per second that the endpoint accepts. A missing field counts as no limit
+    /// Returns the rate limit of the endpoint. A missing field counts as no limit
     /// only in an answer that is forwarded: an error may come from another service at the
     /// endpoint's address.
     fn rate_limit(
@@ -93,7 +93,7 @@
         valid.count() > 0
     }
 
-    /// The rest that the endpoint asks for; the longest if there are several.
+    /// Returns the rest that the endpoint asks for, or the longest if there are several.
     fn rest(&mut self, name: &HeaderName, headers: &HeaderMap) -> Option<Span> {
         let values = headers.get_all(name).iter();
         let rests =
--- a/crates/gateway/src/serve/payload.rs
+++ b/crates/gateway/src/serve/payload.rs
@@ -34,7 +34,7 @@
     /// `memory`, in KiB.
     ///
     /// # Errors
-    /// [`Code::BodyTooLarge`], [`Code::BodyCutOff`], or [`Code::NodeBusy`]
+    /// Returns [`Code::BodyTooLarge`], [`Code::BodyCutOff`], or [`Code::NodeBusy`]
     /// if no memory is left for bodies.
     pub async fn read(
         mut body: Incoming,
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -21,13 +21,13 @@
 /// The request that a reply of this node answers.
 #[derive(Debug, Clone, Copy)]
 pub struct Context<'a> {
-    /// The id that the caller gave it.
+    /// The id that the caller gave the request.
     pub request_id: &'a str,
-    /// Its route; empty if it has none.
+    /// The route of the request; empty if it has none.
     pub route: &'a str,
-    /// Its service, if it has one.
+    /// The service of the request, if it has one.
     pub target: Option<&'a id::Target>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Time,
 }
 
@@ -162,7 +162,7 @@
     names.join(", ")
 }
 
-/// Formats the node that decided for the log: the address of another node, or `here`.
+/// Formats the deciding node for the log: the address of another node, or `here`.
 fn to_owner_name(owner: Option<SocketAddrV4>) -> String {
     owner.map_or_else(|| "here".to_owned(), |owner| owner.to_string())
 }
--- a/crates/gateway/src/serve/reply.rs
+++ b/crates/gateway/src/serve/reply.rs
@@ -25,7 +25,7 @@
     pub retry_after: Option<Span>,
     /// The expected wait, if the request was refused because of it.
     pub wait: Option<Span>,
-    /// The node that decided it, if it was another.
+    /// The node that made the decision, if it was not this one.
     pub owner: Option<SocketAddrV4>,
 }
 
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -58,9 +58,9 @@
     /// The platform was restored from a copy that lacks data it had acknowledged, and is read
     /// again in full.
     Restored {
-        /// The era before.
+        /// The previous era.
         before: Era,
-        /// The era now.
+        /// The current era.
         era: Era,
     },
     /// The platform could not be reached or answered with an error; holds the cause.
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -92,7 +92,7 @@
     /// Sends a request to an endpoint and waits for the head of its response.
     ///
     /// # Errors
-    /// [`CallError::NotSent`] if certainly nothing was written, otherwise [`CallError::Lost`].
+    /// Returns [`CallError::NotSent`] if certainly nothing was written, otherwise [`CallError::Lost`].
     pub async fn call(
         &self,
         now: Time,
--- a/crates/gateway/src/upstream/reuse.rs
+++ b/crates/gateway/src/upstream/reuse.rs
@@ -35,10 +35,10 @@
     pub(super) fn take_idle(&self, now: Time, endpoint: &Instance) -> Option<Connection> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(endpoint)?;
-        idle.retain(|one| one.expires_at > now && !one.connection.sender.is_closed());
+        idle.retain(|entry| entry.expires_at > now && !entry.connection.sender.is_closed());
         let reusable = idle
             .iter()
-            .position(|one| now.since(one.idle_since) >= to_span(REUSE_DELAY));
+            .position(|entry| now.since(entry.idle_since) >= to_span(REUSE_DELAY));
         let index = reusable.or_else(|| idle.len().checked_sub(1))?;
         Some(idle.remove(index).connection)
     }
@@ -74,7 +74,7 @@
     /// Removes idle connections that have expired or were closed by the endpoint.
     pub fn remove_expired(&self, now: Time) {
         self.idle.borrow_mut().retain(|_, idle| {
-            idle.retain(|one| one.expires_at > now && !one.connection.sender.is_closed());
+            idle.retain(|entry| entry.expires_at > now && !entry.connection.sender.is_closed());
             !idle.is_empty()
         });
     }
