--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -275,7 +275,8 @@
         endpoint: &'a str,
         /// How the attempt ended.
         end: &'a str,
-        /// What happens next.
+        /// The next step: `again` if the request is retried, `over` if it has ended, or why it
+        /// is not retried.
         next: &'a str,
         /// The status or the connection error.
         detail: &'a str,
--- a/crates/gateway/src/explain.rs
+++ b/crates/gateway/src/explain.rs
@@ -87,8 +87,8 @@
     }
 }
 
-fn caller_left_cause(left: &Value, sent: bool) -> String {
-    let after = &left["after_ms"];
+fn caller_left_cause(event: &Value, sent: bool) -> String {
+    let after = &event["after_ms"];
     let state = if sent {
         "while an endpoint worked on it"
     } else {
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -25,7 +25,8 @@
 pub struct Options {
     /// The maximum number of bytes that wait for the reader.
     pub max_buffered_bytes: usize,
-    /// The maximum buffer size at which lines that do not explain a failure are still added.
+    /// The maximum number of waiting bytes up to which routine lines are accepted. The rest of
+    /// the buffer is reserved for lines that explain a failure.
     pub max_routine_bytes: usize,
     /// How long lines are collected before they are written.
     pub flush_interval: Duration,
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Sends a message as soon as the socket is writable, for callers that wait for a reply. Returns
-    /// `None` if the message can't be sent.
+    /// Sends a message as soon as the socket is writable, for tasks that wait for a reply.
+    /// Returns `None` if the message can't be sent.
     pub async fn send_when_writable(&self, to: SocketAddrV4, message: &Message) -> Option<()> {
         let socket = self.socket.get()?;
         let datagram = wire::to_datagram(message).ok()?;
@@ -135,7 +135,7 @@
     }
 }
 
-/// Sends this node's status to the nodes that are due one.
+/// Sends this node's status to the nodes to which one is due.
 pub fn send_statuses(shell: &Shell, socket: &UdpSocket) {
     let statuses = shell.command(|dispatcher, now| dispatcher.statuses(now));
     for (status, due) in statuses {
--- a/crates/gateway/src/peers/transfer/frame.rs
+++ b/crates/gateway/src/peers/transfer/frame.rs
@@ -69,8 +69,8 @@
     /// Returns the next message as decoded by `decode`, or `None` at the end of the stream.
     ///
     /// # Errors
-    /// Returns an error if the stream fails, ends within a message, makes no progress in time or has an
-    /// unsupported layout, or if a message is too long or can't be decoded.
+    /// Returns an error if the stream fails, ends within a message, makes no progress in time or
+    /// has an unsupported layout, or if a message is too long or can't be decoded.
     pub async fn next<M>(
         &mut self,
         decode: impl FnOnce(&[u8]) -> postcard::Result<M>,
--- a/crates/gateway/src/peers/transfer/serve.rs
+++ b/crates/gateway/src/peers/transfer/serve.rs
@@ -51,7 +51,7 @@
 }
 
 /// Sends only the changes of the endpoint list, if they are small, and reports that this node is
-/// busy if that leaves anything out. Endpoint lists must take effect quickly on all nodes:
+/// busy if it leaves out other changes. Endpoint lists must take effect quickly on all nodes:
 /// when they queued behind long configurations, an endpoint received a request 3,022 ms after it
 /// had announced that it was leaving, where 3,000 ms are allowed.
 async fn decline(shell: &Shell, mut stream: TcpStream) -> anyhow::Result<()> {
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -343,8 +343,8 @@
     fn to_final_reply(&self, end: End) -> Reply {
         if !self.may_have_run {
             let retry_after = self.shell.query(|dispatcher, now| {
-                let left = self.admitted.deadline.since(now);
-                dispatcher.retry_after_refusal(now, &self.admitted.target, left)
+                let time_left = self.admitted.deadline.since(now);
+                dispatcher.retry_after_refusal(now, &self.admitted.target, time_left)
             });
             return Reply {
                 code: Code::EndpointRefused,
--- a/crates/gateway/src/serve/record.rs
+++ b/crates/gateway/src/serve/record.rs
@@ -149,8 +149,8 @@
     });
 }
 
-/// The endpoints of a service that are passed over now because of what they announced in
-/// answers.
+/// Returns the endpoints of a service that are currently passed over because of what they
+/// announced in answers.
 fn passed_over(shell: &Shell, target: &id::Target) -> PassedOver {
     shell.query(|dispatcher, now| dispatcher.passed_over(now, target))
 }
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -81,7 +81,7 @@
     Response::from_parts(head, Box::pin(StreamBody::new(frames)))
 }
 
-/// What was received from the endpoint.
+/// The result of waiting for the next bytes from the endpoint.
 enum Received {
     Data(Bytes),
     End,
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -61,11 +61,11 @@
     pub metrics: Metrics,
     /// The connections to endpoints.
     pub upstream: Upstream,
-    /// The memory left for request bodies, one permit a KiB.
+    /// The memory left for request bodies, one permit per KiB.
     pub body_budget: Arc<Semaphore>,
-    /// The number of open connections from callers that came before the node began to close.
+    /// The number of open connections that callers opened before [`Phase::Closing`].
     pub connections: Cell<usize>,
-    /// The number of open connections from callers that came after that.
+    /// The number of open connections that callers opened in [`Phase::Closing`] or later.
     pub late_connections: Cell<usize>,
     /// Sends messages to other nodes.
     pub peers: peers::Sender,
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -92,7 +92,8 @@
     /// Sends a request to an endpoint and waits for the head of its response.
     ///
     /// # Errors
-    /// Returns [`CallError::NotSent`] if certainly nothing was written, otherwise [`CallError::Lost`].
+    /// Returns [`CallError::NotSent`] if certainly nothing was written, otherwise
+    /// [`CallError::Lost`].
     pub async fn call(
         &self,
         now: Time,
--- a/crates/gateway/src/upstream/probe.rs
+++ b/crates/gateway/src/upstream/probe.rs
@@ -19,7 +19,7 @@
     Ended,
     /// The connection was accepted.
     Alive,
-    /// Neither, as when the host does not respond.
+    /// The connection was neither accepted nor refused, as when the host does not respond.
     Unknown,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Starts a probe of an endpoint whose response broke off, unless one is in progress. If the host
+/// Starts a probe of an endpoint whose response broke off, unless it is being probed. If the host
 /// does not respond, this node learns from the platform whether the endpoint has ended.
 pub fn start(shell: &Rc<Shell>, endpoint: &Arc<Endpoint>) {
     let number = endpoint.to_number();
--- a/crates/gateway/src/upstream/reuse.rs
+++ b/crates/gateway/src/upstream/reuse.rs
@@ -33,8 +33,8 @@
     /// Takes the connection to an endpoint that has been idle longest; if none has been idle for
     /// [`REUSE_DELAY`], the one that became idle last.
     pub(super) fn take_idle(&self, now: Time, endpoint: &Instance) -> Option<Connection> {
-        let mut all = self.idle.borrow_mut();
-        let idle = all.get_mut(endpoint)?;
+        let mut pool = self.idle.borrow_mut();
+        let idle = pool.get_mut(endpoint)?;
         idle.retain(|entry| entry.expires_at > now && !entry.connection.sender.is_closed());
         let reusable = idle
             .iter()
@@ -54,8 +54,8 @@
         keep_alive: Duration,
         max_idle: usize,
     ) {
-        let mut all = self.idle.borrow_mut();
-        let idle = all.entry(endpoint).or_default();
+        let mut pool = self.idle.borrow_mut();
+        let idle = pool.entry(endpoint).or_default();
         let max_before = max_idle.clamp(1, MAX_IDLE_PER_ENDPOINT) - 1;
         let excess = idle.len().saturating_sub(max_before);
         idle.drain(..excess);
@@ -80,8 +80,8 @@
     }
 }
 
-/// Waits until a connection can be used again after a complete response. Returns `None` if it can't
-/// or if the endpoint closes it.
+/// Waits until a connection can be used again after a complete response. Returns `None` if the
+/// connection does not become ready in time or the endpoint closes it.
 pub async fn into_reusable(mut connection: Connection, keep_alive: Duration) -> Option<Connection> {
     if keep_alive.is_zero() {
         return None;
