--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -72,7 +72,8 @@
     role != Role::Follower && behind < PLATFORM_GRACE_PERIOD
 }
 
-/// Returns the pause after a declined transfer, with jitter that differs between nodes and attempts.
+/// Returns the pause after a declined transfer, with jitter that differs between nodes and
+/// attempts.
 fn jittered_pause(shell: &Shell, attempt: u64) -> Duration {
     let (min, jitter) = DECLINED_PAUSE;
     let incarnation = shell.query(|dispatcher, _| dispatcher.incarnation());
--- a/crates/gateway/src/peers/reservations.rs
+++ b/crates/gateway/src/peers/reservations.rs
@@ -36,8 +36,8 @@
 }
 
 impl Reservations {
-    /// Sends a reservation to an owner and returns its verdict, or `None` if the owner does not reply
-    /// in time.
+    /// Sends a reservation to an owner and returns the owner's verdict, or `None` if it does not
+    /// reply in time.
     pub async fn request(
         &self,
         peers: &Sender,
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -108,8 +108,8 @@
         tokens.map_or(default_tokens, |(prompt, output)| prompt + output)
     }
 
-    /// Returns the job for the dispatcher. `tried_for` is the time that the caller has spent on
-    /// earlier attempts.
+    /// Returns the job for the dispatcher. `since_first_try` is the time that the caller has
+    /// spent on earlier attempts.
     pub fn to_job(
         &self,
         headers: &Headers,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The customer's name; empty if there is none.
+    /// Returns the customer's name, or an empty string if there is none.
     pub fn customer_name(&self) -> &str {
         self.customer
             .as_ref()
--- a/crates/gateway/src/serve/payload.rs
+++ b/crates/gateway/src/serve/payload.rs
@@ -30,8 +30,8 @@
 }
 
 impl Payload {
-    /// Reads a whole short body, or the beginning of a long one. Reserves the buffer from
-    /// `memory`, in KiB.
+    /// Reads a whole short body, or the beginning of a long one. Reserves memory for the
+    /// buffer from `memory`, which has one permit per KiB.
     ///
     /// # Errors
     /// Returns [`Code::BodyTooLarge`], [`Code::BodyCutOff`], or [`Code::NodeBusy`]
--- a/crates/gateway/src/upstream/reuse.rs
+++ b/crates/gateway/src/upstream/reuse.rs
@@ -45,7 +45,8 @@
 
     /// Adds a connection returned by [`into_reusable`] to the pool for at most `keep_alive`. Closes
     /// the oldest ones to the same endpoint so that, with this one, at most `max_idle` remain. The
-    /// endpoint's keep-alive timeout goes on while this host is suspended.
+    /// expiry counts suspensions of this host, since the endpoint's keep-alive timeout continues
+    /// during them.
     pub fn add_idle(
         &self,
         now: Time,
