--- a/crates/gateway/src/serve/handle.rs
+++ b/crates/gateway/src/serve/handle.rs
@@ -57,8 +57,8 @@
         Ok(payload) => exchange.set_payload(payload),
         Err(code) => return exchange.refuse(code.into()),
     }
-    // The request is refused only after its body was read: closing a connection with unread bytes resets it, and
-    // the reply would be lost.
+    // The request is refused only after its body was read: closing a connection with unread
+    // bytes resets it, and the reply would be lost.
     if let Err(reply) = closing::limit_deadline(&mut exchange) {
         return exchange.refuse(reply);
     }
--- a/crates/gateway/src/serve/parse_notice.rs
+++ b/crates/gateway/src/serve/parse_notice.rs
@@ -67,9 +67,9 @@
         (cold_for > Span::ZERO).then_some(cold_for)
     }
 
-    /// Returns the rate limit of the endpoint. A missing field counts as no limit
-    /// only in an answer that is forwarded: an error may come from another service at the
-    /// endpoint's address.
+    /// Returns the endpoint's rate limit, in requests per second. A missing field counts as no
+    /// limit only in an answer that is forwarded: an error may come from another service at
+    /// the endpoint's address.
     fn rate_limit(
         &mut self,
         name: &HeaderName,
