--- a/crates/gateway/src/explain.rs
+++ b/crates/gateway/src/explain.rs
@@ -51,7 +51,7 @@
     serde_json::from_str(&text[start..]).ok()
 }
 
-/// Returns a sentence that says what happened to the request.
+/// Returns a sentence that describes what happened to the request.
 pub fn cause(lines: &[Line]) -> String {
     let events: Vec<&Value> = lines.iter().map(|line| &line.event).collect();
     let last = |name: &str| events.iter().rev().find(|event| event["event"] == name);
@@ -87,8 +87,8 @@
     }
 }
 
-fn caller_left_cause(left: &Value, sent: bool) -> String {
-    let after = &left["after_ms"];
+fn caller_left_cause(event: &Value, sent: bool) -> String {
+    let after = &event["after_ms"];
     let state = if sent {
         "while an endpoint worked on it"
     } else {
@@ -193,7 +193,7 @@
     event[field].as_str().unwrap_or_default()
 }
 
-/// Writes the lines about a request and a sentence that says what happened to it.
+/// Writes the lines about a request and a sentence that describes what happened to it.
 ///
 /// # Errors
 /// Fails if `out` cannot be written to.
--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -19,8 +19,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a node that reads the platform itself waits for the platform to deliver a document
-/// that other nodes already have. A little more than the time in which platform reads batch
-/// changes.
+/// that other nodes already have. This is slightly longer than the period over which
+/// platform reads batch changes.
 const PLATFORM_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
 /// The minimum pause after a node declined, and the range of the jitter added to it: about the time
@@ -72,7 +72,8 @@
     role != Role::Follower && behind < PLATFORM_GRACE_PERIOD
 }
 
-/// Returns the pause after a declined transfer, with jitter that differs between nodes and attempts.
+/// Returns the pause after a declined transfer, with jitter that differs between nodes and
+/// attempts.
 fn jittered_pause(shell: &Shell, attempt: u64) -> Duration {
     let (min, jitter) = DECLINED_PAUSE;
     let incarnation = shell.query(|dispatcher, _| dispatcher.incarnation());
--- a/crates/gateway/src/serve/payload.rs
+++ b/crates/gateway/src/serve/payload.rs
@@ -30,11 +30,11 @@
 }
 
 impl Payload {
-    /// Reads a whole short body, or the beginning of a long one. Reserves the buffer from
-    /// `memory`, in KiB.
+    /// Reads a whole short body, or the beginning of a long one. Reserves memory for the
+    /// buffer from `memory`, which has one permit per KiB.
     ///
     /// # Errors
-    /// [`Code::BodyTooLarge`], [`Code::BodyCutOff`], or [`Code::NodeBusy`]
+    /// Returns [`Code::BodyTooLarge`], [`Code::BodyCutOff`], or [`Code::NodeBusy`]
     /// if no memory is left for bodies.
     pub async fn read(
         mut body: Incoming,
--- a/crates/gateway/src/upstream/reuse.rs
+++ b/crates/gateway/src/upstream/reuse.rs
@@ -33,19 +33,20 @@
     /// Takes the connection to an endpoint that has been idle longest; if none has been idle for
     /// [`REUSE_DELAY`], the one that became idle last.
     pub(super) fn take_idle(&self, now: Time, endpoint: &Instance) -> Option<Connection> {
-        let mut all = self.idle.borrow_mut();
-        let idle = all.get_mut(endpoint)?;
-        idle.retain(|one| one.expires_at > now && !one.connection.sender.is_closed());
+        let mut pool = self.idle.borrow_mut();
+        let idle = pool.get_mut(endpoint)?;
+        idle.retain(|entry| entry.expires_at > now && !entry.connection.sender.is_closed());
         let reusable = idle
             .iter()
-            .position(|one| now.since(one.idle_since) >= to_span(REUSE_DELAY));
+            .position(|entry| now.since(entry.idle_since) >= to_span(REUSE_DELAY));
         let index = reusable.or_else(|| idle.len().checked_sub(1))?;
         Some(idle.remove(index).connection)
     }
 
     /// Adds a connection returned by [`into_reusable`] to the pool for at most `keep_alive`. Closes
     /// the oldest ones to the same endpoint so that, with this one, at most `max_idle` remain. The
-    /// endpoint's keep-alive timeout goes on while this host is suspended.
+    /// expiry counts suspensions of this host, since the endpoint's keep-alive timeout continues
+    /// during them.
     pub fn add_idle(
         &self,
         now: Time,
@@ -54,8 +55,8 @@
         keep_alive: Duration,
         max_idle: usize,
     ) {
-        let mut all = self.idle.borrow_mut();
-        let idle = all.entry(endpoint).or_default();
+        let mut pool = self.idle.borrow_mut();
+        let idle = pool.entry(endpoint).or_default();
         let max_before = max_idle.clamp(1, MAX_IDLE_PER_ENDPOINT) - 1;
         let excess = idle.len().saturating_sub(max_before);
         idle.drain(..excess);
@@ -74,14 +75,14 @@
     /// Removes idle connections that have expired or were closed by the endpoint.
     pub fn remove_expired(&self, now: Time) {
         self.idle.borrow_mut().retain(|_, idle| {
-            idle.retain(|one| one.expires_at > now && !one.connection.sender.is_closed());
+            idle.retain(|entry| entry.expires_at > now && !entry.connection.sender.is_closed());
             !idle.is_empty()
         });
     }
 }
 
-/// Waits until a connection can be used again after a complete response. Returns `None` if it can't
-/// or if the endpoint closes it.
+/// Waits until a connection can be used again after a complete response. Returns `None` if the
+/// connection does not become ready in time or the endpoint closes it.
 pub async fn into_reusable(mut connection: Connection, keep_alive: Duration) -> Option<Connection> {
     if keep_alive.is_zero() {
         return None;
