--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -1,5 +1,5 @@
 //! Plans a configuration change: merges an intent into the active document and lists
-//! the changes. Nothing is published here: the operator confirms a plan separately.
+//! the changes. Publishing a plan is a separate step that the operator confirms.
 
 use toml::Table;
 use toml::Value;
@@ -30,7 +30,7 @@
     pub changes: Vec<Change>,
     /// The document to publish on confirmation.
     pub document: String,
-    /// The confirmation in the document.
+    /// The confirmation that the document contains.
     pub confirmation: Confirmation,
 }
 
@@ -99,7 +99,7 @@
 
 fn merge_item(items: &mut Vec<Value>, item: Value) {
     let index = items.iter().position(|old| name_of(old) == name_of(&item));
-    let Some(Value::Table(old)) = index.map(|at| &mut items[at]) else {
+    let Some(Value::Table(old)) = index.map(|index| &mut items[index]) else {
         items.push(item);
         return;
     };
--- a/crates/losses/src/clock.rs
+++ b/crates/losses/src/clock.rs
@@ -1,5 +1,5 @@
 //! Clock alignment between hosts. Published documents take effect on all nodes
-//! within moments, so the times of the same version in two logs give the offset
+//! at almost the same time, so the times of the same version in two logs give the offset
 //! between the clocks of two hosts.
 
 use std::collections::HashMap;
@@ -8,7 +8,7 @@
 use crate::line::Line;
 
 /// The smallest clock offset that is corrected. Nodes apply the same version up
-/// to some hundred milliseconds apart, so smaller offsets are ignored.
+/// to a few hundred milliseconds apart, so smaller offsets are ignored.
 const MIN_OFFSET_MS: i64 = 1_000;
 
 /// A published version, which takes effect on all nodes at about the same time.
@@ -46,11 +46,12 @@
     versions
 }
 
-/// Returns the median time difference of the versions that both logs contain.
+/// Returns the median time difference of the versions that both logs contain, or 0 if it is
+/// less than [`MIN_OFFSET_MS`].
 fn offset(reference: &HashMap<Version, u64>, other: &HashMap<Version, u64>) -> i64 {
-    let common = other.iter().filter_map(|(version, at)| {
-        let reference_at = reference.get(version)?;
-        Some(*reference_at as i64 - *at as i64)
+    let common = other.iter().filter_map(|(version, applied_at_ms)| {
+        let reference_ms = reference.get(version)?;
+        Some(*reference_ms as i64 - *applied_at_ms as i64)
     });
     let mut differences: Vec<i64> = common.collect();
     differences.sort_unstable();
--- a/crates/losses/src/report.rs
+++ b/crates/losses/src/report.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// The number of uncached prompt tokens from which on a prompt counts as a
+/// The minimum number of uncached prompt tokens for a prompt to count as a
 /// possible cause of a long pause in another stream of its endpoint. Shorter
 /// prompts are processed within one event.
 const LONG_PROMPT_TOKENS: u64 = 2_000;
@@ -128,8 +128,8 @@
     pub windows: Vec<Window>,
     /// Counts and latencies by endpoint.
     pub endpoints: Vec<Endpoint>,
-    /// Number of streams with a late pause to whose endpoint a long prompt was
-    /// sent during the stream.
+    /// Number of streams with a late pause whose endpoint was sent a long prompt
+    /// during the stream.
     #[serde(rename = "pauses_beside_prompts")]
     pub pauses_during_prompts: u64,
     /// Starts of nodes and changes of their connections to the platform.
@@ -152,8 +152,8 @@
         .iter()
         .flat_map(|lines| request::collect(lines))
         .collect();
-    for (number, lines) in logs.iter().enumerate() {
-        record_marks(&mut report, lines, number, start_ms);
+    for (file_index, lines) in logs.iter().enumerate() {
+        record_marks(&mut report, lines, file_index, start_ms);
     }
     report.marks.sort_by_key(|mark| mark.at_ms);
     count_requests(&mut report, &requests, start_ms);
@@ -172,8 +172,8 @@
     }
 }
 
-fn record_marks(report: &mut Report, lines: &[Line], number: usize, start_ms: u64) {
-    let mut host = format!("file {}", number + 1);
+fn record_marks(report: &mut Report, lines: &[Line], file_index: usize, start_ms: u64) {
+    let mut host = format!("file {}", file_index + 1);
     for line in lines {
         let what = match &line.event {
             Event::Started { host: name } => {
@@ -271,7 +271,7 @@
     endpoint
 }
 
-/// Counts the streams with a late pause to whose endpoint a long prompt was sent
+/// Counts the streams with a late pause whose endpoint was sent a long prompt
 /// during the stream.
 fn count_pauses_during_prompts(requests: &[Request]) -> u64 {
     let mut long_prompts: HashMap<&str, BTreeSet<u64>> = HashMap::new();
--- a/crates/losses/src/request.rs
+++ b/crates/losses/src/request.rs
@@ -22,11 +22,11 @@
     /// A pause between two events exceeded the limit.
     LatePause,
     /// Refused by the node (503) within a quarter of its objective, or before it was
-    /// admitted. Covers load and all 503 answers without a cause of their own.
+    /// admitted. Covers refusals because of load and all 503 answers with no other cause.
     RefusedAtOnce,
     /// Refused by the node (503) after more than a quarter of its objective.
     RefusedAfterWait,
-    /// Refused by the node (503) when its caller retried after a refusal.
+    /// Refused by the node (503) again when the caller appeared to retry after a refusal.
     RefusedOnReturn,
     /// Refused while endpoints were skipped because they had announced that they
     /// leave.
@@ -39,7 +39,8 @@
     NoConfiguration,
     /// The retry budget was exhausted.
     RetryBudget,
-    /// The endpoint was lost, or the answer was cut off before its end.
+    /// The endpoint was lost, the answer was cut off before its end, or the node answered
+    /// with a server error that has no other cause.
     EndpointLost,
     /// The endpoint answered with a server error.
     EndpointFault,
@@ -296,6 +297,7 @@
         }
     }
 
+    /// Classifies a successful answer by the time to its first event and its longest pause.
     fn timing_cause(&self, answered: &Answered) -> Cause {
         let Some(accepted) = &self.accepted else {
             return Cause::InTime;
@@ -347,6 +349,7 @@
         }
     }
 
+    /// Classifies a refusal (503) that has no other cause.
     fn refusal_cause(&self, answered: &Answered) -> Cause {
         let Some(accepted) = &self.accepted else {
             return Cause::RefusedAtOnce;
--- a/crates/losses/src/write.rs
+++ b/crates/losses/src/write.rs
@@ -62,7 +62,7 @@
     writeln!(out, "{json}")
 }
 
-/// Writes the hosts of the logs and what the logs lack.
+/// Writes the hosts that the logs name and the numbers of missing lines and empty files.
 fn write_sources(report: &Report, out: &mut impl Write) -> io::Result<()> {
     let hosts = report.hosts.join(", ");
     writeln!(out, "hosts: {hosts}")?;
--- a/crates/types/src/code.rs
+++ b/crates/types/src/code.rs
@@ -1,5 +1,5 @@
-//! Numbered result codes, each with its HTTP status and with what it tells the
-//! caller about its request. A test compares `docs/CODES.md` with this table.
+//! Numbered result codes, each with its HTTP status and the outcome of
+//! the request that it states to the caller. A test compares `docs/CODES.md` with this table.
 
 use std::fmt;
 
@@ -15,8 +15,8 @@
     NotRun,
     /// This node cannot determine whether the request ran.
     Unknown,
-    /// The code is not about the execution of a request: mostly faults in settings or
-    /// configuration.
+    /// The code does not describe the execution of a request; most such codes describe
+    /// faults in settings or configuration.
     None,
 }
 
@@ -45,7 +45,7 @@
             /// All codes, in the order of their declaration.
             pub const ALL: &'static [Code] = &[$(Code::$name),*];
 
-            /// Returns the HTTP status of a response with this code; 0 where no caller receives it.
+            /// Returns the HTTP status of a response with this code, or 0 if no caller receives it.
             pub fn status(self) -> u16 {
                 match self { $(Code::$name => $status),* }
             }
--- a/crates/types/src/unit.rs
+++ b/crates/types/src/unit.rs
@@ -111,7 +111,8 @@
 }
 
 /// A point in time in microseconds since the Unix epoch. A process reads the system
-/// clock once at its start and adds the time on a monotonic clock, so its time never steps.
+/// clock once at its start and adds the time elapsed on a monotonic clock, so that
+/// adjustments of the system clock don't make the time jump.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
