--- a/crates/config/src/published/confirm.rs
+++ b/crates/config/src/published/confirm.rs
@@ -14,7 +14,7 @@
 pub struct Confirmation {
     /// The revision: one more than that of the base.
     pub revision: u64,
-    /// The digest of the document that it is based on; empty for the first one.
+    /// The digest of the document that this one is based on; empty for the first document.
     pub base: String,
     /// The digest of the revision, the base and the body.
     pub digest: String,
--- a/crates/config/src/published/parse.rs
+++ b/crates/config/src/published/parse.rs
@@ -225,7 +225,7 @@
     let digits: Option<Vec<u8>> = (text.is_ascii() && text.len() == 64)
         .then(|| {
             (0..32)
-                .map(|at| u8::from_str_radix(&text[at * 2..at * 2 + 2], 16).ok())
+                .map(|index| u8::from_str_radix(&text[index * 2..index * 2 + 2], 16).ok())
                 .collect()
         })
         .flatten();
@@ -282,13 +282,13 @@
 fn days_from_civil(year: i64, month: i64, day: i64) -> i64 {
     let year = if month <= 2 { year - 1 } else { year };
     let era = year.div_euclid(400);
-    let of_era = year.rem_euclid(400);
-    let of_year = (153 * ((month + 9) % 12) + 2) / 5 + day - 1;
-    era * 146_097 + of_era * 365 + of_era / 4 - of_era / 100 + of_year - 719_468
+    let year_of_era = year.rem_euclid(400);
+    let day_of_year = (153 * ((month + 9) % 12) + 2) / 5 + day - 1;
+    era * 146_097 + year_of_era * 365 + year_of_era / 4 - year_of_era / 100 + day_of_year - 719_468
 }
 
-fn to_time(at: &Datetime) -> Option<Time> {
-    let (date, time, offset) = (at.date?, at.time?, at.offset?);
+fn to_time(datetime: &Datetime) -> Option<Time> {
+    let (date, time, offset) = (datetime.date?, datetime.time?, datetime.offset?);
     let minutes = match offset {
         toml::value::Offset::Z => 0,
         toml::value::Offset::Custom { minutes } => i64::from(minutes),
--- a/crates/losses/src/plot.rs
+++ b/crates/losses/src/plot.rs
@@ -1,5 +1,6 @@
 //! Draws a report as an SVG chart: a bar for each time window, stacked by cause,
-//! with marks for starts of nodes and losses and recoveries of the platform.
+//! with marks for starts of nodes and for losses and recoveries of their connections to the
+//! platform.
 
 use std::path::Path;
 
@@ -26,8 +27,8 @@
 
 /// Returns the colour of a cause: green for served in time, yellow to brown for
 /// late, blue for refused, dark green for leaving or resting endpoints, violet for
-/// quotas and the retry budget, teal for a missing configuration, red for lost,
-/// and grey for disconnected callers and for requests that are unfinished or not
+/// quotas and the retry budget, teal for a missing configuration, red for lost
+/// or faulty endpoints and timeouts, and grey for disconnected callers and for requests that are unfinished or not
 /// allowed.
 fn colour(cause: Cause) -> RGBColor {
     match cause {
@@ -97,9 +98,9 @@
         chart.draw_series(bars)?;
     }
     let lines = report.marks.iter().map(|mark| {
-        let at = to_seconds(mark.at_ms);
+        let at_s = to_seconds(mark.at_ms);
         let colour = mark_colour(&mark.what).mix(0.5);
-        PathElement::new(vec![(at, 0.0), (at, highest)], colour)
+        PathElement::new(vec![(at_s, 0.0), (at_s, highest)], colour)
     });
     chart.draw_series(lines)?;
     Ok(())
@@ -112,11 +113,11 @@
     let bars = present_causes(report).map(|cause| {
         let windows = report.windows.iter().zip(&mut bases);
         let bars = windows.map(|(window, base)| {
-            let from = to_seconds(window.from_ms);
+            let from_s = to_seconds(window.from_ms);
             let below = *base;
             *base += window.counts.count(cause) as f64;
             Rectangle::new(
-                [(from, below), (from + window_s, *base)],
+                [(from_s, below), (from_s + window_s, *base)],
                 colour(cause).filled(),
             )
         });
--- a/crates/types/src/unit.rs
+++ b/crates/types/src/unit.rs
@@ -90,20 +90,20 @@
 macro_rules! serde_as_text {
     ($name:ident) => {
         impl Serialize for $name {
-            fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                match to.is_human_readable() {
-                    true => to.collect_str(self),
-                    false => self.0.serialize(to),
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                match serializer.is_human_readable() {
+                    true => serializer.collect_str(self),
+                    false => self.0.serialize(serializer),
                 }
             }
         }
 
         impl<'de> Deserialize<'de> for $name {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-                if !from.is_human_readable() {
-                    return u64::deserialize(from).map($name);
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                if !deserializer.is_human_readable() {
+                    return u64::deserialize(deserializer).map($name);
                 }
-                let text = String::deserialize(from)?;
+                let text = String::deserialize(deserializer)?;
                 text.parse().map_err(de::Error::custom)
             }
         }
