--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -11,7 +11,7 @@
     pub path: String,
     /// The numbered result code.
     pub code: Code,
-    /// How to correct it.
+    /// How to correct the fault.
     pub remedy: String,
 }
 
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -32,8 +32,8 @@
     pub name: String,
     /// What the host runs.
     pub role: Role,
-    /// The address as `ip:port`: of the protocol between nodes for an entry host, of HTTP
-    /// for an endpoint.
+    /// The address as `ip:port`, which serves the protocol between nodes on an entry host and
+    /// HTTP on an endpoint.
     pub address: String,
     /// The data centre of the host.
     pub data_centre: id::DataCentre,
--- a/crates/losses/src/plot.rs
+++ b/crates/losses/src/plot.rs
@@ -28,8 +28,8 @@
 /// Returns the colour of a cause: green for served in time, yellow to brown for
 /// late, blue for refused, dark green for leaving or resting endpoints, violet for
 /// quotas and the retry budget, teal for a missing configuration, red for lost
-/// or faulty endpoints and timeouts, and grey for disconnected callers and for requests that are unfinished or not
-/// allowed.
+/// or faulty endpoints and timeouts, and grey for disconnected callers and for
+/// requests that are unfinished or not allowed.
 fn colour(cause: Cause) -> RGBColor {
     match cause {
         Cause::InTime => RGBColor(120, 180, 120),
--- a/crates/losses/src/request.rs
+++ b/crates/losses/src/request.rs
@@ -51,7 +51,7 @@
     /// The logs contain no final answer: the process ended, or log lines were
     /// dropped.
     Unfinished,
-    /// The configuration does not allow the request, or it is malformed.
+    /// The configuration does not allow the request, or the request is malformed.
     NotAllowed,
 }
 
--- a/crates/types/src/code.rs
+++ b/crates/types/src/code.rs
@@ -50,7 +50,7 @@
                 match self { $(Code::$name => $status),* }
             }
 
-            /// Returns whether the request ran.
+            /// Returns whether the request ran, as stated to the caller.
             pub fn outcome(self) -> Outcome {
                 match self { $(Code::$name => Outcome::$outcome),* }
             }
