--- a/crates/dispatch/src/dispatcher/apply_notice.rs
+++ b/crates/dispatch/src/dispatcher/apply_notice.rs
@@ -41,8 +41,8 @@
         Some((run, &mut pool.workers[run.worker]))
     }
 
-    /// Records that an endpoint is leaving. This is announced immediately, because
-    /// each of them would otherwise learn it only from a request that it sends there.
+    /// Records that an endpoint is leaving. This is announced immediately, because each
+    /// other node would otherwise learn it only from a request that it sends there.
     fn record_leaving(&mut self, id: job::Id) -> Option<Change> {
         let (_, worker) = self.run_and_worker_mut(id)?;
         worker.leaving = true;
@@ -91,8 +91,8 @@
         announcements
     }
 
-    /// Records that an endpoint rejected a request and wants none from this node for a
-    /// while.
+    /// Records that an endpoint rejected a request and asked this node to send nothing for
+    /// a while.
     fn record_rest(&mut self, now: Time, id: job::Id, rest: Span) -> Option<Change> {
         let incarnation = self.options.incarnation;
         let (_, worker) = self.run_and_worker_mut(id)?;
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -21,12 +21,12 @@
 use crate::rate_limit::Limit;
 use crate::worker::Worker;
 
-/// How long to wait for an owner's answer. Many round trips within a region, yet short
-/// compared with any latency objective.
+/// How long to wait for an owner's answer. This is many round trips within a region, yet
+/// short compared with any latency objective.
 const ANSWER_TIMEOUT: Span = Span::from_millis(60);
 
-/// The number of unanswered requests after which an owner is passed over. One may be a lost
-/// datagram.
+/// The number of unanswered requests after which an owner is passed over. A single one may
+/// be due to a lost datagram.
 const MAX_UNANSWERED: u32 = 2;
 
 /// How often the request for a slot is sent again while it waits at an owner, so that an
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -24,12 +24,12 @@
 /// The silence about a remote request after which its node is asked about it.
 const CHECK_AFTER: Span = Span::from_millis(1_000);
 
-/// The silence after which a remote request that holds a slot counts as lost. Allows for
-/// some lost checks.
+/// The silence after which a remote request that holds a slot counts as lost. Long enough
+/// that a few lost checks do not end the lease.
 const LOST_AFTER: Span = Span::from_millis(3_000);
 
-/// The silence after which a waiting remote request counts as cancelled. Its node repeats
-/// it several times a second.
+/// The silence after which a waiting remote request counts as cancelled. The requesting
+/// node repeats a waiting request several times a second.
 const CANCELLED_AFTER: Span = Span::from_millis(1_000);
 
 /// A request of another node that waits here or holds a slot of this node.
@@ -247,8 +247,8 @@
         self.place(now, &target);
     }
 
-    /// Asks about remote requests that were not heard of for a while, and ends those whose
-    /// nodes stay silent.
+    /// Asks about remote requests for which no message arrived for a while, and ends those
+    /// whose nodes stay silent.
     pub(super) fn check_remote_requests(&mut self, now: Time) {
         let mut lost = Vec::new();
         let mut unheard = Vec::new();
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -266,7 +266,7 @@
     }
 }
 
-/// The assumed number of nodes until another node is heard.
+/// The assumed number of nodes until another node is discovered.
 const ASSUMED_NODES: usize = 8;
 
 fn learn_first(pool: &mut Pool, run: &mut Run, now: Time) {
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -116,8 +116,8 @@
         self.apply_list(now);
     }
 
-    /// Applies the list to the endpoints whose service the configuration names. Others may
-    /// write under the same keys, and no request is ever sent to the endpoints of services
+    /// Applies the list to the endpoints whose service the configuration names. Other systems
+    /// may write under the same keys, and no request is ever sent to the endpoints of services
     /// that aren't configured.
     fn apply_list(&mut self, now: Time) {
         let list = self.list.clone();
@@ -183,8 +183,8 @@
         pool.workers.push(worker);
     }
 
-    /// Marks all endpoints as not listed. Returns those that ended without having stated
-    /// that they leave: the list lacks them, or has a later instance of them.
+    /// Marks all endpoints as not listed. Returns those that ended without having announced
+    /// that they are leaving: the list lacks them, or contains a later instance of them.
     fn mark_unlisted(&mut self, list: &List) -> Vec<u32> {
         let listed = list.endpoints.iter();
         let listed: HashSet<u32> = listed.map(Endpoint::to_number).collect();
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -20,7 +20,7 @@
 
 /// How long a starting node waits for a configuration that other nodes have. A change may take at
 /// least two seconds to come into force, and transferring 260 kB from another node of the cell
-/// takes 0.7 s over 10 Mbit/s beside two other transfers.
+/// takes 0.7 s over 10 Mbit/s while two other transfers run.
 const CATCH_UP_TIMEOUT: Span = Span::from_secs(1);
 
 /// One in this many of the connections that endpoints accept may be idle. The others are left for
@@ -112,10 +112,10 @@
         self.table.as_ref().filter(|_| !self.is_catching_up(now))
     }
 
-    /// Whether this node has just started and another node has a newer configuration, or none was
-    /// heard yet. The platform may have come back with an older copy in which a revoked key is
-    /// still valid, and other nodes know better. If no node is heard within the discovery time, the
-    /// platform alone is believed.
+    /// Whether this node has just started and another node has a newer configuration, or no other
+    /// node was discovered yet. The platform may have come back with an older copy in which a
+    /// revoked key is still valid, while other nodes have the newer configuration. If no node is
+    /// discovered within the discovery time, the platform's configuration is used.
     fn is_catching_up(&self, now: Time) -> bool {
         let started = self.accounts.started();
         if now.since(started) >= CATCH_UP_TIMEOUT || self.members.has_no_peers() {
@@ -216,7 +216,7 @@
         self.members.is_in_cell(address)
     }
 
-    /// Counts the other nodes that are heard, by protocol version.
+    /// Counts the other nodes from which this node receives messages, by protocol version.
     pub fn peers_by_protocol(&self, now: Time) -> BTreeMap<Protocol, i64> {
         let mut heard = BTreeMap::new();
         for (_, member) in self.members.live(now) {
