--- a/crates/dispatch/src/dispatcher/answer.rs
+++ b/crates/dispatch/src/dispatcher/answer.rs
@@ -84,7 +84,7 @@
             return;
         };
         let Some(worker) = worker else {
-            // The owner's list is newer than this node's.
+            // The owner's endpoint list is newer than this node's.
             self.release_slot(open_request.owner, open_request.number, End::Abandoned);
             self.push(now, id, job);
             self.place(now, &target);
@@ -119,7 +119,7 @@
         worker: &Worker,
     ) -> Option<UnusableSlot> {
         if !worker.is_present() {
-            // This node's list is newer than the owner's.
+            // This node's endpoint list is newer than the owner's.
             return Some(UnusableSlot {
                 end: End::NotThere,
                 excludes_endpoint: true,
@@ -155,8 +155,8 @@
         let worker = pool
             .zip(open_request.endpoint)
             .and_then(|(pool, endpoint)| {
-                let at = pool.worker_opt(endpoint)?;
-                pool.workers.get_mut(at)
+                let index = pool.worker_opt(endpoint)?;
+                pool.workers.get_mut(index)
             });
         match worker {
             Some(worker) => {
--- a/crates/dispatch/src/dispatcher/apply_notice.rs
+++ b/crates/dispatch/src/dispatcher/apply_notice.rs
@@ -60,8 +60,8 @@
                 Condition::Leaving => self.receive_leaving(one.endpoint),
                 Condition::Rest { left_ms } => {
                     let until = now + Span::from_millis(u64::from(left_ms));
-                    let heard = self.received_rests.entry(one.endpoint).or_default();
-                    *heard = until.max(*heard);
+                    let received = self.received_rests.entry(one.endpoint).or_default();
+                    *received = until.max(*received);
                 }
             }
         }
@@ -87,7 +87,7 @@
         let mut announcements: Vec<Announcement> = open
             .filter_map(|worker| to_announcement_opt(now, worker))
             .collect();
-        announcements.sort_by_key(|one| one.endpoint);
+        announcements.sort_by_key(|announcement| announcement.endpoint);
         announcements
     }
 
@@ -107,9 +107,9 @@
     /// Applies the rests announced since the last tick, and reports those that have
     /// ended.
     pub(super) fn update_rests(&mut self, now: Time) {
-        let heard = std::mem::take(&mut self.received_rests);
+        let received = std::mem::take(&mut self.received_rests);
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
-            if let Some(until) = heard.get(&worker.number) {
+            if let Some(until) = received.get(&worker.number) {
                 worker.rest.extend_remote(*until);
             }
             if worker.rest.take_end(now) {
@@ -135,12 +135,12 @@
 /// Returns the announcement of what an endpoint stated to this node, if there is anything
 /// to announce.
 fn to_announcement_opt(now: Time, worker: &Worker) -> Option<Announcement> {
-    let left = worker.rest.left(now);
+    let remaining = worker.rest.left(now);
     let condition = match worker.leaving {
         true => Condition::Leaving,
-        false if left == Span::ZERO => return None,
+        false if remaining == Span::ZERO => return None,
         false => Condition::Rest {
-            left_ms: u32::try_from(left.0 / 1_000).unwrap_or(u32::MAX),
+            left_ms: u32::try_from(remaining.0 / 1_000).unwrap_or(u32::MAX),
         },
     };
     Some(Announcement {
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -172,8 +172,8 @@
         );
         let mut chosen: Option<(f64, &Worker)> = None;
         for _ in 0..samples {
-            let at = random.checked_rem(candidates.len() as u64)?;
-            let worker = *candidates.get(at as usize)?;
+            let index = random.checked_rem(candidates.len() as u64)?;
+            let worker = *candidates.get(index as usize)?;
             let load = load_of(worker);
             if chosen.is_none_or(|(least, _)| load < least) {
                 chosen = Some((load, worker));
@@ -332,7 +332,10 @@
     /// Whether a request waits at the owner of one endpoint that is closed or resting. In a
     /// fleet of one cell the owner may grant any endpoint that it owns.
     fn waits_for_closed_endpoint(&self, now: Time, id: job::Id) -> bool {
-        let open_request = self.open_requests.get(&id).filter(|one| one.job.is_some());
+        let open_request = self
+            .open_requests
+            .get(&id)
+            .filter(|open_request| open_request.job.is_some());
         let requested = open_request.and_then(|open_request| open_request.endpoint);
         let Some((endpoint, target)) = requested.zip(self.targets.get(&id)) else {
             return false;
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -87,17 +87,17 @@
     /// varies with `turn` and is weighted by the slots of each cell.
     pub(super) fn fallback_owner(&self, now: Time, pool: &Pool, job: &Job, turn: u64) -> Owner {
         let owners = self.fallback_owners(now, pool, job);
-        let all: u64 = owners.iter().map(|(_, slots)| u64::from(*slots)).sum();
+        let total_slots: u64 = owners.iter().map(|(_, slots)| u64::from(*slots)).sum();
         let drawn = hash::chain(self.options.incarnation, &turn.to_le_bytes());
-        let Some(mut at) = drawn.checked_rem(all) else {
+        let Some(mut position) = drawn.checked_rem(total_slots) else {
             return Owner::Unreachable;
         };
         for (owner, slots) in owners {
             let slots = u64::from(slots);
-            if at < slots {
+            if position < slots {
                 return Owner::Remote(owner);
             }
-            at -= slots;
+            position -= slots;
         }
         Owner::Unreachable
     }
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -36,15 +36,15 @@
 /// better than the endpoints' slots do.
 const MIN_BUSY_FOR_RATE: Span = Span::from_millis(200);
 
-/// The minimum time left at which a caller is asked to retry.
-const MIN_LEFT_TO_RETRY: Span = Span::from_millis(300);
+/// The minimum remaining time with which a caller is asked to retry.
+const MIN_REMAINING_TO_RETRY: Span = Span::from_millis(300);
 
 impl Dispatcher {
     /// Returns the minimum time that a caller has spent on earlier attempts, given that
-    /// `left` remains of its route's `timeout`.
-    pub fn since_first_try(&mut self, now: Time, left: Span, timeout: Span) -> Span {
-        self.first_tries.learn(now, left, timeout);
-        self.first_tries.since_first_try(left, timeout)
+    /// `remaining` is left of its route's `timeout`.
+    pub fn since_first_try(&mut self, now: Time, remaining: Span, timeout: Span) -> Span {
+        self.first_tries.learn(now, remaining, timeout);
+        self.first_tries.since_first_try(remaining, timeout)
     }
 
     /// Submits a request. The decision about it is made immediately or later.
@@ -98,12 +98,12 @@
     /// to last as long as the request has already waited. A caller with little time left
     /// is not asked to retry.
     pub(super) fn too_late_refusal(&self, now: Time, job: &Job) -> Refusal {
-        let left = job.deadline.since(now);
+        let remaining = job.deadline.since(now);
         let waited = now.since(job.arrived);
-        let retry_after = || self.retry_after_estimate(now, waited, left);
+        let retry_after = || self.retry_after_estimate(now, waited, remaining);
         Refusal {
             code: Code::TooLate,
-            retry_after: (left > MIN_LEFT_TO_RETRY).then(retry_after),
+            retry_after: (remaining > MIN_REMAINING_TO_RETRY).then(retry_after),
             wait: None,
             owner: None,
         }
@@ -120,27 +120,27 @@
 
     /// Returns the refusal for a new request that must not be queued.
     fn admission_refusal(&self, now: Time, job: &Job) -> Option<Refusal> {
-        let left = job.deadline.since(now);
+        let remaining = job.deadline.since(now);
         let waiting: usize = self.pools.values().map(|pool| pool.queue.len()).sum();
         let wait = self.expected_wait(now, job);
         if waiting >= self.options.policy.queue_limit {
             return Some(Refusal {
                 code: Code::QueueFull,
-                retry_after: Some(self.retry_after_estimate(now, wait, left)),
+                retry_after: Some(self.retry_after_estimate(now, wait, remaining)),
                 wait: Some(wait),
                 owner: None,
             });
         }
         // A caller that was refused before accepts a late answer rather than none.
-        let most = match job.is_caller_retry() {
+        let max_response_time = match job.is_caller_retry() {
             true => job.caller_timeout.0 as f64,
             false => job.objective.0 as f64 * self.options.policy.refuse_beyond,
         };
         let answer = self.pools.get(&job.target).map(Pool::typical_response_time);
-        let expected = (wait + answer.unwrap_or(Span::ZERO)).0 as f64;
-        (wait > Span::ZERO && expected > most).then(|| Refusal {
+        let expected_response_time = (wait + answer.unwrap_or(Span::ZERO)).0 as f64;
+        (wait > Span::ZERO && expected_response_time > max_response_time).then(|| Refusal {
             code: Code::TooLate,
-            retry_after: Some(self.retry_after_estimate(now, wait, left)),
+            retry_after: Some(self.retry_after_estimate(now, wait, remaining)),
             wait: Some(wait),
             owner: None,
         })
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -100,7 +100,7 @@
         let announcements =
             listed.filter_map(|worker| worker.rate_limit.to_announcement_opt(now, worker.number));
         let mut announcements: Vec<Announcement> = announcements.collect();
-        announcements.sort_by_key(|one| one.endpoint);
+        announcements.sort_by_key(|announcement| announcement.endpoint);
         announcements
     }
 
--- a/crates/dispatch/src/dispatcher/permit.rs
+++ b/crates/dispatch/src/dispatcher/permit.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether the fleet has one cell and every endpoint that can take the request has a rate limit.
-    /// Such a request waits for a slot at the owners of those endpoints.
+    /// If so, the request waits for a slot at the owners of those endpoints.
     ///
     /// Without this rule the callers of an owner would use up the rate limit of its endpoints, and
     /// callers of a node that owns none would not be served at all.
--- a/crates/dispatch/src/dispatcher/predict.rs
+++ b/crates/dispatch/src/dispatcher/predict.rs
@@ -48,8 +48,8 @@
 
     /// Whether the endpoint with this number has a rate limit.
     pub(super) fn is_rate_limited(&self, number: u32) -> bool {
-        let at = self.worker_opt(number);
-        at.is_some_and(|at| self.workers[at].is_rate_limited())
+        let index = self.worker_opt(number);
+        index.is_some_and(|index| self.workers[index].is_rate_limited())
     }
 
     /// Returns the index of the endpoint with this number.
@@ -71,7 +71,9 @@
             return 0;
         };
         let recent = starts.iter().rev();
-        recent.take_while(|at| now.since(**at) <= window).count() as u64
+        recent
+            .take_while(|started| now.since(**started) <= window)
+            .count() as u64
     }
 
     /// Forecasts a request at an engine that has to read `unread` tokens of its prompt.
@@ -125,13 +127,13 @@
         options: &worker::Options,
     ) -> Option<f64> {
         let events = self.events_opt(job)?;
-        let left = job.deadline.since(now).0 as f64 - self.first_event_us;
-        let most = left / (events * LENGTH_MARGIN).max(1.0);
+        let remaining_us = job.deadline.since(now).0 as f64 - self.first_event_us;
+        let max_step = remaining_us / (events * LENGTH_MARGIN).max(1.0);
         let mut usable = self.workers.iter();
         let is_achievable = usable.any(|worker| {
-            worker.own_cell && worker.accepts_work(now, options) && self.step_of(worker) <= most
+            worker.own_cell && worker.accepts_work(now, options) && self.step_of(worker) <= max_step
         });
-        is_achievable.then_some(most)
+        is_achievable.then_some(max_step)
     }
 
     /// The time until a slot of the engine is free for another request, in microseconds.
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -131,7 +131,7 @@
         for endpoint in list
             .endpoints
             .iter()
-            .filter(|one| is_configured(&one.service))
+            .filter(|endpoint| is_configured(&endpoint.service))
         {
             self.apply_endpoint(now, endpoint);
         }
@@ -165,10 +165,11 @@
             &self.options.prefix_cache,
             &endpoint.service,
         );
-        let at = pool.index.get(&endpoint.name).copied();
-        let at = at.filter(|at| pool.workers[*at].endpoint.started_at == endpoint.started_at);
-        if let Some(at) = at {
-            let worker = &mut pool.workers[at];
+        let index = pool.index.get(&endpoint.name).copied();
+        let index =
+            index.filter(|index| pool.workers[*index].endpoint.started_at == endpoint.started_at);
+        if let Some(index) = index {
+            let worker = &mut pool.workers[index];
             if worker.endpoint.cold_for != endpoint.cold_for {
                 worker.cold.extend(now, endpoint.cold_for);
             }
@@ -231,11 +232,11 @@
                 .filter(|worker| worker.listed)
                 .collect();
             pool.shared = !cell.covers_fleet && listed.len() < cells * MIN_ENDPOINTS_PER_CELL;
-            let all = cell.covers_fleet || pool.shared;
+            let owns_all = cell.covers_fleet || pool.shared;
             for worker in &mut listed {
-                worker.own_cell = all;
+                worker.own_cell = owns_all;
             }
-            if all {
+            if owns_all {
                 continue;
             }
             listed.retain(|worker| worker.endpoint.data_centre == *own);
@@ -254,35 +255,35 @@
             .map(|run| (run.job.target.clone(), run.worker))
             .collect();
         for (target, pool) in &mut self.pools {
-            let gone = |at: usize, worker: &Worker| {
-                !worker.listed && !used.contains(&(target.clone(), at))
+            let gone = |index: usize, worker: &Worker| {
+                !worker.listed && !used.contains(&(target.clone(), index))
             };
             if !pool
                 .workers
                 .iter()
                 .enumerate()
-                .any(|(at, worker)| gone(at, worker))
+                .any(|(index, worker)| gone(index, worker))
             {
                 continue;
             }
             let mut moved: HashMap<usize, usize> = HashMap::new();
             let mut kept = Vec::new();
-            for (at, worker) in std::mem::take(&mut pool.workers).into_iter().enumerate() {
-                if gone(at, &worker) {
+            for (index, worker) in std::mem::take(&mut pool.workers).into_iter().enumerate() {
+                if gone(index, &worker) {
                     pool.prefix_cache.remove_endpoint(worker.number);
                     if worker.leaving {
                         self.endpoint_updates
                             .push(Update::new(&worker, Change::Left));
                     }
                 } else {
-                    moved.insert(at, kept.len());
+                    moved.insert(index, kept.len());
                     kept.push(worker);
                 }
             }
             pool.workers = kept;
             let workers = pool.workers.iter().enumerate();
             pool.index = workers
-                .map(|(at, worker)| (worker.endpoint.name.clone(), at))
+                .map(|(index, worker)| (worker.endpoint.name.clone(), index))
                 .collect();
             for run in self
                 .runs
--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -36,11 +36,11 @@
 /// The shortest wait for a bucket during [`STARTUP_TIME`].
 const MIN_STARTUP_WAIT: Span = Span::from_millis(20);
 
-/// During that time, a request waits for a bucket only if the wait is shorter than its
+/// During [`STARTUP_TIME`], a request waits for a bucket only if the wait is shorter than its
 /// remaining time divided by this.
 const STARTUP_WAIT_DIVISOR: u64 = 4;
 
-/// How long a request waits until it looks again for an owner of its quota.
+/// How long a request waits before the node tries again to reach an owner of its quota.
 const OWNER_WAIT: Span = Span::from_millis(100);
 
 /// The result of charging a request to its customer's quota.
@@ -86,7 +86,7 @@
                 .accounts
                 .admit_without_owner(now, number, quota, demand, reach);
             let discovery_ends_at = self.accounts.discovery_ends_at();
-            // A refused caller would retry later than that.
+            // A refused caller would retry only after the end of discovery.
             if admitted.is_err() && now + remaining > discovery_ends_at {
                 return Charge::Wait(discovery_ends_at);
             }
@@ -112,7 +112,7 @@
         };
         match admitted {
             Ok(()) => {
-                // Other nodes drain their buckets once they hear of it.
+                // Other nodes drain their buckets once they receive the new usage.
                 self.urgent = true;
                 Charge::Admitted
             }
@@ -175,10 +175,10 @@
         }
     }
 
-    /// Grants units as an owner. Any node may, as its bucket is drained by what all others
-    /// grant. While this node still hears one that precedes it in the order of owners, that
-    /// one may be granting on the other side of a network partition: the units are then
-    /// taken out of the bucket twice, so that only half as much is granted.
+    /// Grants units as the owner of a quota. Any node may act as owner, because its bucket is
+    /// drained by what all other nodes grant. While another node precedes this one in the
+    /// order of owners, that node may be granting on the other side of a network partition.
+    /// The units are then taken out of the bucket twice, so that only half as much is granted.
     fn grant(
         &mut self,
         now: Time,
--- a/crates/dispatch/src/dispatcher/retry.rs
+++ b/crates/dispatch/src/dispatcher/retry.rs
@@ -1,6 +1,6 @@
-//! When a refused caller is told to retry.
+//! Computes when a refused caller should retry.
 //!
-//! The time predicts when there will be room for the request; it does not depend on the
+//! The delay predicts when the request can be placed and does not depend on the
 //! request's objective. Callers retry once, and only honour a delay up to a fraction of
 //! their remaining time ([`Policy::come_back_within`](super::Policy)), so longer
 //! predictions are capped to that.
@@ -15,7 +15,7 @@
 /// The minimum delay before a retry: a few round trips within a region.
 const MIN_RETRY_AFTER: Span = Span::from_millis(100);
 
-/// The delay when no endpoint had room and none asked for a rest.
+/// The minimum delay after endpoints rejected a request.
 const UNAVAILABLE_RETRY_AFTER: Span = Span::from_millis(200);
 
 /// The fraction of a known wait over which retries are spread, so that they do not arrive
@@ -26,42 +26,43 @@
 const JITTER_STEPS: u64 = 1_000;
 
 impl Dispatcher {
-    /// Returns the delay for a refused caller with `left` remaining, when its request is
+    /// Returns the delay for a refused caller with `remaining` time left, when its request is
     /// known to fit after `wait`: when a quota bucket has refilled, or a node has
     /// started.
-    pub fn retry_after(&self, now: Time, wait: Span, left: Span) -> Span {
+    pub fn retry_after(&self, now: Time, wait: Span, remaining: Span) -> Span {
         let wait = wait.max(MIN_RETRY_AFTER);
         let spread = wait.0 as f64 * JITTER * self.jitter_fraction(now);
         let delay = wait + Span(spread as u64);
-        delay.min(self.max_retry_after(left))
+        delay.min(self.max_retry_after(remaining))
     }
 
-    /// Like [`Dispatcher::retry_after`], but `wait` is an estimate: of a queue that
-    /// others keep joining, or of an outage, which is assumed to last as long again as it
-    /// has lasted. Retries are spread from then on over all the time that callers are
-    /// willing to wait.
-    pub fn retry_after_estimate(&self, now: Time, wait: Span, left: Span) -> Span {
-        let most = self.max_retry_after(left);
-        let wait = wait.min(most);
-        let spread = (most.0 - wait.0) as f64 * self.jitter_fraction(now);
+    /// Returns the delay for a refused caller when `wait` is only an estimate, either for a
+    /// queue that other requests keep joining or for an outage, which is assumed to last as
+    /// long again as it has lasted. Retries are spread from the end of `wait` to the longest
+    /// delay that callers honour.
+    pub fn retry_after_estimate(&self, now: Time, wait: Span, remaining: Span) -> Span {
+        let max_delay = self.max_retry_after(remaining);
+        let wait = wait.min(max_delay);
+        let spread = (max_delay.0 - wait.0) as f64 * self.jitter_fraction(now);
         (wait + Span(spread as u64)).max(MIN_RETRY_AFTER)
     }
 
-    /// Returns the delay for a caller with `left` remaining whose request was rejected by
-    /// endpoints: short, or if all endpoints rest, until the first of them has rested.
-    pub fn retry_after_refusal(&self, now: Time, target: &id::Target, left: Span) -> Span {
+    /// Returns the delay for a caller with `remaining` time left whose request was rejected by
+    /// endpoints. The delay is short, unless all open endpoints rest: then it lasts until the
+    /// first of them has rested.
+    pub fn retry_after_refusal(&self, now: Time, target: &id::Target, remaining: Span) -> Span {
         let pool = self.pools.get(target);
         let open = pool.into_iter().flat_map(|pool| &pool.workers);
         let rests = open
             .filter(|worker| worker.is_open())
             .map(|worker| worker.rest.left(now));
         let soonest = rests.min().unwrap_or_default();
-        self.retry_after(now, soonest.max(UNAVAILABLE_RETRY_AFTER), left)
+        self.retry_after(now, soonest.max(UNAVAILABLE_RETRY_AFTER), remaining)
     }
 
-    /// Returns the longest delay that a caller with `left` remaining honours.
-    fn max_retry_after(&self, left: Span) -> Span {
-        Span((left.0 as f64 * self.options.policy.come_back_within) as u64)
+    /// Returns the longest delay that a caller with `remaining` time left honours.
+    fn max_retry_after(&self, remaining: Span) -> Span {
+        Span((remaining.0 as f64 * self.options.policy.come_back_within) as u64)
     }
 
     /// Returns a pseudo-random number from 0 to 1 that differs between nodes and moments.
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the statuses that are due, each with the nodes to send it to. Nodes that may
-    /// know few others get a longer one.
+    /// know few other nodes get a longer status.
     pub fn statuses(&mut self, now: Time) -> Vec<(Status, Vec<SocketAddrV4>)> {
         let trigger = Trigger {
             urgent: self.urgent,
@@ -214,15 +214,15 @@
         reported.take(MAX_LOAD_ENTRIES).collect()
     }
 
-    /// Returns the load in slots whose owner is heard and counts it.
+    /// Returns the load in leased slots whose owner is reachable and reports that load.
     fn leased_loads(&self, now: Time) -> HashMap<u32, LeasedLoad> {
         let mut leased_loads: HashMap<u32, LeasedLoad> = HashMap::new();
         for run in self.runs.values() {
             let Some(lease) = run.lease else {
                 continue;
             };
-            let heard = self.members.incarnation_opt(now, lease.owner);
-            if heard != Some(lease.incarnation) {
+            let incarnation = self.members.incarnation_opt(now, lease.owner);
+            if incarnation != Some(lease.incarnation) {
                 continue;
             }
             let Some(pool) = self.pools.get(&run.job.target) else {
@@ -252,9 +252,9 @@
             .collect()
     }
 
-    /// Returns what this node has read from the platform and the requesting node has not. A
+    /// Returns the documents that this node has in a newer version than the requesting node. A
     /// configuration may be a hundred times as large as a list of endpoints and changes
-    /// seldom. So the two are sent independently, and of each only the parts that differ.
+    /// seldom, so the two are sent independently, and of each only the parts that differ.
     pub fn snapshot(&self, pull: &Pull) -> Snapshot {
         let edition = match pull.protocol.supports_eras() {
             true => self.list.edition(),
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Returns what the requesting node lacks of the list as the platform publishes it.
+    /// Returns the parts of the platform's endpoint list that the requesting node lacks.
     /// Corrections that this node keeps after an era began hold only for a while, and their
     /// end wouldn't reach the other nodes, as the platform's list has the same edition.
     fn difference(&self, pull: &Pull) -> Difference {
--- a/crates/dispatch/src/dispatcher/spare.rs
+++ b/crates/dispatch/src/dispatcher/spare.rs
@@ -64,9 +64,9 @@
         for id in seeking {
             let job = self.pools.get(target).and_then(|pool| pool.queue.get(id));
             let mut candidates = owners.iter();
-            let at =
+            let index =
                 candidates.position(|owner| job.is_some_and(|job| self.may_run_on(job, *owner)));
-            let Some(owner) = at.and_then(|at| owners.remove(at)) else {
+            let Some(owner) = index.and_then(|index| owners.remove(index)) else {
                 continue;
             };
             let lease_target = LeaseTarget {
--- a/crates/dispatch/src/dispatcher/start.rs
+++ b/crates/dispatch/src/dispatcher/start.rs
@@ -57,8 +57,8 @@
         let Some(pool) = self.pools.get_mut(&job.target) else {
             return;
         };
-        let at = worker;
-        let worker = &mut pool.workers[at];
+        let worker_index = worker;
+        let worker = &mut pool.workers[worker_index];
         let starts = pool.starts.entry(job.rank).or_default();
         starts.push_back(now);
         if starts.len() > MAX_RECENT_STARTS {
@@ -85,7 +85,7 @@
         pool.prefix_cache.record(now, &chain, number);
         let origin = job.origin;
         let run = Run {
-            worker: at,
+            worker: worker_index,
             started: now,
             uncached: reason.uncached,
             tokens_ahead,
@@ -114,10 +114,13 @@
     }
 
     fn oldest_status_age(&self, now: Time) -> Span {
-        let heard = self
+        let last_heard = self
             .members
             .live(now)
             .filter_map(|(_, member)| member.last_heard);
-        heard.map(|at| now.since(at)).max().unwrap_or(Span::ZERO)
+        last_heard
+            .map(|time| now.since(time))
+            .max()
+            .unwrap_or(Span::ZERO)
     }
 }
--- a/crates/dispatch/src/dispatcher/start_cold.rs
+++ b/crates/dispatch/src/dispatcher/start_cold.rs
@@ -31,8 +31,8 @@
 
 impl Dispatcher {
     /// Returns the interval between two requests of this node to a cold endpoint of a
-    /// service. It is lengthened in proportion to the part of the fleet that is not
-    /// heard. `None` if the service has no limit.
+    /// service. It is lengthened in proportion to the part of the fleet that this node
+    /// cannot reach. `None` if the service has no limit.
     pub(super) fn cold_interval_opt(&self, now: Time, pool: &Pool) -> Option<Span> {
         let interval = pool.cold?.interval;
         Some(self.members.reach(now).scale_interval(interval))
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -36,7 +36,7 @@
 const FINAL_RETRY_AFTER: Span = Span::from_secs(3_600);
 
 /// The approximate number of nodes outside a node's cell that send it missing findings.
-/// If all 414 nodes of a fleet did, a node that starts would receive each finding 413
+/// If all 414 nodes of a fleet sent them, a starting node would receive each finding 413
 /// times.
 const REMOTE_RESPONDERS: u64 = 16;
 
@@ -119,15 +119,15 @@
         record.is_some_and(|record| record.ends.len() >= self.bar_threshold(now, record))
     }
 
-    /// Returns the number of endpoint crashes that bars a request. A node that hears less
+    /// Returns the number of endpoint crashes that bars a request. A node that reaches less
     /// than half of the fleet may be in one of several partitions, each of which would
     /// lose as many endpoints as an undivided fleet.
     fn bar_threshold(&self, now: Time, record: &Record) -> usize {
         let options = self.quarantine.options();
         let reach = self.members.reach(now);
-        let heard = reach.nodes - reach.silent;
+        let reachable = reach.nodes - reach.silent;
         match record.was_cleared() {
-            _ if heard * 2 < reach.nodes => options.partitioned_bar_threshold,
+            _ if reachable * 2 < reach.nodes => options.partitioned_bar_threshold,
             true => options.cleared_bar_threshold,
             false => options.bar_threshold,
         }
@@ -171,7 +171,7 @@
             ends: record.map_or(0, |record| record.ends.len()),
             barred,
         });
-        // Other nodes should know before the request reaches them.
+        // Other nodes should receive the findings before the request reaches them.
         self.urgent = true;
         self.has_news = true;
         if barred {
@@ -235,8 +235,8 @@
         let record = self.quarantine.get(fingerprint);
         let after = record.and_then(|record| {
             let after = self.quarantine.trial_delay_opt(record)?;
-            let left = after.0.saturating_sub(now.since(record.last).0);
-            Some(Span(left).max(after.min(options.trial_delay)))
+            let remaining = after.0.saturating_sub(now.since(record.last).0);
+            Some(Span(remaining).max(after.min(options.trial_delay)))
         });
         Refusal {
             code: Code::Barred,
@@ -264,9 +264,9 @@
         let turn = (since.0 - after.0) / self.quarantine.options().trial_turn_duration.0.max(1);
         let score = |node: &SocketAddrV4| hash::chain(fingerprint.0, &node.ip().octets());
         let own = score(&self.options.own);
-        let before = self.members.live(now);
-        let before = before.filter(|(node, _)| score(node) > own).count() as u64;
-        before < 1 << turn.min(MAX_TURN_DOUBLINGS)
+        let live = self.members.live(now);
+        let preceding = live.filter(|(node, _)| score(node) > own).count() as u64;
+        preceding < 1 << turn.min(MAX_TURN_DOUBLINGS)
     }
 
     /// Returns the constraints on placing a request, if it is a suspect. One that was
