--- a/crates/dispatch/src/dispatcher/apply_notice.rs
+++ b/crates/dispatch/src/dispatcher/apply_notice.rs
@@ -53,14 +53,17 @@
         new.then_some(Change::Leaving)
     }
 
-    /// Receives what endpoints stated to another node.
+    /// Records endpoint notices that another node announced.
     pub(super) fn receive_announcements(&mut self, now: Time, announcements: &[Announcement]) {
-        for one in announcements {
-            match one.condition {
-                Condition::Leaving => self.receive_leaving(one.endpoint),
+        for announcement in announcements {
+            match announcement.condition {
+                Condition::Leaving => self.receive_leaving(announcement.endpoint),
                 Condition::Rest { left_ms } => {
                     let until = now + Span::from_millis(u64::from(left_ms));
-                    let received = self.received_rests.entry(one.endpoint).or_default();
+                    let received = self
+                        .received_rests
+                        .entry(announcement.endpoint)
+                        .or_default();
                     *received = until.max(*received);
                 }
             }
--- a/crates/dispatch/src/dispatcher/borrow.rs
+++ b/crates/dispatch/src/dispatcher/borrow.rs
@@ -128,11 +128,11 @@
     /// a fleet of one cell every node decides on its own, except for rate-limited
     /// endpoints.
     pub(super) fn slot_owner(&self, now: Time, pool: &Pool, endpoint: Option<u32>) -> Owner {
-        let whole = self.members.cell().covers_fleet;
+        let one_cell = self.members.cell().covers_fleet;
         let (scope, key) = match endpoint {
-            Some(endpoint) if !whole => (Scope::Fleet, endpoint),
+            Some(endpoint) if !one_cell => (Scope::Fleet, endpoint),
             Some(endpoint) if pool.is_rate_limited(endpoint) => (Scope::RateLimitCapable, endpoint),
-            None if !whole => (Scope::Cell, pool.number),
+            None if !one_cell => (Scope::Cell, pool.number),
             Some(_) | None => return Owner::Local,
         };
         self.members.owner(now, scope, u64::from(key))
@@ -192,8 +192,9 @@
     }
 
     /// Returns the expected wait, in seconds, at the owner of a rate-limited endpoint: the
-    /// requests it last reported as waiting plus this node's own since, divided by the
-    /// total rate of the endpoints whose limits it enforces.
+    /// requests that the owner last reported as waiting plus this node's open requests for
+    /// the endpoint, divided by the total rate of the endpoints whose limits the owner
+    /// enforces.
     fn owner_wait_seconds(&self, now: Time, pool: &Pool, worker: &Worker) -> f64 {
         let owner_of = |worker: &Worker| self.slot_owner(now, pool, Some(worker.number));
         let owner = owner_of(worker);
@@ -280,7 +281,7 @@
             .collect()
     }
 
-    /// Repeats unanswered requests, and turns to another owner if one is silent or no
+    /// Repeats unanswered requests, and submits a request again if its owner is silent or no
     /// longer owns the slots.
     pub(super) fn renew_open_requests(&mut self, now: Time) {
         let ids: Vec<job::Id> = self.open_requests.keys().copied().collect();
@@ -305,7 +306,7 @@
             return;
         }
         let Some(job) = &open_request.job else {
-            // A spare slot is of no use any more after this long.
+            // A spare slot granted this late would no longer be useful.
             self.spare_denied_at.insert(open_request.owner, now);
             self.cancel_open_request(id);
             return;
@@ -395,7 +396,7 @@
     }
 
     /// Submits requests again that wait on this node for a single endpoint which takes no
-    /// work any more. Requests of other nodes are denied when they next ask.
+    /// work any more. Requests of other nodes are denied when those nodes repeat them.
     pub(super) fn resubmit_stuck_requests(&mut self, now: Time, target: &id::Target) {
         let Some(pool) = self.pools.get(target).filter(|pool| pool.shared) else {
             return;
--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -121,11 +121,11 @@
         });
         let weighted_owners = centres.map(|(owner, centre)| {
             let workers = pool.workers.iter();
-            let near = workers.filter(|worker| {
+            let in_centre = workers.filter(|worker| {
                 worker.is_open()
                     && endpoint::number_of(worker.endpoint.data_centre.as_str()) == centre
             });
-            let slots: u32 = near.map(|worker| worker.endpoint.slots).sum();
+            let slots: u32 = in_centre.map(|worker| worker.endpoint.slots).sum();
             let cells = cells.get(&centre).copied().unwrap_or(1).max(1);
             (owner, slots / cells as u32)
         });
--- a/crates/dispatch/src/dispatcher/enter.rs
+++ b/crates/dispatch/src/dispatcher/enter.rs
@@ -197,9 +197,9 @@
     ) -> impl Iterator<Item = &Waiting> + '_ {
         let fresh = self.options.policy.waiting_fresh;
         let members = self.members.cell_members(now).map(|(_, member)| member);
-        let heard = members
+        let recent = members
             .filter(move |member| member.last_heard.is_some_and(|at| now.since(at) <= fresh));
-        let waiting = heard.flat_map(|member| &member.status.waiting);
+        let waiting = recent.flat_map(|member| &member.status.waiting);
         waiting.filter(move |waiting| waiting.service == service)
     }
 }
--- a/crates/dispatch/src/dispatcher/keep_rate_limit.rs
+++ b/crates/dispatch/src/dispatcher/keep_rate_limit.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Schedules the announcement of a change: to all nodes if a limit begins or ends,
-    /// and only to those of the cell, which send requests there, if it moves.
+    /// Schedules the announcement of a change: to all nodes if a limit begins or ends, and
+    /// only to the nodes of the cell, which send requests there, if its value changes.
     fn announce_limit_change(&mut self, before: Option<Limit>, after: Option<Limit>) {
         self.urgent = true;
         self.has_news |= before.is_none() || after.is_none();
@@ -60,11 +60,11 @@
 
     /// Stores limits announced by another node until its load is processed.
     pub(super) fn receive_rate_limits(&mut self, now: Time, announcements: &[Announcement]) {
-        for one in announcements {
-            let report = one.to_report(now);
+        for announcement in announcements {
+            let report = announcement.to_report(now);
             let known = self
                 .received_rate_limits
-                .entry(one.endpoint)
+                .entry(announcement.endpoint)
                 .or_insert(report);
             if known.at < report.at {
                 *known = report;
@@ -77,10 +77,10 @@
         if self.received_rate_limits.is_empty() {
             return;
         }
-        let heard = std::mem::take(&mut self.received_rate_limits);
+        let received = std::mem::take(&mut self.received_rate_limits);
         let mut changes = Vec::new();
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
-            let Some(report) = heard.get(&worker.number) else {
+            let Some(report) = received.get(&worker.number) else {
                 continue;
             };
             let before = worker.rate_limit.limit_opt();
@@ -113,8 +113,8 @@
             let Some(pool) = self.pools.get_mut(&target) else {
                 continue;
             };
-            for at in enforced_elsewhere {
-                pool.workers[at].rate_limit.restart_interval(now);
+            for index in enforced_elsewhere {
+                pool.workers[index].rate_limit.restart_interval(now);
             }
         }
     }
@@ -131,7 +131,7 @@
         let limited = limited.filter(|(_, worker)| worker.is_rate_limited());
         let owned_elsewhere =
             limited.filter(|(_, worker)| !self.owns_rate_limit(now, pool, worker, permit));
-        owned_elsewhere.map(|(at, _)| at).collect()
+        owned_elsewhere.map(|(index, _)| index).collect()
     }
 
     /// Returns the minimum interval between two requests of this node to an endpoint with
--- a/crates/dispatch/src/dispatcher/lend.rs
+++ b/crates/dispatch/src/dispatcher/lend.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Sends the node that asked an answer about its request.
+    /// Sends an answer to the node that requested a slot.
     pub(super) fn send_lease_reply(&mut self, origin: Origin, answer: Answer) {
         let reply = Reply {
             number: origin.number,
@@ -191,7 +191,7 @@
         self.send_lease_reply(origin, Answer::Granted { endpoint, reason });
     }
 
-    /// Handles another node's report about a request that it has.
+    /// Handles another node's report about one of its requests.
     pub fn receive_lease_report(&mut self, now: Time, from: SocketAddrV4, report: lease::Report) {
         let origin = Origin {
             node: from,
@@ -251,7 +251,7 @@
     /// whose nodes stay silent.
     pub(super) fn check_remote_requests(&mut self, now: Time) {
         let mut lost = Vec::new();
-        let mut unheard = Vec::new();
+        let mut to_check = Vec::new();
         for (origin, remote) in &mut self.remote_requests {
             let silence = now.since(remote.last_heard);
             let limit = match remote.granted {
@@ -262,13 +262,13 @@
                 lost.push(*origin);
             } else if silence > CHECK_AFTER && now.since(remote.last_checked) > CHECK_AFTER {
                 remote.last_checked = now;
-                unheard.push(*origin);
+                to_check.push(*origin);
             }
         }
         for origin in lost {
             self.end_remote_request(now, origin, job::End::Abandoned, Observation::default());
         }
-        for origin in unheard {
+        for origin in to_check {
             let check = lease::Check {
                 number: origin.number,
             };
--- a/crates/dispatch/src/dispatcher/observe.rs
+++ b/crates/dispatch/src/dispatcher/observe.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Records that a caller left or that its time ran out.
+    /// Records that a caller left or that the request's time ran out.
     pub fn abandon(&mut self, now: Time, id: job::Id) {
         if self.runs.contains_key(&id) {
             self.end(now, id, End::Abandoned);
@@ -287,8 +287,8 @@
     }
 }
 
-/// Learns the length of the longest pauses in steps: quickly from a longer one, slowly from shorter
-/// ones.
+/// Updates the estimate of the longest pauses, in steps: quickly after a longer pause, slowly after
+/// shorter ones.
 fn learn_pause(pool: &mut Pool, run: &Run, now: Time) {
     let Some(step) = pool.workers[run.worker].step_us else {
         return;
--- a/crates/dispatch/src/dispatcher/place.rs
+++ b/crates/dispatch/src/dispatcher/place.rs
@@ -92,8 +92,8 @@
         let one_cell = self.members.cell().covers_fleet;
         let limited = one_cell && pool.workers.iter().any(Worker::is_rate_limited);
         for (id, job) in pool.queue.iter().take(self.options.policy.look_ahead) {
-            // Leaves the free slots to more protected requests that wait on other nodes, except for
-            // slots that only this node hands out.
+            // The free slots are reserved for more protected requests that wait on other nodes,
+            // except for slots that only this node hands out.
             let higher_ranked = elsewhere.range(..job.rank).map(|(_, count)| count);
             let higher_ranked: usize = higher_ranked.sum();
             let reserve = higher_ranked > 0 && higher_ranked >= free as usize;
@@ -138,7 +138,7 @@
         usable.map(free).sum()
     }
 
-    /// The number of requests that an endpoint may have beyond its slots when it is sent this one.
+    /// The number of requests that an endpoint may have beyond its slots when this one is sent to it.
     fn overcommit(&self, pool: &Pool, job: &Job) -> u32 {
         if !pool.engine {
             let slots = pool.workers.iter().map(|worker| worker.endpoint.slots);
@@ -174,7 +174,7 @@
         }
         let risk = self.risk(now, pool, job);
         let mut best: Option<Candidate> = None;
-        for (at, worker) in pool.workers.iter().enumerate() {
+        for (index, worker) in pool.workers.iter().enumerate() {
             if !worker.own_cell
                 || !self.is_usable(now, job, worker)
                 || !may_take(worker)
@@ -194,8 +194,8 @@
                 continue;
             }
             let mut candidate = match pool.engine {
-                true => self.engine_candidate(now, pool, at, job, &chain, home == Some(at)),
-                false => self.service_candidate(pool, at, job),
+                true => self.engine_candidate(now, pool, index, job, &chain, home == Some(index)),
+                false => self.service_candidate(pool, index, job),
             };
             // The caller would give up before the first event.
             if candidate.should_wait
@@ -208,7 +208,7 @@
             };
             candidate.preference = preference;
             if let Some(isolation) = &isolation {
-                candidate.cost_us += isolation.risk(at, worker.busy());
+                candidate.cost_us += isolation.risk(index, worker.busy());
             }
             if best.is_none_or(|best| candidate.is_preferred_to(&best)) {
                 best = Some(candidate);
@@ -231,13 +231,13 @@
         &self,
         now: Time,
         pool: &Pool,
-        at: usize,
+        index: usize,
         job: &Job,
         chain: &[(u64, u64)],
         home: bool,
     ) -> Candidate {
         let policy = &self.options.policy;
-        let worker = &pool.workers[at];
+        let worker = &pool.workers[index];
         let cached = pool.prefix_cache.cached_tokens(now, chain, worker.number);
         let unread = job.prompt.tokens.saturating_sub(cached);
         let expected_unread = if home && cached == 0 {
@@ -251,7 +251,7 @@
         let forecast = pool.forecast(worker, expected_unread);
         let decode_us = output * pool.step_us * worker.pace * policy.decode;
         Candidate {
-            worker: at,
+            worker: index,
             uncached: unread,
             first_event_us: forecast.first_event_us,
             cost_us: (forecast.first_event_us + decode_us) * jitter(worker, job)
@@ -284,19 +284,19 @@
         (late && policy.wait_for_objective) || delays_streams
     }
 
-    fn service_candidate(&self, pool: &Pool, at: usize, job: &Job) -> Candidate {
-        let worker = &pool.workers[at];
+    fn service_candidate(&self, pool: &Pool, index: usize, job: &Job) -> Candidate {
+        let worker = &pool.workers[index];
         let slots = f64::from(worker.endpoint.slots.max(1));
         let load = f64::from(worker.busy()) / slots;
-        let near = worker.endpoint.data_centre == self.options.data_centre;
-        let crossing = if near {
+        let in_own_data_centre = worker.endpoint.data_centre == self.options.data_centre;
+        let crossing = if in_own_data_centre {
             0.0
         } else {
             self.options.policy.crossing
         };
         let jitter = jitter(worker, job);
         Candidate {
-            worker: at,
+            worker: index,
             uncached: 0,
             first_event_us: 0.0,
             should_wait: false,
@@ -342,11 +342,11 @@
 /// the last part of the prompt, which belongs to the request or its session.
 fn home_endpoint(pool: &Pool, chain: &[(u64, u64)]) -> Option<usize> {
     let (key, _) = chain.last()?;
-    let takers = pool.workers.iter().enumerate();
-    let homes = takers.filter(|(_, worker)| {
+    let workers = pool.workers.iter().enumerate();
+    let candidates = workers.filter(|(_, worker)| {
         worker.own_cell && worker.listed && !worker.is_leaving() && !worker.evacuated
     });
-    homes
+    candidates
         .max_by_key(|(_, worker)| hash::chain(*key, &worker.number.to_le_bytes()))
-        .map(|(at, _)| at)
+        .map(|(index, _)| index)
 }
--- a/crates/dispatch/src/dispatcher/predict.rs
+++ b/crates/dispatch/src/dispatcher/predict.rs
@@ -139,8 +139,8 @@
     /// The time until a slot of the engine is free for another request, in microseconds.
     pub(super) fn slot_wait(&self, worker: &Worker) -> f64 {
         let slots = worker.endpoint.slots.max(1);
-        let over = (worker.busy() + 1).saturating_sub(slots);
-        f64::from(over) * self.call_us * worker.pace / f64::from(slots)
+        let excess = (worker.busy() + 1).saturating_sub(slots);
+        f64::from(excess) * self.call_us * worker.pace / f64::from(slots)
     }
 
     /// Whether streams run at an engine and reading this request's prompt would extend their pauses
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -191,8 +191,8 @@
         let listed: HashSet<u32> = listed.map(Endpoint::to_number).collect();
         let mut ended = Vec::new();
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
-            let lacks = !listed.contains(&worker.number);
-            if worker.listed && lacks && !worker.is_leaving() {
+            let is_missing = !listed.contains(&worker.number);
+            if worker.listed && is_missing && !worker.is_leaving() {
                 ended.push(worker.number);
             }
             worker.listed = false;
@@ -255,28 +255,28 @@
             .map(|run| (run.job.target.clone(), run.worker))
             .collect();
         for (target, pool) in &mut self.pools {
-            let gone = |index: usize, worker: &Worker| {
+            let is_removable = |index: usize, worker: &Worker| {
                 !worker.listed && !used.contains(&(target.clone(), index))
             };
             if !pool
                 .workers
                 .iter()
                 .enumerate()
-                .any(|(index, worker)| gone(index, worker))
+                .any(|(index, worker)| is_removable(index, worker))
             {
                 continue;
             }
-            let mut moved: HashMap<usize, usize> = HashMap::new();
+            let mut new_indices: HashMap<usize, usize> = HashMap::new();
             let mut kept = Vec::new();
             for (index, worker) in std::mem::take(&mut pool.workers).into_iter().enumerate() {
-                if gone(index, &worker) {
+                if is_removable(index, &worker) {
                     pool.prefix_cache.remove_endpoint(worker.number);
                     if worker.leaving {
                         self.endpoint_updates
                             .push(Update::new(&worker, Change::Left));
                     }
                 } else {
-                    moved.insert(index, kept.len());
+                    new_indices.insert(index, kept.len());
                     kept.push(worker);
                 }
             }
@@ -290,7 +290,7 @@
                 .values_mut()
                 .filter(|run| run.job.target == *target)
             {
-                run.worker = moved[&run.worker];
+                run.worker = new_indices[&run.worker];
             }
         }
     }
--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -218,11 +218,11 @@
 
     /// Counts the other nodes from which this node receives messages, by protocol version.
     pub fn peers_by_protocol(&self, now: Time) -> BTreeMap<Protocol, i64> {
-        let mut heard = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for (_, member) in self.members.live(now) {
-            *heard.entry(member.status.protocol).or_default() += 1;
+            *counts.entry(member.status.protocol).or_default() += 1;
         }
-        heard
+        counts
     }
 
     /// Returns the state of every service.
--- a/crates/dispatch/src/dispatcher/tick.rs
+++ b/crates/dispatch/src/dispatcher/tick.rs
@@ -149,9 +149,9 @@
     /// Determines the state of the endpoints that may run a request.
     fn availability(&self, pool: &Pool, job: &Job) -> Availability {
         let workers = pool.workers.iter();
-        let mut near = workers.filter(|worker| worker.listed && self.may_run_at(job, worker));
+        let mut eligible = workers.filter(|worker| worker.listed && self.may_run_at(job, worker));
         let mut availability = Availability::Unavailable;
-        let live = near.any(|worker| {
+        let live = eligible.any(|worker| {
             if worker.is_leaving() {
                 availability = Availability::Leaving;
             }
