--- a/crates/dispatch/src/dispatcher/query.rs
+++ b/crates/dispatch/src/dispatcher/query.rs
@@ -114,7 +114,7 @@
 
     /// Whether this node has just started and another node has a newer configuration, or no other
     /// node was discovered yet. The platform may have come back with an older copy in which a
-    /// revoked key is still valid, while other nodes have the newer configuration. If no node is
+    /// revoked key is still valid, while other nodes may have the newer configuration. If no node is
     /// discovered within the discovery time, the platform's configuration is used.
     fn is_catching_up(&self, now: Time) -> bool {
         let started = self.accounts.started();
--- a/crates/dispatch/src/dispatcher/reserve.rs
+++ b/crates/dispatch/src/dispatcher/reserve.rs
@@ -176,9 +176,10 @@
     }
 
     /// Grants units as the owner of a quota. Any node may act as owner, because its bucket is
-    /// drained by what all other nodes grant. While another node precedes this one in the
-    /// order of owners, that node may be granting on the other side of a network partition.
-    /// The units are then taken out of the bucket twice, so that only half as much is granted.
+    /// drained by what all other nodes grant. While another live node precedes this one in
+    /// the order of owners, that node may be granting on the other side of a network
+    /// partition. The units are then taken out of the bucket twice, so that only half as
+    /// much is granted.
     fn grant(
         &mut self,
         now: Time,
--- a/crates/dispatch/src/dispatcher/retry.rs
+++ b/crates/dispatch/src/dispatcher/retry.rs
@@ -15,7 +15,7 @@
 /// The minimum delay before a retry: a few round trips within a region.
 const MIN_RETRY_AFTER: Span = Span::from_millis(100);
 
-/// The minimum delay after endpoints rejected a request.
+/// The minimum delay after the last attempt of a request that did not run.
 const UNAVAILABLE_RETRY_AFTER: Span = Span::from_millis(200);
 
 /// The fraction of a known wait over which retries are spread, so that they do not arrive
@@ -47,9 +47,9 @@
         (wait + Span(spread as u64)).max(MIN_RETRY_AFTER)
     }
 
-    /// Returns the delay for a caller with `remaining` time left whose request was rejected by
-    /// endpoints. The delay is short, unless all open endpoints rest: then it lasts until the
-    /// first of them has rested.
+    /// Returns the delay for a caller with `remaining` time left whose request did not
+    /// run at any endpoint. The delay is short, unless all open endpoints rest: then it lasts
+    /// until the first of them has rested.
     pub fn retry_after_refusal(&self, now: Time, target: &id::Target, remaining: Span) -> Span {
         let pool = self.pools.get(target);
         let open = pool.into_iter().flat_map(|pool| &pool.workers);
--- a/crates/dispatch/src/dispatcher/share.rs
+++ b/crates/dispatch/src/dispatcher/share.rs
@@ -33,10 +33,12 @@
 /// The maximum number of endpoints in one status, so that it fits a datagram.
 const MAX_LOAD_ENTRIES: usize = 64;
 
-/// The maximum number of announcements of one kind in a status, and in one to a node that
-/// has just joined and may know none of them. Successive statuses rotate through all
-/// announcements.
+/// The maximum number of announcements of one kind in a status. Successive statuses rotate
+/// through all announcements.
 const MAX_ANNOUNCEMENTS: usize = 16;
+
+/// The maximum number of announcements of one kind in a status to a node that has just
+/// joined and may not have received any of them yet.
 const MAX_ANNOUNCEMENTS_TO_NEWCOMER: usize = 64;
 
 /// The number of unreachable endpoints from which on the node that reports them may itself be
@@ -180,8 +182,8 @@
         }
     }
 
-    /// Limits announcements to what one status holds; successive statuses rotate through all of
-    /// them.
+    /// Limits announcements to what a status to a newcomer holds; successive statuses rotate
+    /// through all of them.
     fn rotate_announcements<T>(&self, mut announcements: Vec<T>) -> Vec<T> {
         if announcements.len() > MAX_ANNOUNCEMENTS {
             let turn = (self.sequence as usize).wrapping_mul(MAX_ANNOUNCEMENTS);
@@ -368,7 +370,7 @@
     unreachable >= MIN_UNREACHABLE_IF_DISCONNECTED && unreachable * 2 > loads.len()
 }
 
-/// Shortens the announcements for a newcomer to those for a node that is already known.
+/// Shortens the announcements for a newcomer to those for an established node.
 fn limit_announcements<T: Clone>(announcements: &[T]) -> Vec<T> {
     announcements[..announcements.len().min(MAX_ANNOUNCEMENTS)].to_vec()
 }
--- a/crates/dispatch/src/dispatcher/suspect.rs
+++ b/crates/dispatch/src/dispatcher/suspect.rs
@@ -92,13 +92,14 @@
 }
 
 impl Isolation {
-    /// Returns the cost of running a suspect at an endpoint with `busy` running requests.
-    pub fn risk(&self, place: usize, busy: u32) -> f64 {
-        let suspect = match self.suspect_starts.contains(&place) {
+    /// Returns the cost of running a suspect at the endpoint with this index, which has `busy`
+    /// running requests.
+    pub fn risk(&self, index: usize, busy: u32) -> f64 {
+        let suspect_cost = match self.suspect_starts.contains(&index) {
             true => SUSPECT_NEIGHBOUR_COST_US,
             false => 0.0,
         };
-        suspect + f64::from(busy) * NEIGHBOUR_COST_US
+        suspect_cost + f64::from(busy) * NEIGHBOUR_COST_US
     }
 }
 
@@ -305,10 +306,10 @@
         if ours == theirs || ours == 0 || !self.should_answer_digest(now, to) {
             return;
         }
-        let every = self.quarantine.options().min_send_interval;
+        let min_interval = self.quarantine.options().min_send_interval;
         if !self
             .members
-            .record_findings_sent(now, to, (ours, theirs), every)
+            .record_findings_sent(now, to, (ours, theirs), min_interval)
         {
             return;
         }
