--- a/crates/dispatch/src/dispatcher/retry.rs
+++ b/crates/dispatch/src/dispatcher/retry.rs
@@ -39,7 +39,7 @@
     /// Returns the delay for a refused caller when `wait` is only an estimate, either for a
     /// queue that other requests keep joining or for an outage, which is assumed to last as
     /// long again as it has lasted. Retries are spread from the end of `wait` to the longest
-    /// delay that callers honour.
+    /// delay that callers honour, but the result is at least `MIN_RETRY_AFTER`.
     pub fn retry_after_estimate(&self, now: Time, wait: Span, remaining: Span) -> Span {
         let max_delay = self.max_retry_after(remaining);
         let wait = wait.min(max_delay);
