--- a/crates/dispatch/src/dispatcher/displace.rs
+++ b/crates/dispatch/src/dispatcher/displace.rs
@@ -87,17 +87,17 @@
     /// varies with `turn` and is weighted by the slots of each cell.
     pub(super) fn fallback_owner(&self, now: Time, pool: &Pool, job: &Job, turn: u64) -> Owner {
         let owners = self.fallback_owners(now, pool, job);
-        let all: u64 = owners.iter().map(|(_, slots)| u64::from(*slots)).sum();
+        let total_slots: u64 = owners.iter().map(|(_, slots)| u64::from(*slots)).sum();
         let drawn = hash::chain(self.options.incarnation, &turn.to_le_bytes());
-        let Some(mut at) = drawn.checked_rem(all) else {
+        let Some(mut position) = drawn.checked_rem(total_slots) else {
             return Owner::Unreachable;
         };
         for (owner, slots) in owners {
             let slots = u64::from(slots);
-            if at < slots {
+            if position < slots {
                 return Owner::Remote(owner);
             }
-            at -= slots;
+            position -= slots;
         }
         Owner::Unreachable
     }
@@ -121,11 +121,11 @@
         });
         let weighted_owners = centres.map(|(owner, centre)| {
             let workers = pool.workers.iter();
-            let near = workers.filter(|worker| {
+            let in_centre = workers.filter(|worker| {
                 worker.is_open()
                     && endpoint::number_of(worker.endpoint.data_centre.as_str()) == centre
             });
-            let slots: u32 = near.map(|worker| worker.endpoint.slots).sum();
+            let slots: u32 = in_centre.map(|worker| worker.endpoint.slots).sum();
             let cells = cells.get(&centre).copied().unwrap_or(1).max(1);
             (owner, slots / cells as u32)
         });
--- a/crates/dispatch/src/dispatcher/publish.rs
+++ b/crates/dispatch/src/dispatcher/publish.rs
@@ -116,8 +116,8 @@
         self.apply_list(now);
     }
 
-    /// Applies the list to the endpoints whose service the configuration names. Others may
-    /// write under the same keys, and no request is ever sent to the endpoints of services
+    /// Applies the list to the endpoints whose service the configuration names. Other systems
+    /// may write under the same keys, and no request is ever sent to the endpoints of services
     /// that aren't configured.
     fn apply_list(&mut self, now: Time) {
         let list = self.list.clone();
@@ -131,7 +131,7 @@
         for endpoint in list
             .endpoints
             .iter()
-            .filter(|one| is_configured(&one.service))
+            .filter(|endpoint| is_configured(&endpoint.service))
         {
             self.apply_endpoint(now, endpoint);
         }
@@ -165,10 +165,11 @@
             &self.options.prefix_cache,
             &endpoint.service,
         );
-        let at = pool.index.get(&endpoint.name).copied();
-        let at = at.filter(|at| pool.workers[*at].endpoint.started_at == endpoint.started_at);
-        if let Some(at) = at {
-            let worker = &mut pool.workers[at];
+        let index = pool.index.get(&endpoint.name).copied();
+        let index =
+            index.filter(|index| pool.workers[*index].endpoint.started_at == endpoint.started_at);
+        if let Some(index) = index {
+            let worker = &mut pool.workers[index];
             if worker.endpoint.cold_for != endpoint.cold_for {
                 worker.cold.extend(now, endpoint.cold_for);
             }
@@ -183,15 +184,15 @@
         pool.workers.push(worker);
     }
 
-    /// Marks all endpoints as not listed. Returns those that ended without having stated
-    /// that they leave: the list lacks them, or has a later instance of them.
+    /// Marks all endpoints as not listed. Returns those that ended without having announced
+    /// that they are leaving: the list lacks them, or contains a later instance of them.
     fn mark_unlisted(&mut self, list: &List) -> Vec<u32> {
         let listed = list.endpoints.iter();
         let listed: HashSet<u32> = listed.map(Endpoint::to_number).collect();
         let mut ended = Vec::new();
         for worker in self.pools.values_mut().flat_map(|pool| &mut pool.workers) {
-            let lacks = !listed.contains(&worker.number);
-            if worker.listed && lacks && !worker.is_leaving() {
+            let is_missing = !listed.contains(&worker.number);
+            if worker.listed && is_missing && !worker.is_leaving() {
                 ended.push(worker.number);
             }
             worker.listed = false;
@@ -231,11 +232,11 @@
                 .filter(|worker| worker.listed)
                 .collect();
             pool.shared = !cell.covers_fleet && listed.len() < cells * MIN_ENDPOINTS_PER_CELL;
-            let all = cell.covers_fleet || pool.shared;
+            let owns_all = cell.covers_fleet || pool.shared;
             for worker in &mut listed {
-                worker.own_cell = all;
+                worker.own_cell = owns_all;
             }
-            if all {
+            if owns_all {
                 continue;
             }
             listed.retain(|worker| worker.endpoint.data_centre == *own);
@@ -254,42 +255,42 @@
             .map(|run| (run.job.target.clone(), run.worker))
             .collect();
         for (target, pool) in &mut self.pools {
-            let gone = |at: usize, worker: &Worker| {
-                !worker.listed && !used.contains(&(target.clone(), at))
+            let is_removable = |index: usize, worker: &Worker| {
+                !worker.listed && !used.contains(&(target.clone(), index))
             };
             if !pool
                 .workers
                 .iter()
                 .enumerate()
-                .any(|(at, worker)| gone(at, worker))
+                .any(|(index, worker)| is_removable(index, worker))
             {
                 continue;
             }
-            let mut moved: HashMap<usize, usize> = HashMap::new();
+            let mut new_indices: HashMap<usize, usize> = HashMap::new();
             let mut kept = Vec::new();
-            for (at, worker) in std::mem::take(&mut pool.workers).into_iter().enumerate() {
-                if gone(at, &worker) {
+            for (index, worker) in std::mem::take(&mut pool.workers).into_iter().enumerate() {
+                if is_removable(index, &worker) {
                     pool.prefix_cache.remove_endpoint(worker.number);
                     if worker.leaving {
                         self.endpoint_updates
                             .push(Update::new(&worker, Change::Left));
                     }
                 } else {
-                    moved.insert(at, kept.len());
+                    new_indices.insert(index, kept.len());
                     kept.push(worker);
                 }
             }
             pool.workers = kept;
             let workers = pool.workers.iter().enumerate();
             pool.index = workers
-                .map(|(at, worker)| (worker.endpoint.name.clone(), at))
+                .map(|(index, worker)| (worker.endpoint.name.clone(), index))
                 .collect();
             for run in self
                 .runs
                 .values_mut()
                 .filter(|run| run.job.target == *target)
             {
-                run.worker = moved[&run.worker];
+                run.worker = new_indices[&run.worker];
             }
         }
     }
