--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -19,8 +19,8 @@
     pub extra: f64,
     /// The time window.
     pub window: Span,
-    /// The fraction of both that is used, because the windows of other nodes are not
-    /// aligned.
+    /// The fraction of both bounds that is used, because the windows of other nodes are
+    /// not aligned.
     pub safety_factor: f64,
 }
 
--- a/crates/dispatch/src/cold.rs
+++ b/crates/dispatch/src/cold.rs
@@ -1,6 +1,6 @@
 //! Cold endpoints. For some seconds after a start, and sometimes at other moments, an
-//! endpoint can take only a few requests a second; above that it fails with all that runs
-//! there.
+//! endpoint can take only a few requests a second; above that rate it fails, along with all
+//! requests that it runs.
 //!
 //! Starts at a cold endpoint are spaced evenly: one at a time, and each at least the
 //! tolerated interval after the previous one. The operator's rule allows more within a
@@ -21,7 +21,7 @@
     pub duration: Span,
 }
 
-/// The cold state of one endpoint, and when the next request may be sent to it.
+/// The cold state of one endpoint, and the time at which it may be sent the next request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct State {
     until: Time,
--- a/crates/dispatch/src/configuration.rs
+++ b/crates/dispatch/src/configuration.rs
@@ -43,12 +43,12 @@
 /// Whether a request may be sent again after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Repeatable,
-    /// It may run at most once.
+    /// The request may run at most once.
     Once,
-    /// Its answer is a stream of events. It may run at most once unless the route is
-    /// resumable.
+    /// The answer is a stream of events. The request may run at most once unless the route
+    /// is resumable.
     Stream,
 }
 
@@ -57,9 +57,9 @@
 pub struct Route {
     /// Its name, for logs.
     pub name: String,
-    /// The host that requests name.
+    /// The host that its requests are addressed to.
     pub host: String,
-    /// The prefix of their paths; starts and ends with a slash.
+    /// The prefix of its requests' paths; starts and ends with a slash.
     pub prefix: String,
     /// The services with their weights.
     pub targets: Vec<(id::Target, u32)>,
@@ -134,14 +134,14 @@
     pub keys: Vec<Key>,
     /// Its priority, which takes precedence over the route's.
     pub priority: Option<Priority>,
-    /// What it may use over all nodes; `None` for no limit.
+    /// Its quota over all nodes; `None` for no limit.
     pub quota: Option<Quota>,
     /// The regions in which its requests may run; see [`Route::regions`].
     #[serde(skip)]
     pub regions: Regions,
 }
 
-/// What a customer may use, over all nodes together.
+/// The rate and burst that a customer may use over all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
     /// The rate, in units a second.
--- a/crates/dispatch/src/edition.rs
+++ b/crates/dispatch/src/edition.rs
@@ -9,7 +9,7 @@
 
 /// The number of times that the platform was restored from an older copy of the data it had
 /// acknowledged. Revisions of different eras are not comparable, because a restore resets the
-/// revision and then reuses numbers. 0 if the platform does not count restores.
+/// revision counter and numbers are reused. 0 if the platform does not count restores.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/dispatch/src/endpoint.rs
+++ b/crates/dispatch/src/endpoint.rs
@@ -18,7 +18,7 @@
     /// Its name, which it keeps across restarts.
     pub name: id::Endpoint,
     /// When it was started, in milliseconds since 1970 by its own host's clock; 0 if that
-    /// is not known. Only ever compared with other values of the same endpoint, never with
+    /// is not known. Compared only with other start times of the same endpoint, never with
     /// a clock.
     pub started_at: u64,
     /// The service that it belongs to.
@@ -31,15 +31,15 @@
     pub slots: u32,
     /// Whether it is listed as leaving.
     pub leaving: bool,
-    /// How much longer it will be cold, as of its last record; zero if it is not cold.
+    /// The remaining time for which it is cold, as of its last record; zero if it is not.
     pub cold_for: Span,
 }
 
 impl Endpoint {
     /// Returns the number that identifies this start in messages between nodes. A restarted
-    /// endpoint gets a new number, as nothing that was known of it holds any more.
-    /// Endpoints whose numbers collide share their counts, which costs balance and nothing
-    /// else.
+    /// endpoint gets a new number, as earlier observations of it no longer apply.
+    /// Endpoints whose numbers collide share their counts, which affects only the balance
+    /// of load.
     pub fn to_number(&self) -> u32 {
         let name = hash::of(self.name.as_str().as_bytes());
         match self.started_at {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns what identifies this start of the endpoint.
+    /// Returns the identifier of this start of the endpoint.
     pub fn to_instance(&self) -> Instance {
         Instance {
             name: self.name.clone(),
@@ -107,9 +107,13 @@
     /// that were leaving. Evacuations come from this list alone: they are set by an
     /// operator and never expire, so they can't be missing.
     pub fn merge(&self, older: &List) -> List {
-        let names: HashSet<&id::Endpoint> = self.endpoints.iter().map(|one| &one.name).collect();
+        let names: HashSet<&id::Endpoint> = self
+            .endpoints
+            .iter()
+            .map(|endpoint| &endpoint.name)
+            .collect();
         let kept = older.endpoints.iter();
-        let kept = kept.filter(|one| !one.leaving && !names.contains(&one.name));
+        let kept = kept.filter(|endpoint| !endpoint.leaving && !names.contains(&endpoint.name));
         List {
             era: self.era,
             revision: self.revision,
--- a/crates/dispatch/src/first_try.rs
+++ b/crates/dispatch/src/first_try.rs
@@ -1,14 +1,14 @@
 //! Distribution of the time that callers have left at their first attempt, relative to
-//! the route's timeout. Less time left marks a retry; nothing else in a request does.
+//! the route's timeout. Only a shorter remaining time distinguishes a retry from a first attempt.
 //!
 //! In some deployments all callers wait for the route's timeout, in others each has a
-//! deadline of its own. A fixed threshold fails there: with 97 % of the timeout, and
+//! deadline of its own. A fixed threshold fails in the latter: with 97 % of the timeout, and
 //! deadlines from 85 % to 100 % of it, 80 % of the first attempts were taken for retries.
 //! They were considered late on arrival, sent to slow engines, and held beyond their
 //! objective although an immediate refusal would have cost them less.
 //!
-//! The distribution is learnt only while nobody is refused, since there are no retries
-//! then.
+//! The distribution is learnt only while no caller is refused, since there are no retries
+//! during that time.
 
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
@@ -82,9 +82,9 @@
     /// Returns the minimum time that a caller has spent on earlier attempts, given that
     /// `left` remains of a route's `timeout`; zero if it may be its first attempt.
     pub fn since_first_try(&self, left: Span, timeout: Span) -> Span {
-        let least = Span((timeout.0 as f64 * self.first_try_fraction()) as u64);
-        match left < least {
-            true => Span(least.0 - left.0),
+        let min_left = Span((timeout.0 as f64 * self.first_try_fraction()) as u64);
+        match left < min_left {
+            true => Span(min_left.0 - left.0),
             false => Span::ZERO,
         }
     }
@@ -95,13 +95,13 @@
         if self.samples < MIN_SAMPLES {
             return DEFAULT_FIRST_TRY_FRACTION;
         }
-        let mistaken = f64::from(self.samples) * MAX_MISTAKEN_FRACTION;
+        let max_mistaken = f64::from(self.samples) * MAX_MISTAKEN_FRACTION;
         let mut below = 0;
         let first = self.counts.iter().position(|count| {
             below += count;
-            f64::from(below) > mistaken
+            f64::from(below) > max_mistaken
         });
-        let least = first.unwrap_or(0) as f64 / BUCKETS as f64;
-        least.min(DEFAULT_FIRST_TRY_FRACTION)
+        let min_fraction = first.unwrap_or(0) as f64 / BUCKETS as f64;
+        min_fraction.min(DEFAULT_FIRST_TRY_FRACTION)
     }
 }
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -74,7 +74,7 @@
     pub arrived: Time,
     /// When its caller first tried, as far as known.
     pub first_try: Time,
-    /// When its caller or its route gives it up.
+    /// The deadline, set by its caller or its route.
     pub deadline: Time,
     /// The time from its caller's first try within which its answer meets the objective.
     pub objective: Span,
@@ -99,12 +99,13 @@
 }
 
 impl Job {
-    /// Whether it was never offered to an endpoint. Only such a request may be refused on arrival.
+    /// Whether the request was never offered to an endpoint. Only such a request may be
+    /// refused on arrival.
     pub fn is_untried(&self) -> bool {
         self.history == History::default()
     }
 
-    /// Whether its caller has tried before. Another refusal would be the last.
+    /// Whether the caller has tried before, so that another refusal would be final.
     pub fn is_caller_retry(&self) -> bool {
         self.first_try < self.arrived
     }
@@ -145,7 +146,7 @@
 pub enum End {
     /// The whole answer arrived, and the request succeeded.
     Whole,
-    /// The whole answer arrived and says that the request is invalid.
+    /// The whole answer arrived and rejects the request as invalid.
     Rejected,
     /// No byte of the request was written.
     NotSent,
--- a/crates/dispatch/src/lease.rs
+++ b/crates/dispatch/src/lease.rs
@@ -4,7 +4,7 @@
 //! reordered, so the borrowing node repeats its request until it is answered, and the owner
 //! checks on leases that last.
 //!
-//! Without owners, nodes of a cell hear of each other 100 ms late and take the same slots.
+//! Without owners, nodes of a cell see each other's load 100 ms late and take the same slots.
 //! In a simulated fleet of 72 nodes at four fifths of the endpoints' capacity, 23 in 100
 //! requests went to an endpoint without a free slot, and 55 in 100 for a small service that
 //! all cells share; with owners it is under 1 in 100 (`tests/dispatch/fleet`).
@@ -163,8 +163,8 @@
 pub struct Lease {
     /// The owner.
     pub owner: SocketAddrV4,
-    /// The owner's incarnation as last heard when the slot was granted; 0 if it was not
-    /// heard.
+    /// The owner's latest known incarnation when the slot was granted; 0 if none was
+    /// known.
     pub incarnation: u64,
     /// The number of the request.
     pub number: u64,
--- a/crates/dispatch/src/leaving.rs
+++ b/crates/dispatch/src/leaving.rs
@@ -1,6 +1,6 @@
 //! Endpoints that stated in an answer that they are leaving.
 //!
-//! Only a new start of the endpoint revokes that; neither a list that still shows it as
+//! Only a new start of the endpoint revokes such a statement; neither a list that still shows it as
 //! ready nor the passing of time does. The statement is therefore kept separately from
 //! the lists, by the number of the endpoint's start, even while no list contains the
 //! endpoint.
--- a/crates/dispatch/src/member/catch_up.rs
+++ b/crates/dispatch/src/member/catch_up.rs
@@ -50,28 +50,28 @@
             }
         });
         let mut ahead: Vec<_> = candidates
-            .filter(|one| one.configuration.is_some() || one.endpoints.is_some())
+            .filter(|node| node.configuration.is_some() || node.endpoints.is_some())
             .collect();
-        if attempt.is_multiple_of(2) && ahead.iter().any(|one| one.in_cell) {
-            ahead.retain(|one| one.in_cell);
+        if attempt.is_multiple_of(2) && ahead.iter().any(|node| node.in_cell) {
+            ahead.retain(|node| node.in_cell);
         }
         // Traffic within a data centre does not load the links between data centres.
-        if attempt.is_multiple_of(2) && ahead.iter().any(|one| one.same_data_centre) {
-            ahead.retain(|one| one.same_data_centre);
+        if attempt.is_multiple_of(2) && ahead.iter().any(|node| node.same_data_centre) {
+            ahead.retain(|node| node.same_data_centre);
         }
         // A hash breaks ties differently on each node and at each attempt.
         let seed = hash::chain(attempt, &self.own_address.ip().octets());
-        let preference = |one: &Candidate| hash::chain(seed, &one.address.ip().octets());
-        ahead.sort_by_key(|one| Reverse((one.configuration, one.endpoints, preference(one))));
-        let is_first = |one: &Candidate| {
-            let configuration = known.configuration == 0 && one.configuration.is_some();
-            configuration || (known.endpoints.revision == 0 && one.endpoints.is_some())
+        let preference = |node: &Candidate| hash::chain(seed, &node.address.ip().octets());
+        ahead.sort_by_key(|node| Reverse((node.configuration, node.endpoints, preference(node))));
+        let is_first = |node: &Candidate| {
+            let configuration = known.configuration == 0 && node.configuration.is_some();
+            configuration || (known.endpoints.revision == 0 && node.endpoints.is_some())
         };
         if !ahead.iter().any(is_first) {
             ahead.truncate(MAX_CANDIDATES);
         }
-        let chosen = ahead.iter().max_by_key(|one| preference(one));
-        chosen.map(|one| one.address)
+        let chosen = ahead.iter().max_by_key(|node| preference(node));
+        chosen.map(|node| node.address)
     }
 
     /// Returns the configuration version that another node last reported; 0 for an unknown
--- a/crates/dispatch/src/member/gossip.rs
+++ b/crates/dispatch/src/member/gossip.rs
@@ -15,10 +15,10 @@
 /// What statuses that are due have to convey, which determines how soon they are sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Trigger {
-    /// Whether something changed that the other nodes of the cell act on.
+    /// Whether state changed that affects decisions of the other nodes of the cell.
     pub urgent: bool,
-    /// Whether a customer's usage is high compared with its quota, so that all nodes should
-    /// hear of it soon.
+    /// Whether a customer's usage is high compared with its quota, so that it should be sent
+    /// to all nodes soon.
     pub usage_high: bool,
     /// Whether this node got new documents.
     pub new_documents: bool,
@@ -110,7 +110,8 @@
     fn fan_out_targets(&mut self, now: Time, due: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
         let beyond = self.live(now).filter(|(_, member)| !member.in_cell);
         let beyond = beyond.map(|(address, _)| *address);
-        let mut chosen: Vec<SocketAddrV4> = beyond.filter(|one| !due.contains(one)).collect();
+        let mut chosen: Vec<SocketAddrV4> =
+            beyond.filter(|address| !due.contains(address)).collect();
         let seed = hash::chain(now.0, &self.own_address.ip().octets());
         chosen.sort_by_key(|address| hash::chain(seed, &address.ip().octets()));
         chosen.truncate(self.options.fan_out);
--- a/crates/dispatch/src/member/mod.rs
+++ b/crates/dispatch/src/member/mod.rs
@@ -61,7 +61,7 @@
     pub cell_size: usize,
     /// The rate limit of statuses that one node sends beyond its cell.
     pub remote_statuses_per_second: u64,
-    /// The same rate limit while a customer's usage is high compared with its quota.
+    /// The rate limit of statuses beyond the cell while a customer's usage is high compared with its quota.
     pub high_usage_statuses_per_second: u64,
     /// The number of nodes per data centre that read the platform for a larger fleet.
     pub platform_readers: usize,
@@ -276,9 +276,9 @@
             .filter(move |(_, member)| self.is_live(now, member))
     }
 
-    /// Returns how much of the fleet this node hears. A node that returns after a silence
-    /// counts as silent for a while: after a partition, each node would otherwise take itself
-    /// for most of the fleet until all have heard each other again.
+    /// Returns the part of the fleet from which this node receives statuses. A node that returns
+    /// after a silence counts as silent for a while: after a partition, each node would
+    /// otherwise take itself for most of the fleet until all have heard each other again.
     pub fn reach(&self, now: Time) -> Reach {
         let counted = self
             .peers
--- a/crates/dispatch/src/member/owner.rs
+++ b/crates/dispatch/src/member/owner.rs
@@ -49,7 +49,7 @@
                 owners.push((score(key, address), *address, member.last_unanswered));
             }
         }
-        // Other nodes select another owner as soon as they hear that this node is stopping.
+        // Other nodes select another owner once a status reports that this node is stopping.
         let hands_over = scope == Scope::RateLimitCapable && self.leaving;
         if !hands_over || owners.is_empty() {
             owners.push((score(key, &self.own_address), self.own_address, None));
--- a/crates/dispatch/src/member/startup.rs
+++ b/crates/dispatch/src/member/startup.rs
@@ -2,7 +2,7 @@
 //!
 //! A whole list takes ten times as many bytes from the platform as from another node, and all
 //! hosts share the platform's link. One read of 2,998 endpoints is 1.1 MB: if each of 585 nodes
-//! that start together read it, that alone would occupy a link of 1,000 Mbit/s for five
+//! that start together read it, the reads alone would occupy a link of 1,000 Mbit/s for five
 //! seconds, and four times as long with twice the endpoints and nodes. So only a few nodes read
 //! the platform, and the others fetch the list from them and from each other.
 
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -87,7 +87,7 @@
     pub waiting: Vec<Waiting>,
     /// The usage of customers; a customer that is left out has not changed recently.
     pub usage: Vec<Usage>,
-    /// Addresses of some of the nodes that it heard recently.
+    /// Addresses of some of the nodes that sent it a status recently.
     pub members: Vec<SocketAddrV4>,
     /// A digest of all its findings on requests under which endpoints ended; 0 for none.
     pub quarantine_digest: u32,
--- a/crates/dispatch/src/notice.rs
+++ b/crates/dispatch/src/notice.rs
@@ -16,20 +16,20 @@
 /// The contents of one answer head about its endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// How much longer the endpoint is cold, if it says so.
+    /// The remaining time for which the endpoint is cold, if stated.
     pub cold_for: Option<Span>,
     /// The number of requests a second that the endpoint accepts from all nodes together.
     pub rate_limit: Field<Limit>,
-    /// Whether the endpoint is leaving and wants no further requests.
+    /// Whether the endpoint is leaving and asks for no further requests.
     pub leaving: bool,
-    /// How long the endpoint wants no requests from this node, if it says so.
+    /// How long this node is asked to send the endpoint no requests, if stated.
     pub rest: Option<Span>,
 }
 
 /// A field whose absence is significant.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Field<T> {
-    /// Unknown: the field could not be parsed, or this head does not count for it.
+    /// Unknown: the field could not be parsed, or this head is not evaluated for it.
     #[default]
     Unknown,
     /// The head does not have the field.
@@ -57,7 +57,7 @@
     Leaving,
     /// The endpoint that was leaving is no longer listed.
     Left,
-    /// The endpoint wants no requests for a while.
+    /// The endpoint asked for a time without requests.
     Rest {
         /// How long it rests.
         duration: Span,
@@ -80,8 +80,8 @@
 pub enum Condition {
     /// The endpoint is leaving.
     Leaving,
-    /// The endpoint rejected a request of the announcing node and wants none from it for
-    /// a while.
+    /// The endpoint rejected a request of the announcing node and asked it to send none
+    /// for a while.
     Rest {
         /// The remaining time in milliseconds.
         left_ms: u32,
--- a/crates/dispatch/src/parts.rs
+++ b/crates/dispatch/src/parts.rs
@@ -112,7 +112,7 @@
             let key = hash::of(customer.name.as_str().as_bytes());
             positions[part_index(key)].customers.push(at);
         }
-        let digests = positions.iter().map(|one| one.to_digest(configuration));
+        let digests = positions.iter().map(|part| part.to_digest(configuration));
         Index {
             digests: digests.collect(),
             positions,
@@ -153,9 +153,15 @@
 impl Positions {
     fn to_digest(&self, configuration: &Configuration) -> Digest {
         let customers = configuration.customers.as_deref().unwrap_or_default();
-        let routes = self.routes.iter().map(|at| &configuration.routes[*at]);
-        let services = self.services.iter().map(|at| &configuration.services[*at]);
-        let customers = self.customers.iter().map(|at| &customers[*at]);
+        let routes = self
+            .routes
+            .iter()
+            .map(|index| &configuration.routes[*index]);
+        let services = self
+            .services
+            .iter()
+            .map(|index| &configuration.services[*index]);
+        let customers = self.customers.iter().map(|index| &customers[*index]);
         hash_entries(
             &routes.collect::<Vec<_>>(),
             &services.collect::<Vec<_>>(),
@@ -168,14 +174,16 @@
         let routes = self.routes.iter();
         let services = self.services.iter();
         Part {
-            routes: routes.map(|at| configuration.routes[*at].clone()).collect(),
+            routes: routes
+                .map(|index| configuration.routes[*index].clone())
+                .collect(),
             services: services
-                .map(|at| configuration.services[*at].clone())
+                .map(|index| configuration.services[*index].clone())
                 .collect(),
             customers: self
                 .customers
                 .iter()
-                .map(|at| customers[*at].clone())
+                .map(|index| customers[*index].clone())
                 .collect(),
         }
     }
@@ -224,9 +232,9 @@
             let part = match self.parts.get(digest) {
                 Some(part) => part.clone(),
                 None => {
-                    let at = in_force.get(digest)?;
+                    let position = in_force.get(digest)?;
                     let (configuration, index) = base?;
-                    index.positions[*at].to_part(configuration)
+                    index.positions[*position].to_part(configuration)
                 }
             };
             whole.routes.extend(part.routes);
--- a/crates/dispatch/src/prefix_cache.rs
+++ b/crates/dispatch/src/prefix_cache.rs
@@ -1,7 +1,7 @@
 //! Tracks which endpoints have prompt prefixes in their cache. Parts of prompts have a fixed order,
 //! so a prefix is identified by a hash chain over its parts. Endpoints keep what they read for a
 //! while, and sending the same prompt there again saves reading it. The entries are hints: a wrong
-//! one costs one read.
+//! entry costs one read.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -17,7 +17,7 @@
 pub struct Options {
     /// The maximum number of prefixes.
     pub limit: usize,
-    /// How long an entry is believed.
+    /// How long an entry is valid.
     pub ttl: Span,
 }
 
--- a/crates/dispatch/src/protocol.rs
+++ b/crates/dispatch/src/protocol.rs
@@ -10,7 +10,7 @@
 /// the part that they read (docs/PROTOCOL.md).
 pub const LAYOUT: u8 = 8;
 
-/// The protocol version of a build, which says what it supports beyond the base layout.
+/// The protocol version of a build, which determines what it supports beyond the base layout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Protocol(u8);
--- a/crates/dispatch/src/quarantine/mod.rs
+++ b/crates/dispatch/src/quarantine/mod.rs
@@ -1,14 +1,14 @@
 //! Requests that are no longer run because endpoints crashed while running them (queries
 //! of death).
 //!
-//! A crashing endpoint takes down everything that it runs, and nothing tells which of
+//! A crashing endpoint aborts everything that it runs, and nothing shows which of
 //! those requests caused the crash. Each of them is charged with it. Two facts tell them
 //! apart afterwards: a request that crashes endpoints does so every time, while a
 //! complete answer shows that a request is harmless and clears it of all charges. A
 //! request that accumulates enough charges without being cleared is barred.
 //!
 //! The nodes' knowledge of a request is joined (a join semilattice, as in state-based
-//! CRDTs): even if findings are lost, duplicated or reordered, nodes that hear each other
+//! CRDTs): even if findings are lost, duplicated or reordered, nodes that can communicate
 //! converge. Nothing expires with time except the record of a request that was charged
 //! but not barred, after [`Options::forget_after`].
 //!
@@ -28,15 +28,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
     /// The number of endpoint crashes that bars a request. One also bars harmless
-    /// requests that ran beside a crash; three lets each crashing request take down
-    /// another endpoint and what runs there.
+    /// requests that ran beside a crash; three lets each crashing request crash
+    /// another endpoint and abort what runs there.
     pub bar_threshold: usize,
-    /// The same for a request that was cleared before: many endpoints that crash at once
+    /// The threshold for a request that was cleared before: many endpoints that crash at once
     /// for another reason may all have run it.
     pub cleared_bar_threshold: usize,
-    /// The same while this node hears less than half of the nodes that it knows. Each
-    /// partition of a fleet loses endpoints of its own, so a higher threshold costs it
-    /// many more of them.
+    /// The threshold while this node receives statuses from less than half of the nodes
+    /// that it knows. Each partition of a fleet loses endpoints of its own, so a higher
+    /// threshold costs it many more of them.
     pub partitioned_bar_threshold: usize,
     /// The time from the last crash until a barred request gets a trial, in case it is
     /// harmless.
@@ -59,7 +59,7 @@
     /// How long a broken attempt waits for the news that its endpoint crashed: longer
     /// than the platform takes to stop listing the endpoint.
     pub unconfirmed_timeout: Span,
-    /// The maximum number of broken attempts that wait for that.
+    /// The maximum number of broken attempts that wait for such news.
     pub max_unconfirmed: usize,
     /// How long a change is included in each status.
     pub announce_for: Span,
--- a/crates/dispatch/src/quarantine/record.rs
+++ b/crates/dispatch/src/quarantine/record.rs
@@ -26,7 +26,7 @@
     pub last: Time,
 }
 
-/// What one node sends another about a request.
+/// The knowledge of one request as sent to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
     /// The request.
@@ -46,8 +46,8 @@
     /// Charges the request with the crash of an endpoint.
     pub fn charge(&mut self, now: Time, endpoint: u32) {
         self.last = now;
-        if let Err(at) = self.ends.binary_search(&endpoint) {
-            self.ends.insert(at, endpoint);
+        if let Err(position) = self.ends.binary_search(&endpoint) {
+            self.ends.insert(position, endpoint);
             self.ends.truncate(MAX_ENDS);
         }
     }
@@ -77,8 +77,8 @@
             return;
         }
         for endpoint in &other.ends {
-            if let Err(at) = self.ends.binary_search(endpoint) {
-                self.ends.insert(at, *endpoint);
+            if let Err(position) = self.ends.binary_search(endpoint) {
+                self.ends.insert(position, *endpoint);
             }
         }
         self.ends.truncate(MAX_ENDS);
--- a/crates/dispatch/src/quarantine/registry.rs
+++ b/crates/dispatch/src/quarantine/registry.rs
@@ -156,8 +156,10 @@
             {
                 break;
             }
-            let known = findings.iter().any(|one| one.fingerprint == *fingerprint);
-            if let Some(record) = self.records.get(fingerprint).filter(|_| !known) {
+            let included = findings
+                .iter()
+                .any(|finding| finding.fingerprint == *fingerprint);
+            if let Some(record) = self.records.get(fingerprint).filter(|_| !included) {
                 findings.push(record.to_finding(now, *fingerprint));
             }
         }
@@ -167,29 +169,29 @@
     /// Returns the findings to send to a node with a different digest: barred requests
     /// first, and the rest in rotation over successive calls.
     pub fn findings(&mut self, now: Time) -> Vec<Finding> {
-        let most = self.options.max_findings_per_message;
+        let max_findings = self.options.max_findings_per_message;
         let mut all: Vec<(Fingerprint, &Record)> = self.iter().collect();
         all.sort_unstable_by_key(|(fingerprint, record)| {
             (std::cmp::Reverse(record.ends.len()), *fingerprint)
         });
-        if all.len() > most {
-            let rest = &mut all[most / 2..];
+        if all.len() > max_findings {
+            let rest = &mut all[max_findings / 2..];
             let turns = self.rotation % rest.len();
             rest.rotate_left(turns);
         }
-        let selected = all.iter().take(most);
+        let selected = all.iter().take(max_findings);
         let findings = selected.map(|(fingerprint, record)| record.to_finding(now, *fingerprint));
         let findings = findings.collect();
-        self.rotation = self.rotation.wrapping_add(most / 2);
+        self.rotation = self.rotation.wrapping_add(max_findings / 2);
         findings
     }
 
     /// Removes broken attempts that were not confirmed in time, and old records of
     /// requests that are not barred.
     pub fn expire(&mut self, now: Time) {
-        let most = self.options.unconfirmed_timeout;
+        let timeout = self.options.unconfirmed_timeout;
         while let Some(attempt) = self.broken_attempts.front() {
-            if now.since(attempt.at) <= most {
+            if now.since(attempt.at) <= timeout {
                 break;
             }
             self.broken_attempts.pop_front();
--- a/crates/dispatch/src/quota/mod.rs
+++ b/crates/dispatch/src/quota/mod.rs
@@ -36,10 +36,10 @@
     pub overrun: f64,
     /// Further units by which the limit may be exceeded in a window.
     pub slack: f64,
-    /// The fraction of both that buckets use; the rest covers usage that other nodes
-    /// have not heard of yet.
+    /// The fraction of both allowances that buckets use; the rest covers usage that
+    /// other nodes have not been sent yet.
     pub part: f64,
-    /// The same in a fleet of several cells, where owners of a quota hear of each
+    /// The fraction in a fleet of several cells, where owners of a quota learn of each
     /// other's usage later.
     pub part_in_cells: f64,
     /// The fraction that all nodes together may admit after their start in addition
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a request asks of its customer's quota.
+/// A request's demand on its customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
     /// The units to charge.
@@ -97,12 +97,12 @@
     pub backlogged: bool,
 }
 
-/// Which part of the fleet a node hears.
+/// The part of the fleet from which a node receives statuses.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reach {
     /// The nodes that share a quota, including this one.
     pub nodes: usize,
-    /// Those of them that are silent.
+    /// The silent nodes among them.
     pub silent: usize,
     /// Whether no other node was heard since the start.
     pub isolated: bool,
--- a/crates/dispatch/src/quota/usage.rs
+++ b/crates/dispatch/src/quota/usage.rs
@@ -70,7 +70,7 @@
         account.take(used);
     }
 
-    /// Whether a customer's usage is so high that other nodes should hear of it soon.
+    /// Whether a customer's usage is so high that it should be sent to other nodes soon.
     pub fn is_usage_high(&self, now: Time) -> bool {
         let since = now - HIGH_USAGE_TIME;
         let mut recent = self
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -82,7 +82,7 @@
 pub struct Report {
     /// The limit; `None` if it stated none.
     pub limit: Option<Limit>,
-    /// When that became known.
+    /// When the statement became known.
     pub at: Time,
 }
 
@@ -121,7 +121,7 @@
         self.report?.limit
     }
 
-    /// Records what an answer stated that arrived now, to a request sent at `sent`. An
+    /// Records the statement in an answer that arrived now, to a request sent at `sent`. An
     /// answer without a limit ends the known limit only if the request was sent after the
     /// limit became known, because heads of earlier requests may be older.
     ///
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/rest.rs
@@ -14,7 +14,7 @@
 use woadstage_types::unit::Span;
 use woadstage_types::unit::Time;
 
-/// The maximum rest. An endpoint that asks for more is asked again after it.
+/// The maximum rest. An endpoint that asks for a longer one is probed after this time.
 const MAX_REST: Span = Span::from_secs(24 * 3_600);
 
 /// The minimum extension of a rest that is reported.
@@ -28,7 +28,7 @@
 /// rest.
 const UNCONFIRMED_FOR: Span = Span::from_secs(4);
 
-/// The maximum number of doublings of both.
+/// The maximum number of times that either delay doubles.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// Nodes for which an endpoint rests until the same moment return to it over a span of the
@@ -57,7 +57,7 @@
     consecutive_rests: u32,
     /// When the probe in flight was sent, if there is one.
     probe: Option<Time>,
-    /// Until when the endpoint rests for another node, as far as heard.
+    /// Until when the endpoint rests for another node, as far as announced.
     remote_until: Time,
 }
 
@@ -78,7 +78,7 @@
         changed
     }
 
-    /// Whether the endpoint wants no requests from this node.
+    /// Whether the endpoint rests for this node.
     pub fn is_resting(&self, now: Time) -> bool {
         now < self.until
     }
@@ -99,7 +99,7 @@
             && now < self.until + doubled(UNCONFIRMED_FOR, self.consecutive_rests)
     }
 
-    /// Like [`State::is_unconfirmed`], from what other nodes announced.
+    /// Whether the endpoint is unconfirmed because of a rest that another node announced.
     pub fn is_unconfirmed_elsewhere(&self, now: Time) -> bool {
         now < self.remote_until + UNCONFIRMED_FOR
     }
--- a/crates/dispatch/src/restore.rs
+++ b/crates/dispatch/src/restore.rs
@@ -121,19 +121,19 @@
         let endpoints = list
             .endpoints
             .iter()
-            .filter_map(|one| overrides.correct(one));
+            .filter_map(|endpoint| overrides.correct(endpoint));
         let mut corrected = List {
             endpoints: endpoints.collect(),
             ..list.clone()
         };
         let missing = overrides.evacuated.iter();
-        let missing = missing.filter(|one| !list.evacuated.contains(one));
+        let missing = missing.filter(|data_centre| !list.evacuated.contains(data_centre));
         corrected.evacuated.extend(missing.cloned());
         (corrected != *list).then_some(corrected)
     }
 
     /// Drops the overrides once they have expired, after which lists are used unchanged.
-    /// Returns whether it did.
+    /// Returns true if they were dropped.
     pub fn expire(&mut self, now: Time) -> bool {
         let over = self
             .overrides
--- a/crates/dispatch/src/section.rs
+++ b/crates/dispatch/src/section.rs
@@ -1,8 +1,8 @@
 //! A list of endpoints divided into sections that are identified by a hash of their content, so
 //! that little has to be transferred if one entry of a long list changes.
 //!
-//! A node that is behind sends the digests of its sections and receives whole those that
-//! differ. This does not depend on which lists the two nodes had before.
+//! A node that is behind sends the digests of its sections and receives the sections that
+//! differ, in full. This does not depend on which lists the two nodes had before.
 
 use std::collections::HashSet;
 
--- a/crates/dispatch/src/table.rs
+++ b/crates/dispatch/src/table.rs
@@ -38,24 +38,24 @@
     /// Indexes a configuration.
     pub fn new(configuration: Arc<Configuration>) -> Table {
         let mut routes: HashMap<String, HashMap<String, usize>> = HashMap::new();
-        for (at, route) in configuration.routes.iter().enumerate() {
+        for (index, route) in configuration.routes.iter().enumerate() {
             let host = route.host.to_ascii_lowercase();
             routes
                 .entry(host)
                 .or_default()
-                .insert(route.prefix.clone(), at);
+                .insert(route.prefix.clone(), index);
         }
         let customers = configuration.customers.iter().flatten().enumerate();
-        let keys =
-            customers.flat_map(|(at, customer)| customer.keys.iter().map(move |key| (*key, at)));
+        let keys = customers
+            .flat_map(|(index, customer)| customer.keys.iter().map(move |key| (*key, index)));
         let keys = keys.collect();
         let customers = configuration.customers.iter().flatten().enumerate();
         let customers = customers
-            .map(|(at, customer)| (customer.name.to_number(), at))
+            .map(|(index, customer)| (customer.name.to_number(), index))
             .collect();
         let services = configuration.services.iter().enumerate();
         let services = services
-            .map(|(at, service)| (service.name.clone(), at))
+            .map(|(index, service)| (service.name.clone(), index))
             .collect();
         Table {
             routes,
@@ -88,21 +88,21 @@
     pub fn route_opt(&self, host: &str, path: &str) -> Option<&Route> {
         let prefixes = self.routes.get(&normalise_host(host))?;
         let ends = path.bytes().enumerate().rev();
-        let mut slashes = ends.filter(|(_, byte)| *byte == b'/').map(|(at, _)| at);
-        let found = slashes.find_map(|at| prefixes.get(&path[..=at]))?;
+        let mut slashes = ends.filter(|(_, byte)| *byte == b'/').map(|(end, _)| end);
+        let found = slashes.find_map(|end| prefixes.get(&path[..=end]))?;
         self.configuration.routes.get(*found)
     }
 
     /// Returns the customer that holds a key.
     pub fn customer_opt(&self, key: Key) -> Option<&Customer> {
-        let at = *self.keys.get(&key)?;
-        self.configuration.customers.as_ref()?.get(at)
+        let index = *self.keys.get(&key)?;
+        self.configuration.customers.as_ref()?.get(index)
     }
 
     /// Returns the customer with the number that nodes use for it in messages.
     pub fn customer_by_number_opt(&self, number: u64) -> Option<&Customer> {
-        let at = *self.customers.get(&number)?;
-        self.configuration.customers.as_ref()?.get(at)
+        let index = *self.customers.get(&number)?;
+        self.configuration.customers.as_ref()?.get(index)
     }
 
     /// Returns a service by name.
--- a/crates/dispatch/src/turnaround.rs
+++ b/crates/dispatch/src/turnaround.rs
@@ -25,7 +25,7 @@
 /// The typical times of calls by other nodes in slots of one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Turnaround {
-    /// The time from the grant of a slot until its owner hears that it is free, in microseconds.
+    /// The time from the grant of a slot until its owner learns that it is free, in microseconds.
     /// Zero until a call was observed.
     held: f64,
     /// The part of that time in which the call was in progress, in microseconds.
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -25,8 +25,8 @@
     pub half_life: Span,
     /// How long an endpoint that reported to be full gets no requests.
     pub full_backoff: Span,
-    /// How long an endpoint is reported to other nodes as gone. Covers the time until endpoint lists
-    /// no longer contain it.
+    /// How long an endpoint is reported to other nodes as gone. Covers the time until
+    /// endpoint lists no longer contain it.
     pub gone_report_period: Span,
 }
 
@@ -71,7 +71,7 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
 /// The number of nodes that must report an endpoint as unreachable before a node that saw no
-/// failure itself believes it. A single node may be unable to reach the endpoint.
+/// failure itself treats it as such. A single node may be unable to reach the endpoint.
 const MIN_UNREACHABLE_REPORTS: u32 = 2;
 
 /// How long a successful call outweighs the reports of other nodes.
@@ -127,7 +127,7 @@
     pub remote_reports: Reports,
     /// Whether a connection could not be established at its last failure.
     pub unreachable: bool,
-    /// When another endpoint answered at its address. It is then gone, whatever the lists say.
+    /// When another endpoint answered at its address. It is then gone even if still listed.
     pub gone_at: Option<Time>,
     /// When a call to it last succeeded.
     pub last_success: Option<Time>,
@@ -188,7 +188,7 @@
         self.running + self.remote_running
     }
 
-    /// Adds a request to its load.
+    /// Adds a request to the endpoint's load.
     pub fn start(&mut self, now: Time, uncached: u64) {
         if self.running == 0 {
             self.last_progress = now;
@@ -197,7 +197,7 @@
         self.pending += uncached;
     }
 
-    /// Removes a request from its load, with the prompt tokens that were still unread.
+    /// Removes a request from the endpoint's load, with the prompt tokens that were still unread.
     pub fn end(&mut self, pending: u64) {
         self.running = self.running.saturating_sub(1);
         self.pending = self.pending.saturating_sub(pending);
@@ -280,39 +280,39 @@
         self.backoff_until = self.backoff_until.max(now + options.full_backoff);
     }
 
-    /// Whether it has requests in progress and has made no progress for too long.
+    /// Whether the endpoint has requests in progress and has made no progress for too long.
     pub fn is_stalled(&self, now: Time, options: &Options) -> bool {
         self.running > 0 && now.since(self.last_progress) > options.stall_timeout
     }
 
-    /// Whether it stated a rate limit.
+    /// Whether the endpoint stated a rate limit.
     pub fn is_rate_limited(&self) -> bool {
         self.rate_limit.limit_opt().is_some()
     }
 
-    /// Whether it is leaving according to the platform or its own answers.
+    /// Whether the endpoint is leaving according to the platform or its own answers.
     pub fn is_leaving(&self) -> bool {
         self.endpoint.leaving || self.leaving
     }
 
-    /// Whether it is listed and neither leaving nor gone.
+    /// Whether the endpoint is listed and neither leaving nor gone.
     pub fn is_present(&self) -> bool {
         self.listed && !self.is_leaving() && self.gone_at.is_none()
     }
 
-    /// Whether it may be sent requests at all: it is listed, neither leaving nor gone, and its data
-    /// centre is not evacuated.
+    /// Whether the endpoint may be sent requests at all: it is listed, neither leaving nor
+    /// gone, and its data centre is not evacuated.
     pub fn is_open(&self) -> bool {
         self.is_present() && !self.evacuated
     }
 
-    /// Whether this node may send it new requests.
+    /// Whether this node may send the endpoint new requests.
     pub fn accepts_work(&self, now: Time, options: &Options) -> bool {
         self.is_lendable(now, options) && !self.rest.is_resting(now)
     }
 
-    /// Whether its slots may be granted to other nodes. A rest that it asked of this node does not
-    /// apply to them.
+    /// Whether the endpoint's slots may be granted to other nodes. A rest that it asked of this
+    /// node does not apply to them.
     pub fn is_lendable(&self, now: Time, options: &Options) -> bool {
         self.is_open()
             && now >= self.backoff_until
@@ -320,8 +320,8 @@
             && !self.is_reported_down(now)
     }
 
-    /// Whether it may reject requests: it did so recently, at this node or another, and none of
-    /// this node's calls has succeeded since.
+    /// Whether the endpoint may reject requests: it did so recently, at this node or another,
+    /// and none of this node's calls has succeeded since.
     pub fn is_unconfirmed(&self, now: Time) -> bool {
         let proved = self
             .last_success
@@ -329,8 +329,8 @@
         self.rest.is_unconfirmed(now) || (!proved && self.rest.is_unconfirmed_elsewhere(now))
     }
 
-    /// Whether others found it gone or several could not connect to it, and no call of this node
-    /// succeeded recently. The nodes that report it keep trying it.
+    /// Whether other nodes found the endpoint gone, or several could not connect to it, and no call
+    /// of this node succeeded recently. The nodes that report this keep trying the endpoint.
     fn is_reported_down(&self, now: Time) -> bool {
         let proved = self
             .last_success
