--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -90,9 +90,9 @@
                 .take_while(|time| **time >= start)
                 .count()
         };
-        let own = self.options.ratio * recent(&counts.requests) as f64;
-        let part = self.options.extra / nodes.max(1) as f64;
-        let allowed = ((own + part) * self.options.safety_factor) as u64;
+        let from_ratio = self.options.ratio * recent(&counts.requests) as f64;
+        let from_extra = self.options.extra / nodes.max(1) as f64;
+        let allowed = ((from_ratio + from_extra) * self.options.safety_factor) as u64;
         allowed.saturating_sub(recent(&counts.repeats) as u64)
     }
 
--- a/crates/dispatch/src/member/cell.rs
+++ b/crates/dispatch/src/member/cell.rs
@@ -110,7 +110,7 @@
         cells
     }
 
-    /// Returns the number of another node's data centre, if the node was ever heard.
+    /// Returns the number of another node's data centre, if a status of the node was received.
     pub fn data_centre_opt(&self, address: SocketAddrV4) -> Option<u32> {
         let member = self.peers.get(&address);
         let heard = member.filter(|member| member.last_heard.is_some());
@@ -129,16 +129,16 @@
         if self.cell.covers_fleet {
             return Role::Standalone;
         }
-        let own = score(&self.own_address);
-        let before = self.live(now).filter(|(address, member)| {
+        let own_score = score(&self.own_address);
+        let preceding = self.live(now).filter(|(address, member)| {
             let status = &member.status;
             status.data_centre == self.data_centre
                 && status.protocol.supports_eras()
                 && !status.leaving
-                && score(address) < own
+                && score(address) < own_score
         });
         let (unable, able): (Vec<_>, Vec<_>) =
-            before.partition(|(_, member)| member.status.platform_unreachable);
+            preceding.partition(|(_, member)| member.status.platform_unreachable);
         let is_candidate = unable.len() + able.len() < self.options.reader_candidates;
         match is_candidate && able.len() < self.options.platform_readers {
             true => Role::Reader,
@@ -157,8 +157,8 @@
     nodes.sort_by_key(|address| (score(address), *address));
     let count = nodes.len().div_ceil(target_size).max(1);
     let mut cells = vec![Vec::new(); count];
-    for (place, address) in nodes.into_iter().enumerate() {
-        cells[place % count].push(address);
+    for (position, address) in nodes.into_iter().enumerate() {
+        cells[position % count].push(address);
     }
     cells
 }
--- a/crates/dispatch/src/member/gossip.rs
+++ b/crates/dispatch/src/member/gossip.rs
@@ -8,7 +8,7 @@
 
 use super::Members;
 
-/// The interval at which seeds are probed before any node was heard. It is short because, of
+/// The interval at which seeds are probed before any status is received. It is short because, of
 /// nodes that start together, the seeds may start a little later.
 const STARTUP_PROBE_INTERVAL: Span = Span::from_millis(60);
 
@@ -50,10 +50,10 @@
         known
     }
 
-    /// Whether a node may know few other nodes: it was never heard, or not for long.
+    /// Whether a node may know few other nodes: it joined recently, or never sent a status.
     pub fn is_newcomer(&self, now: Time, address: SocketAddrV4) -> bool {
         let joined = self.peers.get(&address).and_then(|member| member.joined);
-        joined.is_none_or(|at| now.since(at) < self.options.newcomer_for)
+        joined.is_none_or(|joined| now.since(joined) < self.options.newcomer_for)
     }
 
     /// Returns the part of the advertised members that an established node is sent.
@@ -85,13 +85,13 @@
             let silent_after = if member.in_cell { silent.0 } else { silent.1 };
             let live = member
                 .last_heard
-                .is_some_and(|heard| now.since(heard) <= silent_after);
-            let wait = match (live, member.in_cell) {
+                .is_some_and(|last_heard| now.since(last_heard) <= silent_after);
+            let interval = match (live, member.in_cell) {
                 (true, true) => in_cell,
                 (true, false) => beyond,
                 (false, _) => probe,
             };
-            if member.last_sent == Time(0) || now.since(member.last_sent) >= wait {
+            if member.last_sent == Time(0) || now.since(member.last_sent) >= interval {
                 member.last_sent = now;
                 due.push(*address);
             }
--- a/crates/dispatch/src/member/mod.rs
+++ b/crates/dispatch/src/member/mod.rs
@@ -53,7 +53,7 @@
     /// already, and 16 addresses would take 96 of the 118 bytes of an idle node's status (test
     /// `an_established_node_is_told_of_few_others`).
     pub members_to_established: usize,
-    /// How long a node counts as a newcomer after it was first heard.
+    /// How long a node counts as a newcomer after it joined.
     pub newcomer_for: Span,
     /// The maximum number of nodes in a fleet that forms a single cell.
     pub single_cell_max: usize,
@@ -61,7 +61,8 @@
     pub cell_size: usize,
     /// The rate limit of statuses that one node sends beyond its cell.
     pub remote_statuses_per_second: u64,
-    /// The rate limit of statuses beyond the cell while a customer's usage is high compared with its quota.
+    /// The rate limit of statuses beyond the cell while a customer's usage is high compared
+    /// with its quota.
     pub high_usage_statuses_per_second: u64,
     /// The number of nodes per data centre that read the platform for a larger fleet.
     pub platform_readers: usize,
@@ -109,9 +110,10 @@
     pub last_sent: Time,
     /// Whether it belongs to this node's cell.
     pub in_cell: bool,
-    /// When its current incarnation was first heard, or was last heard again after a silence.
+    /// When the first status of its current incarnation was received, or the first one after its
+    /// last silence.
     pub joined: Option<Time>,
-    /// When the same incarnation was last heard again after a silence.
+    /// When the first status after the last silence of the same incarnation was received.
     pub last_returned: Option<Time>,
     /// When it last failed to answer a request.
     pub last_unanswered: Option<Time>,
@@ -133,7 +135,7 @@
     cell: Cell,
     /// The nodes of every other cell of the fleet.
     other_cells: Vec<Vec<SocketAddrV4>>,
-    /// When any other node was first heard.
+    /// When the first status of any other node was received.
     first_heard: Option<Time>,
     /// Whether this node is stopping.
     pub leaving: bool,
@@ -197,17 +199,17 @@
             in_cell,
             ..Member::default()
         });
-        let same = member.status.incarnation == status.incarnation;
-        if same && status.sequence <= member.status.sequence {
+        let same_incarnation = member.status.incarnation == status.incarnation;
+        if same_incarnation && status.sequence <= member.status.sequence {
             return Reception::Stale;
         }
         let was_heard = member
             .last_heard
             .is_some_and(|last_heard| now.since(last_heard) <= silent_after);
-        if same && !was_heard {
+        if same_incarnation && !was_heard {
             member.last_returned = Some(now);
         }
-        let known = same && was_heard;
+        let known = same_incarnation && was_heard;
         if !known {
             member.joined = Some(now);
         }
@@ -269,7 +271,7 @@
             .is_some_and(|last_heard| now.since(last_heard) <= silent_after)
     }
 
-    /// Returns the nodes that were heard recently, with their latest statuses.
+    /// Returns the nodes that sent a status recently, with their latest statuses.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (&SocketAddrV4, &Member)> + '_ {
         self.peers
             .iter()
@@ -278,7 +280,7 @@
 
     /// Returns the part of the fleet from which this node receives statuses. A node that returns
     /// after a silence counts as silent for a while: after a partition, each node would
-    /// otherwise take itself for most of the fleet until all have heard each other again.
+    /// otherwise consider itself most of the fleet until all have exchanged statuses again.
     pub fn reach(&self, now: Time) -> Reach {
         let counted = self
             .peers
@@ -290,11 +292,11 @@
             if !live && member.status.leaving {
                 continue;
             }
-            let returns = member
+            let has_just_returned = member
                 .last_returned
-                .is_some_and(|at| now.since(at) < self.options.silent_after);
+                .is_some_and(|returned| now.since(returned) < self.options.silent_after);
             nodes += 1;
-            silent += usize::from(!live || returns);
+            silent += usize::from(!live || has_just_returned);
         }
         Reach {
             nodes,
@@ -306,20 +308,20 @@
 
     /// Returns the newest configuration version that a live node reports, if any node is live.
     pub fn newest_configuration_version_opt(&self, now: Time) -> Option<u64> {
-        let said = self
+        let versions = self
             .live(now)
             .map(|(_, member)| member.status.configuration);
-        said.max()
+        versions.max()
     }
 
     /// Returns the configuration version that each live node reports, newest first.
     pub fn configuration_versions(&self, now: Time) -> Vec<(SocketAddrV4, u64)> {
-        let said = self.live(now);
-        let mut said: Vec<_> = said
+        let live = self.live(now);
+        let mut versions: Vec<_> = live
             .map(|(address, member)| (*address, member.status.configuration))
             .collect();
-        said.sort_by_key(|(address, version)| (Reverse(*version), *address));
-        said
+        versions.sort_by_key(|(address, version)| (Reverse(*version), *address));
+        versions
     }
 
     /// Whether neither a seed nor another node is known.
@@ -334,17 +336,17 @@
         &mut self,
         now: Time,
         address: SocketAddrV4,
-        known: (u32, u32),
+        digests: (u32, u32),
         every: Span,
     ) -> bool {
         let Some(member) = self.peers.get_mut(&address) else {
             return false;
         };
-        let lately = |(at, before): (Time, (u32, u32))| before == known && now.since(at) < every;
-        if member.findings_sent.is_some_and(lately) {
+        let recent = |(sent, last): (Time, (u32, u32))| last == digests && now.since(sent) < every;
+        if member.findings_sent.is_some_and(recent) {
             return false;
         }
-        member.findings_sent = Some((now, known));
+        member.findings_sent = Some((now, digests));
         true
     }
 
@@ -365,8 +367,8 @@
     /// Returns the number of requests that wait for a service on another node, by its latest
     /// status.
     pub fn waiting_at(&self, address: SocketAddrV4, service: u32) -> usize {
-        let said = self.peers.get(&address).into_iter();
-        let waiting = said.flat_map(|member| &member.status.waiting);
+        let member = self.peers.get(&address).into_iter();
+        let waiting = member.flat_map(|member| &member.status.waiting);
         let of_service = waiting.filter(|waiting| waiting.service == service);
         of_service.map(|waiting| usize::from(waiting.count)).sum()
     }
--- a/crates/dispatch/src/member/owner.rs
+++ b/crates/dispatch/src/member/owner.rs
@@ -54,13 +54,15 @@
         if !hands_over || owners.is_empty() {
             owners.push((score(key, &self.own_address), self.own_address, None));
         }
-        let tried = MAX_OWNERS_TRIED.min(owners.len());
-        if owners.len() > tried {
-            owners.select_nth_unstable_by(tried, |one, other| other.cmp(one));
-            owners.truncate(tried);
+        let count = MAX_OWNERS_TRIED.min(owners.len());
+        if owners.len() > count {
+            owners.select_nth_unstable_by(count, |left, right| right.cmp(left));
+            owners.truncate(count);
         }
-        owners.sort_unstable_by(|one, other| other.cmp(one));
-        let owner = owners.iter().find(|(_, _, at)| !is_backing_off(now, *at));
+        owners.sort_unstable_by(|left, right| right.cmp(left));
+        let owner = owners
+            .iter()
+            .find(|(_, _, last_unanswered)| !is_backing_off(now, *last_unanswered));
         match owner {
             None => Owner::Unreachable,
             Some((_, address, _)) if *address == self.own_address => Owner::Local,
@@ -71,14 +73,14 @@
     /// Returns the owner of a key in each other cell, in an order that varies with `turn`.
     pub fn owners_in_other_cells(&self, now: Time, key: u64, turn: u64) -> Vec<SocketAddrV4> {
         let owner_in = |cell: &Vec<SocketAddrV4>| {
-            let heard = cell.iter().filter(|address| {
+            let available = cell.iter().filter(|address| {
                 let member = self.peers.get(address);
                 let live = member.filter(|member| self.is_live(now, member));
                 live.is_some_and(|member| {
                     is_eligible(member) && !is_backing_off(now, member.last_unanswered)
                 })
             });
-            heard.copied().max_by_key(|address| score(key, address))
+            available.copied().max_by_key(|address| score(key, address))
         };
         let mut owners: Vec<SocketAddrV4> = self.other_cells.iter().filter_map(owner_in).collect();
         owners.sort_by_key(|address| score(turn, address));
@@ -104,7 +106,7 @@
             .is_some_and(Protocol::supports_notices)
     }
 
-    /// Returns the protocol of a node, if the node was ever heard.
+    /// Returns the protocol of a node, if a status of the node was received.
     fn protocol_opt(&self, address: SocketAddrV4) -> Option<Protocol> {
         let member = self.peers.get(&address);
         let heard = member.filter(|member| member.last_heard.is_some());
@@ -132,7 +134,7 @@
 }
 
 fn is_backing_off(now: Time, last_unanswered: Option<Time>) -> bool {
-    last_unanswered.is_some_and(|at| now.since(at) < UNANSWERED_BACKOFF)
+    last_unanswered.is_some_and(|unanswered| now.since(unanswered) < UNANSWERED_BACKOFF)
 }
 
 /// Returns the rendezvous score of a node for a key; the highest is preferred.
--- a/crates/dispatch/src/member/startup.rs
+++ b/crates/dispatch/src/member/startup.rs
@@ -13,13 +13,13 @@
 use super::Role;
 use super::cell;
 
-/// How long a node that has heard another one waits before it reads the platform itself: a few
+/// How long a node that received a first status waits before it reads the platform itself: a few
 /// round trips, in which it learns of other nodes from the first ones it meets.
 const DISCOVERY_PERIOD: Span = Span::from_millis(80);
 
-/// The time after the first node was heard at which a node reads the platform itself in any
+/// The time after the first status was received at which a node reads the platform itself in any
 /// case: enough for two reads of 1.1 MB over 20 Mbit/s and some transfers. It counts from the
-/// first node heard rather than from the start, because nodes that start partitioned return
+/// first status rather than from the start, because nodes that start partitioned return
 /// together.
 const MAX_LIST_WAIT: Span = Span::from_millis(1_500);
 
@@ -43,16 +43,16 @@
         if heard_for < DISCOVERY_PERIOD || self.has_peer_with_list(now) {
             return Role::Follower;
         }
-        let own = cell::score(&self.own_address);
-        let before = self.live(now).filter(|(address, member)| {
+        let own_score = cell::score(&self.own_address);
+        let preceding = self.live(now).filter(|(address, member)| {
             let status = &member.status;
             status.data_centre == self.data_centre
                 && status.protocol.supports_eras()
                 && !status.leaving
                 && !status.platform_unreachable
-                && cell::score(address) < own
+                && cell::score(address) < own_score
         });
-        match before.count() < self.options.platform_readers {
+        match preceding.count() < self.options.platform_readers {
             true => Role::Reader,
             false => Role::Follower,
         }
@@ -60,8 +60,8 @@
 
     /// Whether a live node has a list of endpoints.
     fn has_peer_with_list(&self, now: Time) -> bool {
-        let mut heard = self.live(now);
-        heard.any(|(_, member)| {
+        let mut live = self.live(now);
+        live.any(|(_, member)| {
             member.status.protocol.supports_eras() && member.status.endpoints.revision > 0
         })
     }
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -96,10 +96,11 @@
     /// The protocol of the node.
     #[serde(skip, default = "Protocol::first")]
     pub protocol: Protocol,
-    /// A part of the rate limits that it knows, a different one each time.
+    /// A part of the rate limits that the node knows, a different part in each status.
     #[serde(skip)]
     pub rate_limits: Vec<rate_limit::Announcement>,
-    /// A part of the other notices that endpoints sent in answers, a different one each time.
+    /// A part of the other notices that endpoints sent in answers, a different part in each
+    /// status.
     #[serde(skip)]
     pub notices: Vec<notice::Announcement>,
 }
--- a/crates/dispatch/src/quota/admit.rs
+++ b/crates/dispatch/src/quota/admit.rs
@@ -17,7 +17,7 @@
     /// Takes a request's units out of the customer's bucket.
     ///
     /// # Errors
-    /// Returns the bucket's level and the time until it holds enough.
+    /// Returns the bucket's level and an estimate of the time until it holds enough.
     pub fn admit(
         &mut self,
         now: Time,
@@ -45,13 +45,13 @@
         };
         let account = self.account(now, customer, quota, reach);
         // A request larger than the bucket is admitted once the bucket is full.
-        let asked = (units as f64 + reserved).min(capacity);
+        let required = (units as f64 + reserved).min(capacity);
         let level = match backlogged {
             true => account.level.min(account.base_level),
             false => account.level,
         };
-        if level < asked {
-            let missing = asked - level;
+        if level < required {
+            let missing = required - level;
             return Err(Denied {
                 wait: to_wait(missing / quota.per_second.max(1e-9)),
                 level,
--- a/crates/dispatch/src/quota/initial.rs
+++ b/crates/dispatch/src/quota/initial.rs
@@ -53,13 +53,13 @@
 
     /// This node's share of the initial credit.
     fn initial_share(&self, now: Time, reach: Reach) -> f64 {
-        let least = 1.0 / ASSUMED_NODES as f64;
+        let min_share = 1.0 / ASSUMED_NODES as f64;
         if reach.isolated {
-            return least;
+            return min_share;
         }
-        let even = 1.0 / reach.nodes.max(1) as f64;
-        let since = now.since(self.started).as_secs_f64();
-        let met = since / self.options.discovery_time.as_secs_f64();
-        (even * met.min(1.0)).max(least.min(even))
+        let even_share = 1.0 / reach.nodes.max(1) as f64;
+        let elapsed = now.since(self.started).as_secs_f64();
+        let discovered = elapsed / self.options.discovery_time.as_secs_f64();
+        (even_share * discovered.min(1.0)).max(min_share.min(even_share))
     }
 }
--- a/crates/dispatch/src/quota/mod.rs
+++ b/crates/dispatch/src/quota/mod.rs
@@ -5,8 +5,8 @@
 //! silent, its even share of the rate counts as used there, so that the two sides of
 //! a network partition never exceed the quota between them.
 //!
-//! In a fleet of one cell each node decides from its own bucket, as all nodes hear
-//! each other many times a second. In a larger fleet each customer has an owner
+//! In a fleet of one cell each node decides from its own bucket, as all nodes
+//! exchange statuses many times a second. In a larger fleet each customer has an owner
 //! among the nodes, which the others ask (`dispatcher/reserve.rs`).
 //!
 //! * `admit.rs`: charges requests.
@@ -50,7 +50,7 @@
     pub window: Span,
     /// For how long a node that reaches no owner may accumulate its unused share.
     pub accrual_time: Span,
-    /// The fraction of a limit that a node admits while it has heard no other node
+    /// The fraction of a limit that a node admits while it has received no status
     /// since its start, and the fraction of its even share that a node admits while
     /// it reaches no owner.
     pub isolated_share: f64,
@@ -104,9 +104,9 @@
     pub nodes: usize,
     /// The silent nodes among them.
     pub silent: usize,
-    /// Whether no other node was heard since the start.
+    /// Whether no status of another node was received since the start.
     pub isolated: bool,
-    /// Whether the whole fleet is one cell, whose nodes hear each other many times a
+    /// Whether the whole fleet is one cell, whose nodes exchange statuses many times a
     /// second.
     pub one_cell: bool,
 }
@@ -116,15 +116,16 @@
     /// whole fleet. Silent nodes may have an enforcer of the same bound among
     /// themselves, so the interval grows with their number.
     pub fn scale_interval(self, interval: Span) -> Span {
-        let heard = self.nodes.saturating_sub(self.silent).max(1);
-        Span(interval.0 * self.nodes as u64 / heard as u64)
+        let live = self.nodes.saturating_sub(self.silent).max(1);
+        Span(interval.0 * self.nodes as u64 / live as u64)
     }
 }
 
 /// Why a request was not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Denied {
-    /// The time until the bucket holds enough if nothing else is admitted.
+    /// The estimated time until the request fits if nothing else is admitted. The wait for
+    /// a bucket to fill is computed from the full rate of the quota.
     pub wait: Span,
     /// The units in the bucket now.
     pub level: f64,
@@ -231,13 +232,14 @@
         self.started + self.options.discovery_time
     }
 
-    /// The share of a quota that this node may give out: that of the nodes it hears.
+    /// The share of a quota that this node may grant: the share of the nodes that are not
+    /// silent.
     fn visible_share(&self, reach: Reach) -> f64 {
         if reach.isolated {
             return self.options.isolated_share;
         }
-        let heard = reach.nodes.saturating_sub(reach.silent).max(1);
-        heard as f64 / reach.nodes.max(1) as f64
+        let live = reach.nodes.saturating_sub(reach.silent).max(1);
+        live as f64 / reach.nodes.max(1) as f64
     }
 
     /// The fraction of the allowance that buckets use.
--- a/crates/dispatch/src/quota/usage.rs
+++ b/crates/dispatch/src/quota/usage.rs
@@ -25,7 +25,7 @@
     pub address: SocketAddrV4,
     /// Distinguishes the node's runs.
     pub incarnation: u64,
-    /// Whether this incarnation was heard before.
+    /// Whether a status of this incarnation was received before.
     pub known: bool,
 }
 
@@ -64,7 +64,7 @@
             // previous report is so old that the account was dropped. A full bucket
             // bounds what that can cost.
             None if from.known => (reported.units as f64).min(account.capacity),
-            // Usage before a node was first heard does not count.
+            // Usage before the first status of a node does not count.
             None => 0.0,
         };
         account.take(used);
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -140,7 +140,7 @@
             return report.limit.is_some() && self.replace(now, report);
         };
         let newer_by = match report.limit {
-            same if same == known.limit => REFRESH_MIN_NEWER_BY,
+            limit if limit == known.limit => REFRESH_MIN_NEWER_BY,
             Some(_) => Span::ZERO,
             None => END_MIN_NEWER_BY,
         };
--- a/crates/dispatch/src/rest.rs
+++ b/crates/dispatch/src/rest.rs
@@ -31,8 +31,8 @@
 /// The maximum number of times that either delay doubles.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Nodes for which an endpoint rests until the same moment return to it over a span of the
-/// rest divided by this, up to a maximum.
+/// The divisor of a rest that gives the span over which nodes return to the endpoint, up to
+/// `MAX_JITTER`. Without it, all nodes with the same rest would return at the same moment.
 const JITTER_DIVISOR: u64 = 8;
 const MAX_JITTER: Span = Span::from_millis(250);
 
@@ -53,7 +53,7 @@
     until: Time,
     /// Whether the end of the rest has yet to be reported by [`State::take_end`].
     is_end_pending: bool,
-    /// The number of rests requested since the endpoint last accepted a request.
+    /// The number of rests that began since the endpoint last accepted a request.
     consecutive_rests: u32,
     /// When the probe in flight was sent, if there is one.
     probe: Option<Time>,
@@ -111,11 +111,11 @@
 
     /// Whether the endpoint is to be probed although others have room.
     pub fn is_probe_due(&self, now: Time) -> bool {
-        let after = match self.consecutive_rests {
+        let delay = match self.consecutive_rests {
             0 | 1 => Span::ZERO,
             consecutive_rests => doubled(FIRST_PROBE_DELAY, consecutive_rests - 2),
         };
-        self.probe.is_none() && now >= self.remote_until && now >= self.until + after
+        self.probe.is_none() && now >= self.remote_until && now >= self.until + delay
     }
 
     /// Records that a request was sent while the endpoint is unconfirmed.
