--- a/crates/dispatch/src/length.rs
+++ b/crates/dispatch/src/length.rs
@@ -27,7 +27,7 @@
 
     /// The number of events for each estimated token. `None` until enough streams were observed.
     pub fn events_per_token_opt(&self) -> Option<f64> {
-        let known = self.streams >= MIN_STREAMS && self.estimated > 0.0;
-        known.then(|| self.events / self.estimated)
+        let is_reliable = self.streams >= MIN_STREAMS && self.estimated > 0.0;
+        is_reliable.then(|| self.events / self.estimated)
     }
 }
--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -202,8 +202,8 @@
 }
 
 impl Versions {
-    /// Returns the same versions with the other document's at its maximum, so that nothing of
-    /// it counts as newer.
+    /// Returns the versions with the other document's version at its maximum, so that no
+    /// version of the other document counts as newer.
     pub fn only(self, document: Document) -> Versions {
         match document {
             Document::Configuration => Versions {
@@ -265,8 +265,8 @@
 /// One part of a [`Snapshot`] as it is transferred.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// No documents follow, because too many transfers are in progress; another node is to be
-    /// asked.
+    /// No documents follow, because too many transfers are in progress; the receiver has to
+    /// ask another node.
     Busy,
     /// The changed sections of a list of endpoints.
     Endpoints(Difference),
--- a/crates/dispatch/src/parts.rs
+++ b/crates/dispatch/src/parts.rs
@@ -216,7 +216,7 @@
     }
 
     /// Assembles a configuration from the received parts and those of the configuration in
-    /// force. Returns none if a part is missing.
+    /// force. Returns `None` if a part is missing.
     pub fn try_assemble(
         &self,
         manifest: &Manifest,
--- a/crates/dispatch/src/quarantine/registry.rs
+++ b/crates/dispatch/src/quarantine/registry.rs
@@ -101,18 +101,18 @@
         });
     }
 
-    /// Records that an endpoint is alive, so attempts broke there for another reason.
+    /// Records that an endpoint is alive, so that its broken attempts are not charged.
     pub fn record_alive(&mut self, endpoint: u32) {
         self.broken_attempts
             .retain(|attempt| attempt.endpoint != endpoint);
     }
 
-    /// Records that an endpoint crashed. Charges the requests that broke there and
-    /// returns them.
+    /// Records that an endpoint crashed. Charges the requests whose attempts broke at the
+    /// endpoint and returns their fingerprints.
     pub fn record_ended(&mut self, now: Time, endpoint: u32) -> Vec<Fingerprint> {
-        let under = self.broken_attempts.iter();
-        let under = under.filter(|attempt| attempt.endpoint == endpoint);
-        let mut charged: Vec<Fingerprint> = under.map(|attempt| attempt.fingerprint).collect();
+        let broken = self.broken_attempts.iter();
+        let broken = broken.filter(|attempt| attempt.endpoint == endpoint);
+        let mut charged: Vec<Fingerprint> = broken.map(|attempt| attempt.fingerprint).collect();
         charged.sort_unstable();
         charged.dedup();
         self.record_alive(endpoint);
@@ -166,8 +166,9 @@
         findings
     }
 
-    /// Returns the findings to send to a node with a different digest: barred requests
-    /// first, and the rest in rotation over successive calls.
+    /// Returns the findings to send to a node with a different digest. If they do not fit
+    /// in one message, half of it holds the requests with the most crashes, and the other
+    /// half rotates through the rest over successive calls.
     pub fn findings(&mut self, now: Time) -> Vec<Finding> {
         let max_findings = self.options.max_findings_per_message;
         let mut all: Vec<(Fingerprint, &Record)> = self.iter().collect();
@@ -202,12 +203,12 @@
             }
             self.recent_changes.pop_front();
         }
-        let old = self.iter().filter(|(_, record)| {
+        let expired = self.iter().filter(|(_, record)| {
             record.ends.len() < self.options.bar_threshold
                 && now.since(record.last) > self.options.forget_after
         });
-        let old: Vec<Fingerprint> = old.map(|(fingerprint, _)| fingerprint).collect();
-        for fingerprint in old {
+        let expired: Vec<Fingerprint> = expired.map(|(fingerprint, _)| fingerprint).collect();
+        for fingerprint in expired {
             self.remove(fingerprint);
         }
     }
@@ -216,9 +217,9 @@
     /// not.
     pub fn trial_delay_opt(&self, record: &Record) -> Option<Span> {
         if record.was_cleared() {
-            let doubled =
+            let delay =
                 self.options.cleared_trial_delay.0 << record.trials.min(MAX_TRIAL_DOUBLINGS);
-            return Some(Span(doubled));
+            return Some(Span(delay));
         }
         (record.trials < self.options.max_trials).then_some(self.options.trial_delay)
     }
@@ -253,7 +254,8 @@
         }
     }
 
-    /// Makes room by removing the oldest record that is not barred, or the oldest of all.
+    /// Removes a record if the registry is full: the oldest that is not barred, or the
+    /// oldest of all if every record is barred.
     fn evict_if_full(&mut self) {
         if self.records.len() < self.options.max_records {
             return;
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -59,7 +59,7 @@
         Some(job)
     }
 
-    /// Moves requests whose objective has passed behind those of their rank that can still meet it.
+    /// Moves requests whose objective has passed behind the others of their rank.
     pub fn demote_late(&mut self, now: Time) {
         while let Some((objective, id)) = self.objectives.first().copied() {
             if objective > now {
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Returns a request that is of no use to its caller after `now`.
+    /// Returns a waiting request that has expired by `now`.
     pub fn expired_opt(&self, now: Time) -> Option<job::Id> {
         let (expires_at, id) = self.expiry_order.first()?;
         (*expires_at <= now).then_some(*id)
     }
 
-    /// Returns when the first request in a rank arrived.
+    /// Returns the arrival time of the request at the head of a rank.
     pub fn first_arrival_opt(&self, rank: Rank) -> Option<Time> {
         let from = (rank, false, Time(0), job::Id(0));
         let (position, job) = self.jobs.range(from..).next()?;
--- a/crates/dispatch/src/restore.rs
+++ b/crates/dispatch/src/restore.rs
@@ -60,7 +60,7 @@
     /// Records the endpoints that leave or end between two lists of the same era.
     pub fn record_list(&mut self, now: Time, before: &List, after: &List) {
         self.departures
-            .retain(|_, (_, at)| now.since(*at) < DEPARTURE_RETENTION);
+            .retain(|_, (_, recorded)| now.since(*recorded) < DEPARTURE_RETENTION);
         let listed: HashMap<Instance, bool> = after
             .endpoints
             .iter()
@@ -111,7 +111,7 @@
         });
     }
 
-    /// Returns a corrected copy of a list of the era in force, or none if the list needs no
+    /// Returns a corrected copy of a list of the era in force, or `None` if the list needs no
     /// correction.
     pub fn correct(&self, now: Time, list: &List) -> Option<List> {
         let overrides = self
@@ -135,19 +135,19 @@
     /// Drops the overrides once they have expired, after which lists are used unchanged.
     /// Returns true if they were dropped.
     pub fn expire(&mut self, now: Time) -> bool {
-        let over = self
+        let expired = self
             .overrides
             .as_ref()
             .is_some_and(|overrides| now >= overrides.until);
-        if over {
+        if expired {
             self.overrides = None;
         }
-        over
+        expired
     }
 }
 
 impl Overrides {
-    /// Returns an endpoint of the copy as corrected, or none if it has ended or was started
+    /// Returns an endpoint of the copy as corrected, or `None` if it has ended or was started
     /// again since.
     fn correct(&self, listed: &Endpoint) -> Option<Endpoint> {
         let latest_start = self.latest_starts.get(&listed.name).copied().unwrap_or(0);
--- a/crates/dispatch/src/section.rs
+++ b/crates/dispatch/src/section.rs
@@ -73,11 +73,11 @@
 }
 
 impl Difference {
-    /// Returns what a node with the sections `held` lacks of a list.
+    /// Returns the difference between a list and the sections `held` by another node.
     pub fn new(list: &List, index: &Index, held: &Index) -> Difference {
         let numbers = 0..COUNT as u8;
-        let differ = numbers.filter(|number| index.digest(*number) != held.digest(*number));
-        let mut sections: Vec<Section> = differ
+        let differing = numbers.filter(|number| index.digest(*number) != held.digest(*number));
+        let mut sections: Vec<Section> = differing
             .map(|number| Section {
                 number,
                 endpoints: Vec::new(),
@@ -85,8 +85,8 @@
             .collect();
         for endpoint in &list.endpoints {
             let number = section_number(endpoint);
-            if let Ok(at) = sections.binary_search_by_key(&number, |section| section.number) {
-                sections[at].endpoints.push(endpoint.clone());
+            if let Ok(position) = sections.binary_search_by_key(&number, |section| section.number) {
+                sections[position].endpoints.push(endpoint.clone());
             }
         }
         Difference {
--- a/crates/dispatch/src/wire.rs
+++ b/crates/dispatch/src/wire.rs
@@ -38,7 +38,7 @@
 /// Encodes a datagram: the layout version, the message and what is appended to it.
 ///
 /// # Errors
-/// If serialisation fails.
+/// Returns an error if serialisation fails.
 pub fn to_datagram(message: &Message) -> postcard::Result<Vec<u8>> {
     let bytes = postcard::to_extend(message, vec![protocol::LAYOUT])?;
     let status = match message {
@@ -55,7 +55,7 @@
     postcard::to_extend(&status.notices, bytes)
 }
 
-/// Decodes a datagram. Returns none for another layout version or invalid bytes.
+/// Decodes a datagram. Returns `None` for another layout version or invalid bytes.
 pub fn try_from_datagram(bytes: &[u8]) -> Option<Message> {
     let (layout, rest) = bytes.split_first()?;
     if *layout != protocol::LAYOUT {
@@ -80,7 +80,7 @@
 /// Encodes a request for documents.
 ///
 /// # Errors
-/// If serialisation fails.
+/// Returns an error if serialisation fails.
 pub fn pull_to_bytes(pull: &Pull) -> postcard::Result<Vec<u8>> {
     let extension = Extension {
         protocol: pull.protocol,
@@ -92,7 +92,7 @@
 /// Decodes a request for documents.
 ///
 /// # Errors
-/// If the bytes are not a valid request.
+/// Returns an error if the bytes are not a valid request.
 pub fn pull_from_bytes(bytes: &[u8]) -> postcard::Result<Pull> {
     let (mut pull, rest): (Pull, _) = postcard::take_from_bytes(bytes)?;
     let (extension, _) = take_extension(rest)?;
@@ -104,7 +104,7 @@
 /// Encodes one frame of a snapshot.
 ///
 /// # Errors
-/// If serialisation fails.
+/// Returns an error if serialisation fails.
 pub fn frame_to_bytes(frame: &Frame) -> postcard::Result<Vec<u8>> {
     let bytes = postcard::to_extend(frame, Vec::new())?;
     match frame {
@@ -123,7 +123,7 @@
 /// Decodes one frame of a snapshot.
 ///
 /// # Errors
-/// If the bytes are not a valid frame.
+/// Returns an error if the bytes are not a valid frame.
 pub fn frame_from_bytes(bytes: &[u8]) -> postcard::Result<Frame> {
     let (mut frame, rest) = postcard::take_from_bytes(bytes)?;
     match &mut frame {
--- a/crates/dispatch/src/worker.rs
+++ b/crates/dispatch/src/worker.rs
@@ -203,13 +203,13 @@
         self.pending = self.pending.saturating_sub(pending);
     }
 
-    /// Gradually forgets what was learnt, so that an endpoint that was slow or failing is tried
-    /// again.
+    /// Moves the failure rate, and the pace unless it follows [`Worker::step_us`], towards their
+    /// initial values, so that an endpoint that was slow or failing is tried again.
     pub fn decay(&mut self, now: Time, options: &Options) {
-        let since = now.since(self.updated_at).as_secs_f64();
-        let halves = since / options.half_life.as_secs_f64().max(1e-3);
-        if self.updated_at == Time(0) || halves > MIN_DECAY_HALF_LIVES {
-            let decay_factor = 0.5f64.powf(halves);
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        let half_lives = elapsed / options.half_life.as_secs_f64().max(1e-3);
+        if self.updated_at == Time(0) || half_lives > MIN_DECAY_HALF_LIVES {
+            let decay_factor = 0.5f64.powf(half_lives);
             if self.step_us.is_none() {
                 self.pace = 1.0 + (self.pace - 1.0) * decay_factor;
             }
@@ -261,17 +261,17 @@
         self.failure_rate += (1.0 - self.failure_rate) * OUTCOME_WEIGHT;
         self.updated_at = now;
         self.consecutive_breaks += 1;
-        let works = self
+        let succeeded = self
             .last_success
-            .is_some_and(|at| now.since(at) < SUCCESS_VALID_FOR);
-        if works && !unreachable && self.consecutive_breaks < BREAKS_BEFORE_BACKOFF {
+            .is_some_and(|last| now.since(last) < SUCCESS_VALID_FOR);
+        if succeeded && !unreachable && self.consecutive_breaks < BREAKS_BEFORE_BACKOFF {
             return;
         }
         self.unreachable = unreachable;
-        let doubled =
+        let backoff =
             options.initial_backoff.0 << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         self.consecutive_failures += 1;
-        self.backoff_until = now + Span(doubled.min(options.max_backoff.0));
+        self.backoff_until = now + Span(backoff.min(options.max_backoff.0));
     }
 
     /// Records that the endpoint reported to be full.
@@ -280,7 +280,7 @@
         self.backoff_until = self.backoff_until.max(now + options.full_backoff);
     }
 
-    /// Whether the endpoint has requests in progress and has made no progress for too long.
+    /// Whether the endpoint runs requests of this node and has made no progress for too long.
     pub fn is_stalled(&self, now: Time, options: &Options) -> bool {
         self.running > 0 && now.since(self.last_progress) > options.stall_timeout
     }
@@ -323,37 +323,37 @@
     /// Whether the endpoint may reject requests: it did so recently, at this node or another,
     /// and none of this node's calls has succeeded since.
     pub fn is_unconfirmed(&self, now: Time) -> bool {
-        let proved = self
+        let succeeded = self
             .last_success
-            .is_some_and(|at| now.since(at) < SUCCESS_VALID_FOR);
-        self.rest.is_unconfirmed(now) || (!proved && self.rest.is_unconfirmed_elsewhere(now))
+            .is_some_and(|last| now.since(last) < SUCCESS_VALID_FOR);
+        self.rest.is_unconfirmed(now) || (!succeeded && self.rest.is_unconfirmed_elsewhere(now))
     }
 
     /// Whether other nodes found the endpoint gone, or several could not connect to it, and no call
     /// of this node succeeded recently. The nodes that report this keep trying the endpoint.
     fn is_reported_down(&self, now: Time) -> bool {
-        let proved = self
+        let succeeded = self
             .last_success
-            .is_some_and(|at| now.since(at) < SUCCESS_VALID_FOR);
+            .is_some_and(|last| now.since(last) < SUCCESS_VALID_FOR);
         let reports = self.remote_reports;
         let unreachable =
             self.consecutive_failures == 0 && reports.unreachable >= MIN_UNREACHABLE_REPORTS;
-        !proved && (reports.gone > 0 || unreachable)
+        !succeeded && (reports.gone > 0 || unreachable)
     }
 
     /// The problem to report to other nodes, if any.
     pub fn unavailability_opt(&self, now: Time, options: &Options) -> Option<Unavailability> {
         if self
             .gone_at
-            .is_some_and(|at| now.since(at) < options.gone_report_period)
+            .is_some_and(|gone_at| now.since(gone_at) < options.gone_report_period)
         {
             return Some(Unavailability::Gone);
         }
-        let resting = self.consecutive_failures > 0 && now < self.backoff_until;
+        let is_backing_off = self.consecutive_failures > 0 && now < self.backoff_until;
         let unavailability = match self.unreachable {
             true => Unavailability::Unreachable,
             false => Unavailability::Failing,
         };
-        resting.then_some(unavailability)
+        is_backing_off.then_some(unavailability)
     }
 }
