--- a/crates/dispatch/src/quarantine/mod.rs
+++ b/crates/dispatch/src/quarantine/mod.rs
@@ -9,8 +9,8 @@
 //!
 //! The nodes' knowledge of a request is joined (a join semilattice, as in state-based
 //! CRDTs): even if findings are lost, duplicated or reordered, nodes that can communicate
-//! converge. Nothing expires with time except the record of a request that was charged
-//! but not barred, after [`Options::forget_after`].
+//! converge. Nothing expires with time except the record of a request with fewer crashes
+//! than [`Options::bar_threshold`], after [`Options::forget_after`].
 //!
 //! * [`record`]: the knowledge of one request, and how it is joined.
 //! * [`registry`]: all records, in bounded memory.
@@ -50,7 +50,8 @@
     /// How long the nodes whose turn it is may start a trial before twice as many may.
     /// The request may never reach the first ones.
     pub trial_turn_duration: Span,
-    /// How long a request that is not barred is remembered after the last crash.
+    /// How long a request with fewer crashes than [`Options::bar_threshold`] is
+    /// remembered after the last one.
     pub forget_after: Span,
     /// The maximum number of records.
     pub max_records: usize,
--- a/crates/dispatch/src/quarantine/registry.rs
+++ b/crates/dispatch/src/quarantine/registry.rs
@@ -187,8 +187,8 @@
         findings
     }
 
-    /// Removes broken attempts that were not confirmed in time, and old records of
-    /// requests that are not barred.
+    /// Removes broken attempts that were not confirmed in time, and old records with
+    /// fewer crashes than [`Options::bar_threshold`].
     pub fn expire(&mut self, now: Time) {
         let timeout = self.options.unconfirmed_timeout;
         while let Some(attempt) = self.broken_attempts.front() {
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Removes a record if the registry is full: the oldest that is not barred, or the
-    /// oldest of all if every record is barred.
+    /// Removes a record if the registry is full: the oldest with fewer crashes than
+    /// [`Options::bar_threshold`], or the oldest of all if there is none.
     fn evict_if_full(&mut self) {
         if self.records.len() < self.options.max_records {
             return;
