--- a/crates/dispatch/src/message.rs
+++ b/crates/dispatch/src/message.rs
@@ -87,7 +87,7 @@
     pub waiting: Vec<Waiting>,
     /// The usage of customers; a customer that is left out has not changed recently.
     pub usage: Vec<Usage>,
-    /// Addresses of some of the nodes that it heard recently.
+    /// Addresses of some of the nodes that sent it a status recently.
     pub members: Vec<SocketAddrV4>,
     /// A digest of all its findings on requests under which endpoints ended; 0 for none.
     pub quarantine_digest: u32,
@@ -96,10 +96,11 @@
     /// The protocol of the node.
     #[serde(skip, default = "Protocol::first")]
     pub protocol: Protocol,
-    /// A part of the rate limits that it knows, a different one each time.
+    /// A part of the rate limits that the node knows, a different part in each status.
     #[serde(skip)]
     pub rate_limits: Vec<rate_limit::Announcement>,
-    /// A part of the other notices that endpoints sent in answers, a different one each time.
+    /// A part of the other notices that endpoints sent in answers, a different part in each
+    /// status.
     #[serde(skip)]
     pub notices: Vec<notice::Announcement>,
 }
@@ -201,8 +202,8 @@
 }
 
 impl Versions {
-    /// Returns the same versions with the other document's at its maximum, so that nothing of
-    /// it counts as newer.
+    /// Returns the versions with the other document's version at its maximum, so that no
+    /// version of the other document counts as newer.
     pub fn only(self, document: Document) -> Versions {
         match document {
             Document::Configuration => Versions {
@@ -264,8 +265,8 @@
 /// One part of a [`Snapshot`] as it is transferred.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// No documents follow, because too many transfers are in progress; another node is to be
-    /// asked.
+    /// No documents follow, because too many transfers are in progress; the receiver has to
+    /// ask another node.
     Busy,
     /// The changed sections of a list of endpoints.
     Endpoints(Difference),
--- a/crates/dispatch/src/quarantine/registry.rs
+++ b/crates/dispatch/src/quarantine/registry.rs
@@ -101,18 +101,18 @@
         });
     }
 
-    /// Records that an endpoint is alive, so attempts broke there for another reason.
+    /// Records that an endpoint is alive, so that its broken attempts are not charged.
     pub fn record_alive(&mut self, endpoint: u32) {
         self.broken_attempts
             .retain(|attempt| attempt.endpoint != endpoint);
     }
 
-    /// Records that an endpoint crashed. Charges the requests that broke there and
-    /// returns them.
+    /// Records that an endpoint crashed. Charges the requests whose attempts broke at the
+    /// endpoint and returns their fingerprints.
     pub fn record_ended(&mut self, now: Time, endpoint: u32) -> Vec<Fingerprint> {
-        let under = self.broken_attempts.iter();
-        let under = under.filter(|attempt| attempt.endpoint == endpoint);
-        let mut charged: Vec<Fingerprint> = under.map(|attempt| attempt.fingerprint).collect();
+        let broken = self.broken_attempts.iter();
+        let broken = broken.filter(|attempt| attempt.endpoint == endpoint);
+        let mut charged: Vec<Fingerprint> = broken.map(|attempt| attempt.fingerprint).collect();
         charged.sort_unstable();
         charged.dedup();
         self.record_alive(endpoint);
@@ -156,40 +156,43 @@
             {
                 break;
             }
-            let known = findings.iter().any(|one| one.fingerprint == *fingerprint);
-            if let Some(record) = self.records.get(fingerprint).filter(|_| !known) {
+            let included = findings
+                .iter()
+                .any(|finding| finding.fingerprint == *fingerprint);
+            if let Some(record) = self.records.get(fingerprint).filter(|_| !included) {
                 findings.push(record.to_finding(now, *fingerprint));
             }
         }
         findings
     }
 
-    /// Returns the findings to send to a node with a different digest: barred requests
-    /// first, and the rest in rotation over successive calls.
+    /// Returns the findings to send to a node with a different digest. If they do not fit
+    /// in one message, half of it holds the requests with the most crashes, and the other
+    /// half rotates through the rest over successive calls.
     pub fn findings(&mut self, now: Time) -> Vec<Finding> {
-        let most = self.options.max_findings_per_message;
+        let max_findings = self.options.max_findings_per_message;
         let mut all: Vec<(Fingerprint, &Record)> = self.iter().collect();
         all.sort_unstable_by_key(|(fingerprint, record)| {
             (std::cmp::Reverse(record.ends.len()), *fingerprint)
         });
-        if all.len() > most {
-            let rest = &mut all[most / 2..];
+        if all.len() > max_findings {
+            let rest = &mut all[max_findings / 2..];
             let turns = self.rotation % rest.len();
             rest.rotate_left(turns);
         }
-        let selected = all.iter().take(most);
+        let selected = all.iter().take(max_findings);
         let findings = selected.map(|(fingerprint, record)| record.to_finding(now, *fingerprint));
         let findings = findings.collect();
-        self.rotation = self.rotation.wrapping_add(most / 2);
+        self.rotation = self.rotation.wrapping_add(max_findings / 2);
         findings
     }
 
-    /// Removes broken attempts that were not confirmed in time, and old records of
-    /// requests that are not barred.
+    /// Removes broken attempts that were not confirmed in time, and old records with
+    /// fewer crashes than [`Options::bar_threshold`].
     pub fn expire(&mut self, now: Time) {
-        let most = self.options.unconfirmed_timeout;
+        let timeout = self.options.unconfirmed_timeout;
         while let Some(attempt) = self.broken_attempts.front() {
-            if now.since(attempt.at) <= most {
+            if now.since(attempt.at) <= timeout {
                 break;
             }
             self.broken_attempts.pop_front();
@@ -200,12 +203,12 @@
             }
             self.recent_changes.pop_front();
         }
-        let old = self.iter().filter(|(_, record)| {
+        let expired = self.iter().filter(|(_, record)| {
             record.ends.len() < self.options.bar_threshold
                 && now.since(record.last) > self.options.forget_after
         });
-        let old: Vec<Fingerprint> = old.map(|(fingerprint, _)| fingerprint).collect();
-        for fingerprint in old {
+        let expired: Vec<Fingerprint> = expired.map(|(fingerprint, _)| fingerprint).collect();
+        for fingerprint in expired {
             self.remove(fingerprint);
         }
     }
@@ -214,9 +217,9 @@
     /// not.
     pub fn trial_delay_opt(&self, record: &Record) -> Option<Span> {
         if record.was_cleared() {
-            let doubled =
+            let delay =
                 self.options.cleared_trial_delay.0 << record.trials.min(MAX_TRIAL_DOUBLINGS);
-            return Some(Span(doubled));
+            return Some(Span(delay));
         }
         (record.trials < self.options.max_trials).then_some(self.options.trial_delay)
     }
@@ -251,7 +254,8 @@
         }
     }
 
-    /// Makes room by removing the oldest record that is not barred, or the oldest of all.
+    /// Removes a record if the registry is full: the oldest with fewer crashes than
+    /// [`Options::bar_threshold`], or the oldest of all if there is none.
     fn evict_if_full(&mut self) {
         if self.records.len() < self.options.max_records {
             return;
--- a/crates/dispatch/src/quota/usage.rs
+++ b/crates/dispatch/src/quota/usage.rs
@@ -25,7 +25,7 @@
     pub address: SocketAddrV4,
     /// Distinguishes the node's runs.
     pub incarnation: u64,
-    /// Whether this incarnation was heard before.
+    /// Whether a status of this incarnation was received before.
     pub known: bool,
 }
 
@@ -64,13 +64,13 @@
             // previous report is so old that the account was dropped. A full bucket
             // bounds what that can cost.
             None if from.known => (reported.units as f64).min(account.capacity),
-            // Usage before a node was first heard does not count.
+            // Usage before the first status of a node does not count.
             None => 0.0,
         };
         account.take(used);
     }
 
-    /// Whether a customer's usage is so high that other nodes should hear of it soon.
+    /// Whether a customer's usage is so high that it should be sent to other nodes soon.
     pub fn is_usage_high(&self, now: Time) -> bool {
         let since = now - HIGH_USAGE_TIME;
         let mut recent = self
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -82,7 +82,7 @@
 pub struct Report {
     /// The limit; `None` if it stated none.
     pub limit: Option<Limit>,
-    /// When that became known.
+    /// When the statement became known.
     pub at: Time,
 }
 
@@ -121,7 +121,7 @@
         self.report?.limit
     }
 
-    /// Records what an answer stated that arrived now, to a request sent at `sent`. An
+    /// Records the statement in an answer that arrived now, to a request sent at `sent`. An
     /// answer without a limit ends the known limit only if the request was sent after the
     /// limit became known, because heads of earlier requests may be older.
     ///
@@ -140,7 +140,7 @@
             return report.limit.is_some() && self.replace(now, report);
         };
         let newer_by = match report.limit {
-            same if same == known.limit => REFRESH_MIN_NEWER_BY,
+            limit if limit == known.limit => REFRESH_MIN_NEWER_BY,
             Some(_) => Span::ZERO,
             None => END_MIN_NEWER_BY,
         };
