--- a/crates/woadstage/src/flags.rs
+++ b/crates/woadstage/src/flags.rs
@@ -6,7 +6,7 @@
 use woadstage_types::unit::Span;
 
 xflags::xflags! {
-    /// Request scheduler for model engines and plain services.
+    /// Request scheduler for unlike engines.
     cmd woadstage {
         /// Run a node on an entry host until SIGTERM.
         cmd serve {
